--- a/src/day/world.cpp
+++ b/src/day/world.cpp
@@ -10,14 +10,21 @@
 
 namespace {
 
-// Actors by kind, so that ties at one moment go: troubles, registry, governors, workers, forwarders, clients.
-constexpr std::uint32_t kTroubles = 2, kRegistry = 3, kGovernors = 10, kWorkers = 1000, kForwarders = 100000, kClients = 200000;
-base::ActorId actor(std::uint32_t kind, std::size_t k = 0) { return {kind + static_cast<std::uint32_t>(k)}; }
+// Actors by kind, so that ties at one moment go: troubles, registry, governors, workers,
+// forwarders, clients.
+constexpr std::uint32_t kTroubles = 2, kRegistry = 3, kGovernors = 10, kWorkers = 1000,
+                        kForwarders = 100000, kClients = 200000;
+
+base::ActorId actor(std::uint32_t kind, std::size_t k = 0) {
+    return {kind + static_cast<std::uint32_t>(k)};
+}
 
 governor::Figures& operator+=(governor::Figures& a, const governor::Figures& b) {
-    a.decisions += b.decisions, a.orders += b.orders, a.joins += b.joins, a.rejections += b.rejections, a.lists += b.lists;
+    a.decisions += b.decisions, a.orders += b.orders, a.joins += b.joins,
+        a.rejections += b.rejections, a.lists += b.lists;
     a.handler_cpu_us += b.handler_cpu_us;
-    a.channel.messages += b.channel.messages, a.channel.dropped += b.channel.dropped, a.channel.lines += b.channel.lines;
+    a.channel.messages += b.channel.messages, a.channel.dropped += b.channel.dropped,
+        a.channel.lines += b.channel.lines;
     a.channel.waiting_most = std::max(a.channel.waiting_most, b.channel.waiting_most);
     a.channel.longest_wait = std::max(a.channel.longest_wait, b.channel.longest_wait);
     return a;
@@ -25,27 +32,41 @@
 
 }  // namespace
 
-std::map<std::string, std::string> World::forwarder_zones(const DayScript& script, const GivenWorld* given) {
+std::map<std::string, std::string> World::forwarder_zones(const DayScript& script,
+                                                          const GivenWorld* given) {
     std::map<std::string, std::string> out;
     if (given) {
-        for (const TimedMove& move : given->moves)
-            if (move.what.kind == MoveKind::AddForwarder) out[move.what.who] = move.what.text;
+        for (const TimedMove& move : given->moves) {
+            if (move.what.kind == MoveKind::AddForwarder) {
+                out[move.what.who] = move.what.text;
+            }
+        }
         return out;
     }
-    for (const auto& plan : plan_forwarders(script)) out[plan.id] = plan.zone;
+    for (const auto& plan : plan_forwarders(script)) {
+        out[plan.id] = plan.zone;
+    }
     return out;
 }
 
-World::World(net::Loop& loop, const DayScript& script, log::Log& log, const std::vector<standin::Observer*>& watchers,
-             const GivenWorld* given)
-    : loop_(loop), script_(script), given_(given), log_(log), weather_(loop.clock(), script, script.seed), begin_(loop.clock().now()),
+World::World(net::Loop& loop, const DayScript& script, log::Log& log,
+             const std::vector<standin::Observer*>& watchers, const GivenWorld* given)
+    : loop_(loop),
+      script_(script),
+      given_(given),
+      log_(log),
+      weather_(loop.clock(), script, script.seed),
+      begin_(loop.clock().now()),
       chance_(script.seed, "world") {
     watchers_.all = watchers;
     loop_.weather = &weather_;
     loop_.keeps_ledger = true;
-    for (const Operation& op : script.governor.told.operations) operations_.push_back(op.name);
+    for (const Operation& op : script.governor.told.operations) {
+        operations_.push_back(op.name);
+    }
     registry_port_ = std::make_unique<net::PortHold>(loop);
-    registry_ = std::make_unique<standin::Registry>(loop, actor(kRegistry), "registry", registry_port_->address(), &watchers_);
+    registry_ = std::make_unique<standin::Registry>(loop, actor(kRegistry), "registry",
+                                                    registry_port_->address(), &watchers_);
 }
 
 World::~World() {
@@ -70,8 +91,11 @@
 
 void World::start() {
     opening_ = true;
-    if (given_) open_given();
-    else open_script();
+    if (given_) {
+        open_given();
+    } else {
+        open_script();
+    }
     opening_ = false;
 }
 
@@ -88,29 +112,47 @@
         make({.kind = StartGovernor, .who = governors_[k].name});
     }
     const auto plans = plan_forwarders(script_);
-    for (const auto& plan : plans) make({.kind = AddForwarder, .who = plan.id, .by = plan.rate, .text = plan.zone});
-    for (const auto& plan : plans) make({.kind = StartForwarder, .who = plan.id});
+    for (const auto& plan : plans) {
+        make({.kind = AddForwarder, .who = plan.id, .by = plan.rate, .text = plan.zone});
+    }
+    for (const auto& plan : plans) {
+        make({.kind = StartForwarder, .who = plan.id});
+    }
     add_clients(draw_traffic(script_, plans, begin_));
-    for (const Trouble& trouble : script_.troubles)
+    for (const Trouble& trouble : script_.troubles) {
         later(trouble.at, [this, &trouble] { strike(trouble); });
+    }
 }
 
 void World::open_given() {
-    for (std::size_t k = 0; k < static_cast<std::size_t>(script_.governors); ++k) add_governor(k);
-    for (const TimedMove& move : given_->moves)
-        if (move.opening) make(move.what);
+    for (std::size_t k = 0; k < static_cast<std::size_t>(script_.governors); ++k) {
+        add_governor(k);
+    }
+    for (const TimedMove& move : given_->moves) {
+        if (move.opening) {
+            make(move.what);
+        }
+    }
     auto traffic = given_->traffic;
-    for (auto& [forwarder, list] : traffic)
-        for (auto& one : list) one.came += begin_;
+    for (auto& [forwarder, list] : traffic) {
+        for (auto& one : list) {
+            one.came += begin_;
+        }
+    }
     add_clients(std::move(traffic));
     // What was done in one step is done in one step again: nothing comes in between.
     for (auto first = given_->moves.begin(); first != given_->moves.end();) {
         auto end = std::next(first);
-        while (end != given_->moves.end() && end->joined && end->at == first->at) ++end;
-        if (!first->opening)
+        while (end != given_->moves.end() && end->joined && end->at == first->at) {
+            ++end;
+        }
+        if (!first->opening) {
             later(first->at, [this, first, end] {
-                for (auto move = first; move != end; ++move) make(move->what);
+                for (auto move = first; move != end; ++move) {
+                    make(move->what);
+                }
             });
+        }
         first = end;
     }
 }
@@ -137,34 +179,43 @@
 std::vector<standin::ClientSettings::GivesUp> World::gives_up() const {
     std::vector<standin::ClientSettings::GivesUp> out;
     if (given_) {
-        for (const TimedMove& move : given_->moves)
-            if (move.what.kind == MoveKind::GiveUp)
+        for (const TimedMove& move : given_->moves) {
+            if (move.what.kind == MoveKind::GiveUp) {
                 out.push_back({begin_ + move.at, begin_ + move.at + move.what.wait, move.what.by});
+            }
+        }
         return out;
     }
-    for (const Trouble& t : script_.troubles)
-        if (t.kind == Kind::GiveUp) out.push_back({begin_ + t.at, begin_ + t.at + t.lasts, t.by});
+    for (const Trouble& t : script_.troubles) {
+        if (t.kind == Kind::GiveUp) {
+            out.push_back({begin_ + t.at, begin_ + t.at + t.lasts, t.by});
+        }
+    }
     return out;
 }
 
 void World::add_clients(std::map<std::string, std::vector<standin::Invocation>> traffic) {
     standin::ClientSettings clients;
-    clients.retries = script_.client_retries, clients.wait = script_.client_wait, clients.try_share = script_.client_try_share;
+    clients.retries = script_.client_retries, clients.wait = script_.client_wait,
+    clients.try_share = script_.client_try_share;
     clients.operations = script_.governor.told.operations;
     clients.gives_up = gives_up();
     for (std::size_t k = 0; k < forwarders_.size(); ++k) {
         ForwarderSlot& slot = forwarders_[k];
         const std::string client = numbered("client", k);
         weather_.place(client, slot.plan.zone);
-        slot.client = std::make_unique<standin::Client>(loop_, actor(kClients, k), client, clients, slot.port->address(),
-                                                        std::move(traffic[slot.plan.id]), &watchers_);
+        slot.client = std::make_unique<standin::Client>(
+            loop_, actor(kClients, k), client, clients, slot.port->address(),
+            std::move(traffic[slot.plan.id]), &watchers_);
     }
 }
 
 // ---- moves
 
 void World::make(const Move& move) {
-    if (on_move) on_move(loop_.clock().now(), opening_, moved_step_ == step_, move);
+    if (on_move) {
+        on_move(loop_.clock().now(), opening_, moved_step_ == step_, move);
+    }
     moved_step_ = step_;
     apply(move);
 }
@@ -172,8 +223,11 @@
 namespace {
 template <class Slots, class Name>
 std::size_t called(const Slots& slots, const std::string& id, Name name) {
-    const auto it = std::find_if(slots.begin(), slots.end(), [&](const auto& slot) { return name(slot) == id; });
-    if (it == slots.end()) throw std::runtime_error("a move names '" + id + "', which this day does not have");
+    const auto it = std::find_if(slots.begin(), slots.end(),
+                                 [&](const auto& slot) { return name(slot) == id; });
+    if (it == slots.end()) {
+        throw std::runtime_error("a move names '" + id + "', which this day does not have");
+    }
     return static_cast<std::size_t>(it - slots.begin());
 }
 }  // namespace
@@ -181,9 +235,11 @@
 std::size_t World::worker_called(const std::string& id) const {
     return called(workers_, id, [](const WorkerSlot& slot) { return slot.settings.id; });
 }
+
 std::size_t World::forwarder_called(const std::string& id) const {
     return called(forwarders_, id, [](const ForwarderSlot& slot) { return slot.plan.id; });
 }
+
 std::size_t World::governor_called(const std::string& id) const {
     return called(governors_, id, [](const GovernorSlot& slot) { return slot.name; });
 }
@@ -191,70 +247,109 @@
 void World::apply(const Move& move) {
     using enum MoveKind;
     switch (move.kind) {
-        case AddWorker: return add_worker(move.worker);
-        case AddForwarder: return add_forwarder({move.who, move.text, 1, move.by});
+        case AddWorker:
+            return add_worker(move.worker);
+        case AddForwarder:
+            return add_forwarder({move.who, move.text, 1, move.by});
         case StartWorker:
         case StopWorker:
         case ListWorker:
         case UnlistWorker:
-        case TroubleWorker: return apply_to_worker(move);
-        case CutZone: return weather_.cut(move.who, move.on);
-        case SlowZone: return weather_.slow(move.who, {move.wait, move.by});
+        case TroubleWorker:
+            return apply_to_worker(move);
+        case CutZone:
+            return weather_.cut(move.who, move.on);
+        case SlowZone:
+            return weather_.slow(move.who, {move.wait, move.by});
         case StartForwarder:
         case StopForwarder:
         case BreakStream:
         case IsolateForwarder:
-        case StallForwarder: return apply_to_forwarder(move);
-        case StartGovernor: return start_governor(governor_called(move.who));
-        case StopGovernor: return stop_governor(governor_called(move.who));
-        case PaceChannels: return pace_channels(move.by);
-        case HangRegistry: return registry_->hang(move.on);
-        case RestartRegistry: return registry_->restart(move.on);
-        case GarbleRegistry: return void(registry_->garbage = move.text);
-        case ShowOldList: return show_old_list(move.on, move.by);
-        case GiveUp: return;  // the clients know it from the beginning
+        case StallForwarder:
+            return apply_to_forwarder(move);
+        case StartGovernor:
+            return start_governor(governor_called(move.who));
+        case StopGovernor:
+            return stop_governor(governor_called(move.who));
+        case PaceChannels:
+            return pace_channels(move.by);
+        case HangRegistry:
+            return registry_->hang(move.on);
+        case RestartRegistry:
+            return registry_->restart(move.on);
+        case GarbleRegistry:
+            return void(registry_->garbage = move.text);
+        case ShowOldList:
+            return show_old_list(move.on, move.by);
+        case GiveUp:
+            return;  // the clients know it from the beginning
     }
 }
 
 void World::apply_to_worker(const Move& move) {
     const std::size_t k = worker_called(move.who);
     switch (move.kind) {
-        case MoveKind::StartWorker: return start_worker(k, move.on);
-        case MoveKind::StopWorker: return workers_[k].worker.reset();
-        case MoveKind::ListWorker: return put_on_list(k, move.on);
+        case MoveKind::StartWorker:
+            return start_worker(k, move.on);
+        case MoveKind::StopWorker:
+            return workers_[k].worker.reset();
+        case MoveKind::ListWorker:
+            return put_on_list(k, move.on);
         case MoveKind::UnlistWorker:
             registry_->remove(move.who);
             list_history_[loop_.clock().now()] = registry_->rows();
             return;
         default:
-            if (workers_[k].worker) workers_[k].worker->trouble = move.trouble;
+            if (workers_[k].worker) {
+                workers_[k].worker->trouble = move.trouble;
+            }
     }
 }
 
 void World::apply_to_forwarder(const Move& move) {
     const std::size_t k = forwarder_called(move.who);
-    if (move.kind == MoveKind::StartForwarder) return start_forwarder(k);
+    if (move.kind == MoveKind::StartForwarder) {
+        return start_forwarder(k);
+    }
     const auto& forwarder = forwarders_[k].forwarder;
-    if (!forwarder) return;
-    if (move.kind == MoveKind::StopForwarder) forwarders_[k].forwarder.reset();
-    else if (move.kind == MoveKind::BreakStream) forwarder->break_stream();
-    else if (move.kind == MoveKind::IsolateForwarder) forwarder->isolate(move.on);
-    else forwarder->stall(move.on);
+    if (!forwarder) {
+        return;
+    }
+    if (move.kind == MoveKind::StopForwarder) {
+        forwarders_[k].forwarder.reset();
+    } else if (move.kind == MoveKind::BreakStream) {
+        forwarder->break_stream();
+    } else if (move.kind == MoveKind::IsolateForwarder) {
+        forwarder->isolate(move.on);
+    } else {
+        forwarder->stall(move.on);
+    }
 }
 
 // The list as it stood so many seconds before.
 void World::show_old_list(bool on, double seconds_back) {
-    if (!on) return registry_->show_instead(std::nullopt);
+    if (!on) {
+        return registry_->show_instead(std::nullopt);
+    }
     const Micros then = loop_.clock().now() - Micros(std::llround(seconds_back * 1e6));
     auto at = list_history_.upper_bound(then);
-    if (at != list_history_.begin()) --at;
-    if (at != list_history_.end()) registry_->show_instead(at->second);
+    if (at != list_history_.begin()) {
+        --at;
+    }
+    if (at != list_history_.end()) {
+        registry_->show_instead(at->second);
+    }
 }
 
 void World::pace_channels(double slower) {
-    for (auto& slot : governors_)
-        if (slot.service) slot.service->set_channel_pace(1 / slower);
-    if (on_slow_channel) on_slow_channel(slower);
+    for (auto& slot : governors_) {
+        if (slot.service) {
+            slot.service->set_channel_pace(1 / slower);
+        }
+    }
+    if (on_slow_channel) {
+        on_slow_channel(slower);
+    }
 }
 
 // ---- workers
@@ -263,22 +358,29 @@
     base::Chance chance(script_.seed, "worker/" + std::to_string(k));
     const Settings& told = script_.governor.told;
     double shares = 0;
-    for (const auto& kind : script_.kinds) shares += kind.share;
+    for (const auto& kind : script_.kinds) {
+        shares += kind.share;
+    }
     double draw = chance.part() * shares;
     std::size_t which = 0;
-    while (which + 1 < script_.kinds.size() && (draw -= script_.kinds[which].share) >= 0) ++which;
+    while (which + 1 < script_.kinds.size() && (draw -= script_.kinds[which].share) >= 0) {
+        ++which;
+    }
     const MachineKind& kind = script_.kinds[which];
     standin::WorkerSettings s;
     s.id = numbered("worker", k);
     s.zone = script_.governor.zones[k % script_.governor.zones.size()];
     s.cores = kind.cores;
     s.speed = chance.between(kind.speed.low, kind.speed.high);
-    s.queue_per_core = static_cast<std::size_t>(std::llround(chance.between(kind.queue_per_core.low, kind.queue_per_core.high)));
-    s.connections_most = static_cast<std::size_t>(std::llround(chance.between(kind.connections.low, kind.connections.high)));
+    s.queue_per_core = static_cast<std::size_t>(
+        std::llround(chance.between(kind.queue_per_core.low, kind.queue_per_core.high)));
+    s.connections_most = static_cast<std::size_t>(
+        std::llround(chance.between(kind.connections.low, kind.connections.high)));
     s.handshake_work = Micros(std::llround(chance.between(8000, 15000)));
     // What the settings tell of cold servers is the least that holds.
     s.cold_from = std::min(1.0, told.cold_from * chance.between(1, 1.5));
-    s.cold_time = Micros(std::llround(static_cast<double>(told.cold_time.count()) * chance.between(0.7, 1)));
+    s.cold_time =
+        Micros(std::llround(static_cast<double>(told.cold_time.count()) * chance.between(0.7, 1)));
     s.fall_multiple = told.fall_multiple, s.fall_time = told.fall_time;
     s.key_gain = script_.key_gain, s.key_time = script_.key_kept;
     s.reports_load = !told.load_columns.empty();
@@ -304,19 +406,27 @@
     settings.id += "/" + std::to_string(slot.incarnation);
     weather_.place(settings.id, settings.zone);
     server_names_[settings.listen] = settings.id;
-    slot.worker = std::make_unique<standin::Worker>(loop_, actor(kWorkers, k), settings, base::seed_for(script_.seed, settings.id),
+    slot.worker = std::make_unique<standin::Worker>(loop_, actor(kWorkers, k), settings,
+                                                    base::seed_for(script_.seed, settings.id),
                                                     &watchers_, cold, operations_);
 }
 
 void World::stop_worker(std::size_t k, bool unlisted) {
     WorkerSlot& slot = workers_[k];
-    if (!slot.worker) return;
+    if (!slot.worker) {
+        return;
+    }
     make({.kind = MoveKind::StopWorker, .who = slot.settings.id});
-    if (unlisted) return;
-    const Micros delay(std::llround(chance_.between(script_.list_gone_us.low, script_.list_gone_us.high)));
+    if (unlisted) {
+        return;
+    }
+    const Micros delay(
+        std::llround(chance_.between(script_.list_gone_us.low, script_.list_gone_us.high)));
     later(delay, [this, k, incarnation = slot.incarnation] {
         // Back before the list noticed: its new start is listed instead.
-        if (workers_[k].incarnation != incarnation || workers_[k].worker) return;
+        if (workers_[k].incarnation != incarnation || workers_[k].worker) {
+            return;
+        }
         make({.kind = MoveKind::UnlistWorker, .who = workers_[k].settings.id});
     });
 }
@@ -324,14 +434,18 @@
 // A cold start, which the list tells of a while later.
 void World::bring_back(std::size_t k, bool unlisted) {
     make({.kind = MoveKind::StartWorker, .who = workers_[k].settings.id, .on = true});
-    if (!unlisted) list_worker(k, Micros(std::llround(chance_.between(script_.list_new_us.low, script_.list_new_us.high))));
+    if (!unlisted) {
+        list_worker(k, Micros(std::llround(
+                           chance_.between(script_.list_new_us.low, script_.list_new_us.high))));
+    }
 }
 
 void World::list_worker(std::size_t k, Micros delay, bool draining) {
     later(delay, [this, k, draining, incarnation = workers_[k].incarnation] {
         const WorkerSlot& slot = workers_[k];
-        if (slot.incarnation == incarnation && slot.worker)
+        if (slot.incarnation == incarnation && slot.worker) {
             make({.kind = MoveKind::ListWorker, .who = slot.settings.id, .on = draining});
+        }
     });
 }
 
@@ -363,16 +477,23 @@
     config.told.zone = {static_cast<int>(at - config.zones.begin())};
     config.xds_address = net::to_text(slot.port->address());
     config.registry_address = net::to_text(registry_port_->address());
-    slot.service = std::make_unique<governor::Service>(loop_, actor(kGovernors, k), config, log_, "life-" + std::to_string(++slot.life));
-    if (governor_watcher) slot.service->watch(*governor_watcher);
+    slot.service = std::make_unique<governor::Service>(loop_, actor(kGovernors, k), config, log_,
+                                                       "life-" + std::to_string(++slot.life));
+    if (governor_watcher) {
+        slot.service->watch(*governor_watcher);
+    }
     slot.service->tamper = [this, k](Micros now, std::vector<Action>& actions) {
-        if (tamper) tamper(static_cast<int>(k), *governors_[k].service, now, actions);
+        if (tamper) {
+            tamper(static_cast<int>(k), *governors_[k].service, now, actions);
+        }
     };
 }
 
 void World::stop_governor(std::size_t k) {
     GovernorSlot& slot = governors_[k];
-    if (!slot.service) return;
+    if (!slot.service) {
+        return;
+    }
     slot.past += slot.service->figures();
     slot.service.reset();
 }
@@ -381,19 +502,26 @@
     std::vector<governor::Figures> out;
     for (const GovernorSlot& slot : governors_) {
         governor::Figures sum = slot.past;
-        if (slot.service) sum += slot.service->figures();
+        if (slot.service) {
+            sum += slot.service->figures();
+        }
         out.push_back(sum);
     }
     return out;
 }
 
-std::vector<xds::TableLine> World::draw_startup(const std::string& zone, base::Chance& chance) const {
+std::vector<xds::TableLine> World::draw_startup(const std::string& zone,
+                                                base::Chance& chance) const {
     std::vector<xds::TableLine> here, all;
     for (const auto& [id, row] : registry_->rows()) {
-        if (row.server.state != ServerState::Ready) continue;
+        if (row.server.state != ServerState::Ready) {
+            continue;
+        }
         const xds::TableLine line{row.server.address, row.server.zone, 1, false};
         all.push_back(line);
-        if (row.server.zone == zone) here.push_back(line);
+        if (row.server.zone == zone) {
+            here.push_back(line);
+        }
     }
     auto& from = here.size() >= 3 ? here : all;
     std::vector<xds::TableLine> out;
@@ -417,12 +545,17 @@
     s.operations = told.operations;
     // Its own zone's governor first, the others in order.
     std::vector<std::size_t> order;
-    for (std::size_t g = 0; g < governors_.size(); ++g)
-        if (governors_[g].zone == slot.plan.zone) order.push_back(g);
+    for (std::size_t g = 0; g < governors_.size(); ++g) {
+        if (governors_[g].zone == slot.plan.zone) {
+            order.push_back(g);
+        }
+    }
     const std::size_t first = chance.below(governors_.size());
     for (std::size_t g = 0; g < governors_.size(); ++g) {
         const std::size_t next = (first + g) % governors_.size();
-        if (std::find(order.begin(), order.end(), next) == order.end()) order.push_back(next);
+        if (std::find(order.begin(), order.end(), next) == order.end()) {
+            order.push_back(next);
+        }
     }
     for (const std::size_t g : order) {
         s.governors.push_back(governors_[g].port->address());
@@ -432,22 +565,28 @@
     s.pick = told.pick, s.again = told.default_again;
     s.ejects_after = told.ejects_after, s.eject_time = script_.governor.eject_time;
     s.connect_timeout = 250ms, s.dial_timeout = 1s, s.connection_idle = told.connection_idle;
-    s.redial_least = Micros(std::llround(script_.redial_us.low)), s.redial_most = Micros(std::llround(script_.redial_us.high));
+    s.redial_least = Micros(std::llround(script_.redial_us.low)),
+    s.redial_most = Micros(std::llround(script_.redial_us.high));
     // A cut way shows only by silence.
     s.keepalive = 1s;
-    slot.forwarder = std::make_unique<standin::Forwarder>(loop_, actor(kForwarders, k), s,
-                                                          base::seed_for(script_.seed, "start/" + std::to_string(slot.starts)),
-                                                          &watchers_, &server_names_);
-    if (on_forwarder) on_forwarder(*slot.forwarder);
+    slot.forwarder = std::make_unique<standin::Forwarder>(
+        loop_, actor(kForwarders, k), s,
+        base::seed_for(script_.seed, "start/" + std::to_string(slot.starts)), &watchers_,
+        &server_names_);
+    if (on_forwarder) {
+        on_forwarder(*slot.forwarder);
+    }
 }
 
 // ---- troubles
 
 namespace {
 // So many of a row, or a part of it, drawn by chance; in the order of the row.
-std::vector<std::size_t> drawn(std::vector<std::size_t> from, double part, int count, base::Chance& chance) {
-    const auto wanted = count > 0 ? static_cast<std::size_t>(count)
-                                  : static_cast<std::size_t>(std::ceil(part * static_cast<double>(from.size())));
+std::vector<std::size_t> drawn(std::vector<std::size_t> from, double part, int count,
+                               base::Chance& chance) {
+    const auto wanted =
+        count > 0 ? static_cast<std::size_t>(count)
+                  : static_cast<std::size_t>(std::ceil(part * static_cast<double>(from.size())));
     std::vector<std::size_t> out;
     while (!from.empty() && out.size() < wanted) {
         const std::size_t k = chance.below(from.size());
@@ -462,51 +601,76 @@
 std::vector<std::size_t> World::struck_workers(const Trouble& trouble) {
     std::vector<std::size_t> from;
     for (std::size_t k = 0; k < workers_.size(); ++k) {
-        if (!trouble.one.empty() && workers_[k].settings.id != trouble.one) continue;
-        if (workers_[k].worker) from.push_back(k);
+        if (!trouble.one.empty() && workers_[k].settings.id != trouble.one) {
+            continue;
+        }
+        if (workers_[k].worker) {
+            from.push_back(k);
+        }
+    }
+    if (!trouble.one.empty()) {
+        return from;
     }
-    if (!trouble.one.empty()) return from;
     base::Chance chance(script_.seed, "struck/" + std::to_string(trouble.line));
     return drawn(std::move(from), trouble.part, trouble.count, chance);
 }
 
 std::vector<std::size_t> World::struck_forwarders(const Trouble& trouble) {
     std::vector<std::size_t> from;
-    for (std::size_t k = 0; k < forwarders_.size(); ++k)
-        if (trouble.one.empty() || forwarders_[k].plan.id == trouble.one) from.push_back(k);
-    if (!trouble.one.empty()) return from;
+    for (std::size_t k = 0; k < forwarders_.size(); ++k) {
+        if (trouble.one.empty() || forwarders_[k].plan.id == trouble.one) {
+            from.push_back(k);
+        }
+    }
+    if (!trouble.one.empty()) {
+        return from;
+    }
     base::Chance chance(script_.seed, "struck/" + std::to_string(trouble.line));
     return drawn(std::move(from), trouble.part, trouble.count, chance);
 }
 
-void World::trouble_worker(std::size_t k, const std::function<void(standin::WorkerTrouble&)>& change) {
-    Move move{.kind = MoveKind::TroubleWorker, .who = workers_[k].settings.id, .trouble = workers_[k].worker->trouble};
+void World::trouble_worker(std::size_t k,
+                           const std::function<void(standin::WorkerTrouble&)>& change) {
+    Move move{.kind = MoveKind::TroubleWorker,
+              .who = workers_[k].settings.id,
+              .trouble = workers_[k].worker->trouble};
     change(move.trouble);
     make(move);
 }
 
 // Changes those struck, and back when the trouble is over (unless they died meanwhile).
-void World::each_worker(const Trouble& trouble, const std::function<void(standin::WorkerTrouble&, bool)>& change) {
+void World::each_worker(const Trouble& trouble,
+                        const std::function<void(standin::WorkerTrouble&, bool)>& change) {
     for (const std::size_t k : struck_workers(trouble)) {
         trouble_worker(k, [&](standin::WorkerTrouble& t) { change(t, true); });
         later(trouble.lasts, [this, k, change, incarnation = workers_[k].incarnation] {
-            if (workers_[k].worker && workers_[k].incarnation == incarnation)
+            if (workers_[k].worker && workers_[k].incarnation == incarnation) {
                 trouble_worker(k, [&](standin::WorkerTrouble& t) { change(t, false); });
+            }
         });
     }
 }
 
-void World::flap(const Trouble& trouble, std::size_t k, Micros end, std::shared_ptr<base::Chance> chance) {
+void World::flap(const Trouble& trouble, std::size_t k, Micros end,
+                 std::shared_ptr<base::Chance> chance) {
     const Micros now = loop_.clock().now();
-    if (now >= end) return;
+    if (now >= end) {
+        return;
+    }
     const double turn = static_cast<double>(trouble.turn.count()) * chance->between(0.7, 1.3);
     const Micros up(std::llround(turn * (1 - trouble.by))), down(std::llround(turn * trouble.by));
     later(up, [this, &trouble, k, end, chance, down] {
-        if (loop_.clock().now() >= end || !workers_[k].worker) return;
+        if (loop_.clock().now() >= end || !workers_[k].worker) {
+            return;
+        }
         if (trouble.how == "hang" || trouble.how == "errors") {
-            trouble_worker(k, [&](standin::WorkerTrouble& t) { trouble.how == "hang" ? void(t.hangs = true) : void(t.errors = 0.95); });
+            trouble_worker(k, [&](standin::WorkerTrouble& t) {
+                trouble.how == "hang" ? void(t.hangs = true) : void(t.errors = 0.95);
+            });
             later(down, [this, &trouble, k, end, chance, incarnation = workers_[k].incarnation] {
-                if (!workers_[k].worker || workers_[k].incarnation != incarnation) return;
+                if (!workers_[k].worker || workers_[k].incarnation != incarnation) {
+                    return;
+                }
                 trouble_worker(k, [](standin::WorkerTrouble& t) { t = {}; });
                 flap(trouble, k, end, chance);
             });
@@ -514,7 +678,9 @@
         }
         stop_worker(k, trouble.unlisted);
         later(down, [this, &trouble, k, end, chance] {
-            if (workers_[k].worker) return;
+            if (workers_[k].worker) {
+                return;
+            }
             bring_back(k, trouble.unlisted);
             flap(trouble, k, end, chance);
         });
@@ -523,40 +689,60 @@
 
 void World::age(const Trouble& trouble, std::size_t k, int incarnation, Micros began) {
     WorkerSlot& slot = workers_[k];
-    if (!slot.worker || slot.incarnation != incarnation) return;
-    const double part = static_cast<double>((loop_.clock().now() - began).count()) / static_cast<double>(trouble.lasts.count());
+    if (!slot.worker || slot.incarnation != incarnation) {
+        return;
+    }
+    const double part = static_cast<double>((loop_.clock().now() - began).count()) /
+                        static_cast<double>(trouble.lasts.count());
     if (part < 1) {
-        trouble_worker(k, [&](standin::WorkerTrouble& t) { t.slower = 1 + (trouble.by - 1) * part; });
-        later(500ms, [this, &trouble, k, incarnation, began] { age(trouble, k, incarnation, began); });
+        trouble_worker(k,
+                       [&](standin::WorkerTrouble& t) { t.slower = 1 + (trouble.by - 1) * part; });
+        later(500ms,
+              [this, &trouble, k, incarnation, began] { age(trouble, k, incarnation, began); });
         return;
     }
     stop_worker(k, false);
     later(trouble.down > 0us ? trouble.down : Micros{5s}, [this, k] {
-        if (!workers_[k].worker) bring_back(k, false);
+        if (!workers_[k].worker) {
+            bring_back(k, false);
+        }
     });
 }
 
 void World::strike_neighbour(const Trouble& trouble, std::size_t k, Micros end, bool on) {
-    if (!workers_[k].worker) return;
+    if (!workers_[k].worker) {
+        return;
+    }
     const bool over = loop_.clock().now() >= end;
     trouble_worker(k, [&](standin::WorkerTrouble& t) { t.taken = on && !over ? trouble.by : 0; });
-    if (over) return;
+    if (over) {
+        return;
+    }
     const Micros turn = trouble.turn > 0us ? trouble.turn : trouble.lasts;
-    later(std::min(turn, end - loop_.clock().now()), [this, &trouble, k, end, on] { strike_neighbour(trouble, k, end, !on); });
+    later(std::min(turn, end - loop_.clock().now()),
+          [this, &trouble, k, end, on] { strike_neighbour(trouble, k, end, !on); });
 }
 
 void World::strike_workers(const Trouble& trouble) {
     using T = standin::WorkerTrouble;
     const double by = trouble.by;
     switch (trouble.kind) {
-        case Kind::Hang: return each_worker(trouble, [](T& t, bool on) { t.hangs = on; });
-        case Kind::FastErrors: return each_worker(trouble, [by](T& t, bool on) { t.errors = on ? by : 0; });
-        case Kind::Slow: return each_worker(trouble, [by](T& t, bool on) { t.slower = on ? by : 1; });
-        case Kind::AnswersLost: return each_worker(trouble, [by](T& t, bool on) { t.answers_lost = on ? by : 0; });
-        case Kind::CountersFalling: return each_worker(trouble, [by](T& t, bool on) { t.counters = on ? by : 1; });
+        case Kind::Hang:
+            return each_worker(trouble, [](T& t, bool on) { t.hangs = on; });
+        case Kind::FastErrors:
+            return each_worker(trouble, [by](T& t, bool on) { t.errors = on ? by : 0; });
+        case Kind::Slow:
+            return each_worker(trouble, [by](T& t, bool on) { t.slower = on ? by : 1; });
+        case Kind::AnswersLost:
+            return each_worker(trouble, [by](T& t, bool on) { t.answers_lost = on ? by : 0; });
+        case Kind::CountersFalling:
+            return each_worker(trouble, [by](T& t, bool on) { t.counters = on ? by : 1; });
         case Kind::ConnSqueeze:
-            return each_worker(trouble, [by](T& t, bool on) { t.connections_most = on ? static_cast<std::size_t>(by) : SIZE_MAX; });
-        default: break;
+            return each_worker(trouble, [by](T& t, bool on) {
+                t.connections_most = on ? static_cast<std::size_t>(by) : SIZE_MAX;
+            });
+        default:
+            break;
     }
     const Micros now = loop_.clock().now();
     for (const std::size_t k : struck_workers(trouble)) {
@@ -566,15 +752,22 @@
             strike_neighbour(trouble, k, now + trouble.lasts, true);
         } else if (trouble.kind == Kind::Flapping) {
             flap(trouble, k, now + trouble.lasts,
-                 std::make_shared<base::Chance>(script_.seed, "flap/" + std::to_string(trouble.line) + "/" + std::to_string(k)));
+                 std::make_shared<base::Chance>(
+                     script_.seed,
+                     "flap/" + std::to_string(trouble.line) + "/" + std::to_string(k)));
         } else if (trouble.kind == Kind::Drain) {
             list_worker(k, 1us, true);
-            later(trouble.lasts > 0us ? trouble.lasts : 3 * script_.governor.told.grace, [this, k] { stop_worker(k, false); });
+            later(trouble.lasts > 0us ? trouble.lasts : 3 * script_.governor.told.grace,
+                  [this, k] { stop_worker(k, false); });
         } else {  // crash, and a whole zone lost
             stop_worker(k, trouble.unlisted);
-            if (trouble.lasts <= 0us) continue;
+            if (trouble.lasts <= 0us) {
+                continue;
+            }
             later(trouble.lasts, [this, k, unlisted = trouble.unlisted] {
-                if (!workers_[k].worker) bring_back(k, unlisted);
+                if (!workers_[k].worker) {
+                    bring_back(k, unlisted);
+                }
             });
         }
     }
@@ -583,19 +776,26 @@
 void World::strike_forwarders(const Trouble& trouble) {
     for (const std::size_t k : struck_forwarders(trouble)) {
         const std::string& id = forwarders_[k].plan.id;
-        if (!forwarders_[k].forwarder) continue;
+        if (!forwarders_[k].forwarder) {
+            continue;
+        }
         if (trouble.kind == Kind::StreamsBreak) {
             make({.kind = MoveKind::BreakStream, .who = id});
         } else if (trouble.kind == Kind::ForwarderCrash) {
             make({.kind = MoveKind::StopForwarder, .who = id});
             later(trouble.lasts, [this, k] {
-                if (!forwarders_[k].forwarder) make({.kind = MoveKind::StartForwarder, .who = forwarders_[k].plan.id});
+                if (!forwarders_[k].forwarder) {
+                    make({.kind = MoveKind::StartForwarder, .who = forwarders_[k].plan.id});
+                }
             });
         } else {
-            const auto kind = trouble.kind == Kind::ForwarderStall ? MoveKind::StallForwarder : MoveKind::IsolateForwarder;
+            const auto kind = trouble.kind == Kind::ForwarderStall ? MoveKind::StallForwarder
+                                                                   : MoveKind::IsolateForwarder;
             make({.kind = kind, .who = id, .on = true});
             later(trouble.lasts, [this, k, kind] {
-                if (forwarders_[k].forwarder) make({.kind = kind, .who = forwarders_[k].plan.id, .on = false});
+                if (forwarders_[k].forwarder) {
+                    make({.kind = kind, .who = forwarders_[k].plan.id, .on = false});
+                }
             });
         }
     }
@@ -603,51 +803,74 @@
 
 void World::lose_zone(const Trouble& trouble) {
     for (std::size_t k = 0; k < workers_.size(); ++k) {
-        if (workers_[k].settings.zone != trouble.one) continue;
+        if (workers_[k].settings.zone != trouble.one) {
+            continue;
+        }
         Trouble one = trouble;
         one.kind = Kind::Crash, one.one = workers_[k].settings.id;
         strike_workers(one);
     }
     for (std::size_t k = 0; trouble.with_forwarders && k < forwarders_.size(); ++k) {
-        if (forwarders_[k].plan.zone != trouble.one) continue;
+        if (forwarders_[k].plan.zone != trouble.one) {
+            continue;
+        }
         make({.kind = MoveKind::StopForwarder, .who = forwarders_[k].plan.id});
         later(trouble.lasts, [this, k] {
-            if (!forwarders_[k].forwarder) make({.kind = MoveKind::StartForwarder, .who = forwarders_[k].plan.id});
+            if (!forwarders_[k].forwarder) {
+                make({.kind = MoveKind::StartForwarder, .who = forwarders_[k].plan.id});
+            }
         });
     }
-    for (std::size_t k = 0; trouble.with_governors && k < governors_.size(); ++k)
-        if (governors_[k].zone == trouble.one) crash_governor(k, trouble.lasts);
+    for (std::size_t k = 0; trouble.with_governors && k < governors_.size(); ++k) {
+        if (governors_[k].zone == trouble.one) {
+            crash_governor(k, trouble.lasts);
+        }
+    }
 }
 
 void World::crash_governor(std::size_t k, Micros lasts) {
     make({.kind = MoveKind::StopGovernor, .who = governors_[k].name});
     later(lasts, [this, k] {
-        if (!governors_[k].service) make({.kind = MoveKind::StartGovernor, .who = governors_[k].name});
+        if (!governors_[k].service) {
+            make({.kind = MoveKind::StartGovernor, .who = governors_[k].name});
+        }
     });
 }
 
 void World::strike(const Trouble& trouble) {
     using enum MoveKind;
     log::Voice(log_, "day").info("trouble", {{"kind", trouble.name}, {"line", trouble.line}});
-    if (on_trouble) on_trouble(loop_.clock().now(), trouble);
+    if (on_trouble) {
+        on_trouble(loop_.clock().now(), trouble);
+    }
     // Now, and the opposite when the trouble is over.
     const auto for_a_while = [&](Move move, Move back) {
         make(move);
         later(trouble.lasts, [this, back = std::move(back)] { make(back); });
     };
     switch (trouble.kind) {
-        case Kind::ZoneCut: return for_a_while({.kind = CutZone, .who = trouble.one, .on = true}, {.kind = CutZone, .who = trouble.one});
+        case Kind::ZoneCut:
+            return for_a_while({.kind = CutZone, .who = trouble.one, .on = true},
+                               {.kind = CutZone, .who = trouble.one});
         case Kind::SlowLink:
-            return for_a_while({.kind = SlowZone, .who = trouble.one, .by = trouble.by, .wait = trouble.wait},
-                               {.kind = SlowZone, .who = trouble.one});
-        case Kind::ZoneLoss: return lose_zone(trouble);
-        case Kind::SlowChannel: return for_a_while({.kind = PaceChannels, .by = trouble.by}, {.kind = PaceChannels, .by = 1});
+            return for_a_while(
+                {.kind = SlowZone, .who = trouble.one, .by = trouble.by, .wait = trouble.wait},
+                {.kind = SlowZone, .who = trouble.one});
+        case Kind::ZoneLoss:
+            return lose_zone(trouble);
+        case Kind::SlowChannel:
+            return for_a_while({.kind = PaceChannels, .by = trouble.by},
+                               {.kind = PaceChannels, .by = 1});
         case Kind::StreamsBreak:
         case Kind::GovernorsUnreachable:
         case Kind::ForwarderStall:
-        case Kind::ForwarderCrash: return strike_forwarders(trouble);
-        case Kind::GovernorCrash: return crash_governor(static_cast<std::size_t>(std::stoi(trouble.one)), trouble.lasts);
-        case Kind::WrongList: return for_a_while({.kind = ShowOldList, .on = true, .by = trouble.by}, {.kind = ShowOldList});
+        case Kind::ForwarderCrash:
+            return strike_forwarders(trouble);
+        case Kind::GovernorCrash:
+            return crash_governor(static_cast<std::size_t>(std::stoi(trouble.one)), trouble.lasts);
+        case Kind::WrongList:
+            return for_a_while({.kind = ShowOldList, .on = true, .by = trouble.by},
+                               {.kind = ShowOldList});
         case Kind::Grow:
             for (int n = 0; n < std::max(1, trouble.count); ++n) {
                 const std::size_t k = workers_.size();
@@ -656,15 +879,21 @@
                 bring_back(k, false);
             }
             return;
-        case Kind::RegistryHang: return for_a_while({.kind = HangRegistry, .on = true}, {.kind = HangRegistry});
-        case Kind::RegistryRestart: return make({.kind = RestartRegistry, .on = trouble.how != "empty"});
+        case Kind::RegistryHang:
+            return for_a_while({.kind = HangRegistry, .on = true}, {.kind = HangRegistry});
+        case Kind::RegistryRestart:
+            return make({.kind = RestartRegistry, .on = trouble.how != "empty"});
         case Kind::RegistryGarbage:
-            return for_a_while({.kind = GarbleRegistry, .text = "{\"registry\": 7, "}, {.kind = GarbleRegistry});
-        case Kind::GiveUp: return make({.kind = MoveKind::GiveUp, .by = trouble.by, .wait = trouble.lasts});
+            return for_a_while({.kind = GarbleRegistry, .text = "{\"registry\": 7, "},
+                               {.kind = GarbleRegistry});
+        case Kind::GiveUp:
+            return make({.kind = MoveKind::GiveUp, .by = trouble.by, .wait = trouble.lasts});
         // Drawn into the traffic beforehand.
         case Kind::Burst:
-        case Kind::Shift: return;
-        default: return strike_workers(trouble);
+        case Kind::Shift:
+            return;
+        default:
+            return strike_workers(trouble);
     }
 }
 
--- a/src/day/world.h
+++ b/src/day/world.h
@@ -1,5 +1,5 @@
-// Everything that takes part in a day, in one process on loopback: registry, workers, governors, forwarders and
-// clients, and what the script does to them.
+// Everything that takes part in a day, in one process on loopback: registry, workers, governors,
+// forwarders and clients, and what the script does to them.
 #pragma once
 
 #include <map>
@@ -25,53 +25,137 @@
 public:
     std::vector<standin::Observer*> all;
 
-    void invocation_came(Micros t, const standin::Invocation& i) override { for (auto* o : all) o->invocation_came(t, i); }
-    void client_try(Micros t, const standin::Invocation& i) override { for (auto* o : all) o->client_try(t, i); }
-    void invocation_ended(Micros t, const standin::Invocation& i, standin::Result r) override { for (auto* o : all) o->invocation_ended(t, i, r); }
-    void forwarder_up(Micros t, const std::string& f) override { for (auto* o : all) o->forwarder_up(t, f); }
-    void forwarder_down(Micros t, const std::string& f) override { for (auto* o : all) o->forwarder_down(t, f); }
-    void joined(Micros t, const std::string& f, const std::string& g) override { for (auto* o : all) o->joined(t, f, g); }
-    void left(Micros t, const std::string& f, const std::string& g) override { for (auto* o : all) o->left(t, f, g); }
-    void response_read(Micros t, const std::string& f, const std::string& g, const std::string& orders, std::size_t n,
-                       const std::string& why) override { for (auto* o : all) o->response_read(t, f, g, orders, n, why); }
-    void pickable(Micros t, const std::string& f, int op, bool any) override { for (auto* o : all) o->pickable(t, f, op, any); }
-    void try_sent(Micros t, const std::string& f, const std::string& s, std::uint64_t i, int op, int n, standin::TryEnd b) override
-        { for (auto* o : all) o->try_sent(t, f, s, i, op, n, b); }
-    void try_ended(Micros t, const std::string& f, const std::string& s, std::uint64_t i, standin::TryEnd e) override
-        { for (auto* o : all) o->try_ended(t, f, s, i, e); }
-    void server_up(Micros t, const std::string& s, bool cold) override { for (auto* o : all) o->server_up(t, s, cold); }
-    void server_down(Micros t, const std::string& s) override { for (auto* o : all) o->server_down(t, s); }
-    void server_fell(Micros t, const std::string& s, const std::vector<Push>& p) override { for (auto* o : all) o->server_fell(t, s, p); }
-    void took_effect(Micros t, const std::string& s, std::uint64_t i, int op) override { for (auto* o : all) o->took_effect(t, s, i, op); }
-    void list_told(Micros t, const std::string& g, const governor::ServerList& l) override { for (auto* o : all) o->list_told(t, g, l); }
+    void invocation_came(Micros t, const standin::Invocation& i) override {
+        for (auto* o : all) {
+            o->invocation_came(t, i);
+        }
+    }
+
+    void client_try(Micros t, const standin::Invocation& i) override {
+        for (auto* o : all) {
+            o->client_try(t, i);
+        }
+    }
+
+    void invocation_ended(Micros t, const standin::Invocation& i, standin::Result r) override {
+        for (auto* o : all) {
+            o->invocation_ended(t, i, r);
+        }
+    }
+
+    void forwarder_up(Micros t, const std::string& f) override {
+        for (auto* o : all) {
+            o->forwarder_up(t, f);
+        }
+    }
+
+    void forwarder_down(Micros t, const std::string& f) override {
+        for (auto* o : all) {
+            o->forwarder_down(t, f);
+        }
+    }
+
+    void joined(Micros t, const std::string& f, const std::string& g) override {
+        for (auto* o : all) {
+            o->joined(t, f, g);
+        }
+    }
+
+    void left(Micros t, const std::string& f, const std::string& g) override {
+        for (auto* o : all) {
+            o->left(t, f, g);
+        }
+    }
+
+    void response_read(Micros t, const std::string& f, const std::string& g,
+                       const std::string& orders, std::size_t n, const std::string& why) override {
+        for (auto* o : all) {
+            o->response_read(t, f, g, orders, n, why);
+        }
+    }
+
+    void pickable(Micros t, const std::string& f, int op, bool any) override {
+        for (auto* o : all) {
+            o->pickable(t, f, op, any);
+        }
+    }
+
+    void try_sent(Micros t, const std::string& f, const std::string& s, std::uint64_t i, int op,
+                  int n, standin::TryEnd b) override {
+        for (auto* o : all) {
+            o->try_sent(t, f, s, i, op, n, b);
+        }
+    }
+
+    void try_ended(Micros t, const std::string& f, const std::string& s, std::uint64_t i,
+                   standin::TryEnd e) override {
+        for (auto* o : all) {
+            o->try_ended(t, f, s, i, e);
+        }
+    }
+
+    void server_up(Micros t, const std::string& s, bool cold) override {
+        for (auto* o : all) {
+            o->server_up(t, s, cold);
+        }
+    }
+
+    void server_down(Micros t, const std::string& s) override {
+        for (auto* o : all) {
+            o->server_down(t, s);
+        }
+    }
+
+    void server_fell(Micros t, const std::string& s, const std::vector<Push>& p) override {
+        for (auto* o : all) {
+            o->server_fell(t, s, p);
+        }
+    }
+
+    void took_effect(Micros t, const std::string& s, std::uint64_t i, int op) override {
+        for (auto* o : all) {
+            o->took_effect(t, s, i, op);
+        }
+    }
+
+    void list_told(Micros t, const std::string& g, const governor::ServerList& l) override {
+        for (auto* o : all) {
+            o->list_told(t, g, l);
+        }
+    }
 };
 
 class World {
 public:
     // Starts the fleet at the clock's present; invocations come from then on.
-    // With `given`, the fleet, the troubles and the invocations are those, and the script's are not drawn.
-    World(net::Loop& loop, const DayScript& script, log::Log& log, const std::vector<standin::Observer*>& watchers,
-          const GivenWorld* given = nullptr);
+    // With `given`, the fleet, the troubles and the invocations are those, and the script's are not
+    // drawn.
+    World(net::Loop& loop, const DayScript& script, log::Log& log,
+          const std::vector<standin::Observer*>& watchers, const GivenWorld* given = nullptr);
     ~World();
 
     Micros begin() const { return begin_; }
+
     // Zones by forwarder.
-    static std::map<std::string, std::string> forwarder_zones(const DayScript& script, const GivenWorld* given);
+    static std::map<std::string, std::string> forwarder_zones(const DayScript& script,
+                                                              const GivenWorld* given);
 
     // For tests: changes what governors decided before it is carried out, and what forwarders do.
     std::function<void(int governor, governor::Service&, Micros, std::vector<Action>&)> tamper;
     std::function<void(standin::Forwarder&)> on_forwarder;
     // The channel's pace changed by this factor (the auditor's rules stretch with it).
     std::function<void(double slower)> on_slow_channel;
-    // Hears of each move before it is made (`joined`: in one step with the move before), and of each trouble of the
-    // script as it strikes.
+    // Hears of each move before it is made (`joined`: in one step with the move before), and of
+    // each trouble of the script as it strikes.
     std::function<void(Micros now, bool opening, bool joined, const Move&)> on_move;
     std::function<void(Micros now, const Trouble&)> on_trouble;
     // Hears what governors are told and decide.
     governor::Watcher* governor_watcher = nullptr;
 
     std::vector<governor::Figures> governor_figures() const;
+
     standin::Registry& registry() { return *registry_; }
+
     // Sends all troubles on their way. Called once.
     void start();
 
@@ -81,8 +165,9 @@
         std::unique_ptr<net::PortHold> port;
         std::unique_ptr<standin::Worker> worker;
         int incarnation = 0;
-        Micros started{};      // 0: long ago
+        Micros started{};  // 0: long ago
     };
+
     struct ForwarderSlot {
         ForwarderPlan plan;
         std::unique_ptr<net::PortHold> port;
@@ -90,6 +175,7 @@
         std::unique_ptr<standin::Client> client;
         int starts = 0;
     };
+
     struct GovernorSlot {
         std::string name, zone;
         std::unique_ptr<net::PortHold> port;
@@ -97,6 +183,7 @@
         int life = 0;
         governor::Figures past;  // of its earlier lives
     };
+
     void later(Micros delay, std::function<void()> what);
 
     void open_script();
@@ -136,8 +223,10 @@
     void crash_governor(std::size_t k, Micros lasts);
     void trouble_worker(std::size_t k, const std::function<void(standin::WorkerTrouble&)>& change);
     void strike_workers(const Trouble& trouble);
-    void each_worker(const Trouble& trouble, const std::function<void(standin::WorkerTrouble&, bool on)>& change);
-    void flap(const Trouble& trouble, std::size_t k, Micros end, std::shared_ptr<base::Chance> chance);
+    void each_worker(const Trouble& trouble,
+                     const std::function<void(standin::WorkerTrouble&, bool on)>& change);
+    void flap(const Trouble& trouble, std::size_t k, Micros end,
+              std::shared_ptr<base::Chance> chance);
     void age(const Trouble& trouble, std::size_t k, int incarnation, Micros began);
     void strike_neighbour(const Trouble& trouble, std::size_t k, Micros end, bool on);
 
--- a/src/drive/driver.h
+++ b/src/drive/driver.h
@@ -1,5 +1,5 @@
-// Drives one module: events that come close together are decided on together, its timers are separate events, and its
-// clock is the one handed in. Knows no protocol.
+// Drives one module: events that come close together are decided on together, its timers are
+// separate events, and its clock is the one handed in. Knows no protocol.
 #pragma once
 
 #include <functional>
@@ -14,11 +14,13 @@
 class Driver {
 public:
     // What comes within `batch` is decided on together.
-    Driver(base::Clock& clock, base::ActorId actor, const Settings& told, std::uint64_t seed, Micros batch);
+    Driver(base::Clock& clock, base::ActorId actor, const Settings& told, std::uint64_t seed,
+           Micros batch);
 
     // Each event before the module takes it, its own timers included. May be unset.
     std::function<void(const Event&)> on_event;
-    // All that was decided, before it is carried out: for those who watch, and for tests. May be unset.
+    // All that was decided, before it is carried out: for those who watch, and for tests. May be
+    // unset.
     std::function<void(std::vector<Action>&)> on_decided;
     // All that was decided but the timers, which are kept here. Must be set before the first event.
     std::function<void(std::vector<Action>)> on_actions;
@@ -27,7 +29,9 @@
     // Decides at the next turn, whether anything happened or not.
     void decide_soon();
     void stop();
+
     std::size_t timers() const { return timers_.size(); }
+
     // CPU that decisions took, with all that was done with them.
     std::int64_t cpu_us() const { return cpu_us_; }
 
--- a/src/drive/orders.h
+++ b/src/drive/orders.h
@@ -1,5 +1,6 @@
-// What the module's orders are for each proxy, in words of no protocol: whole tables where it was bound, changed lines
-// and levels where it was before, servers shut out, the mark. No socket and no decision in here.
+// What the module's orders are for each proxy, in words of no protocol: whole tables where it was
+// bound, changed lines and levels where it was before, servers shut out, the mark. No socket and no
+// decision in here.
 #pragma once
 
 #include <map>
@@ -17,14 +18,18 @@
 
 // A rate at or above this lets everything in (the module's word for "all").
 constexpr double kAnyRate = 1e6;
+
 // Whether a mask of operations names this one; 0 names all.
-constexpr bool names_op(OpMask ops, OpId op) { return ops == 0 || (ops >> op.v & 1) != 0; }
+constexpr bool names_op(OpMask ops, OpId op) {
+    return ops == 0 || (ops >> op.v & 1) != 0;
+}
 
 struct LevelSet {
     double let_in = 0;
     Again again = Again::AfterProof;
     friend bool operator==(const LevelSet&, const LevelSet&) = default;
 };
+
 using Lines = std::map<ServerId, double>;  // weight 0 removes a line
 using Levels = std::map<OpId, LevelSet>;
 
@@ -36,6 +41,7 @@
     Lines lines;
     Levels levels;
 };
+
 using TablePartPtr = std::shared_ptr<const TablePart>;
 
 // What one decision is for one proxy.
@@ -56,19 +62,22 @@
 
     explicit OrderBook(const Settings& told);
 
-    // A proxy's stream stands, and it is bound to nothing of ours; or its stream is over. What it was told to shut out
-    // it goes on shutting out, whatever stream it comes on: that is kept here as long as this governor lives.
+    // A proxy's stream stands, and it is bound to nothing of ours; or its stream is over. What it
+    // was told to shut out it goes on shutting out, whatever stream it comes on: that is kept here
+    // as long as this governor lives.
     void joined(ProxyId proxy);
     void left(ProxyId proxy);
 
-    // Carries out the table orders among `actions` and gives what they are for each joined proxy, by number. What names
-    // a proxy that is not joined is left out and told in `refused`.
+    // Carries out the table orders among `actions` and gives what they are for each joined proxy,
+    // by number. What names a proxy that is not joined is left out and told in `refused`.
     std::vector<Order> take(const std::vector<Action>& actions, std::vector<std::string>& refused);
 
-    // How things stand: for those who say them as whole resources. `held_by` gives the tables by operations.
+    // How things stand: for those who say them as whole resources. `held_by` gives the tables by
+    // operations.
     const std::map<OpMask, TableId>& held_by(ProxyId proxy) const;
     const Lines& lines(TableId table) const;
     LevelSet level(TableId table, OpId op) const;
+
     const std::set<ServerId>& withdrawn() const { return withdrawn_; }
 
     // Whether a table, a withdrawal or a proxy still names this server.
@@ -80,12 +89,14 @@
         std::map<OpMask, TableId> bound;
         std::set<ServerId> shut_out;
     };
+
     // What this decision changed so far in a table.
     struct Changed {
         Lines lines;
         std::set<OpId> levels;
         bool cleared = false;
     };
+
     struct Turn {
         std::map<TableId, Changed> changed;
         std::set<std::pair<ProxyId, OpMask>> bound;
--- a/src/governor/list_check.h
+++ b/src/governor/list_check.h
@@ -1,9 +1,10 @@
 // Whether an answer of the registry is taken for the list of servers. No I/O.
 //
-// A registry that restarts empty, falls back to an old copy or loses most of its keys must not empty every table.
-// But the rule on drains binds from what is told, so a list is refused only where it can't be true: one that is
-// older than what the same registry gave before, an empty one where the settings refuse that, and, where the
-// settings doubt sudden losses, a much shorter one until a second answer says the same.
+// A registry that restarts empty, falls back to an old copy or loses most of its keys must not
+// empty every table. But the rule on drains binds from what is told, so a list is refused only
+// where it can't be true: one that is older than what the same registry gave before, an empty one
+// where the settings refuse that, and, where the settings doubt sudden losses, a much shorter one
+// until a second answer says the same.
 #pragma once
 
 #include <cstdint>
@@ -21,13 +22,17 @@
 
 class ListCheck {
 public:
-    ListCheck(config::EmptyList empty, double shrink_doubted) : empty_(empty), shrink_(shrink_doubted) {}
+    ListCheck(config::EmptyList empty, double shrink_doubted)
+        : empty_(empty),
+          shrink_(shrink_doubted) {}
 
     enum class Verdict { Take, Same, Refuse, AskAgain };
+
     struct Finding {
         Verdict verdict = Verdict::Take;
         std::string why;
     };
+
     Finding look(const ListAnswer& answer);
 
 private:
--- a/src/governor/registry_watch.cpp
+++ b/src/governor/registry_watch.cpp
@@ -25,19 +25,30 @@
         for (const auto& row : json.at("servers")) {
             ListedServer server;
             server.id = row.at("id").get<std::string>();
-            if (server.id.empty() || server.id.size() > 128) throw std::runtime_error("a server's id is 1 to 128 bytes");
-            if (!ids.insert(server.id).second) throw std::runtime_error("server " + server.id + " stands twice");
+            if (server.id.empty() || server.id.size() > 128) {
+                throw std::runtime_error("a server's id is 1 to 128 bytes");
+            }
+            if (!ids.insert(server.id).second) {
+                throw std::runtime_error("server " + server.id + " stands twice");
+            }
             server.zone = row.value("zone", "");
             server.incarnation = row.value("incarnation", "");
             server.address = net::parse_address(row.at("address").get<std::string>());
             const std::string state = row.value("state", "ready");
-            if (state == "draining") server.state = ServerState::Draining;
-            else if (state != "ready") throw std::runtime_error("server " + server.id + ": state '" + state + "'");
+            if (state == "draining") {
+                server.state = ServerState::Draining;
+            } else if (state != "ready") {
+                throw std::runtime_error("server " + server.id + ": state '" + state + "'");
+            }
             server.weight = row.value("weight", 1.0);
-            if (!(server.weight > 0) || !std::isfinite(server.weight) || server.weight > 1e6)
-                throw std::runtime_error("server " + server.id + ": a weight is above 0 and at most 1000000");
+            if (!(server.weight > 0) || !std::isfinite(server.weight) || server.weight > 1e6) {
+                throw std::runtime_error("server " + server.id +
+                                         ": a weight is above 0 and at most 1000000");
+            }
             const double age = row.value("age_ms", 0.0);
-            if (!(age >= 0) || age > 1e13) throw std::runtime_error("server " + server.id + ": age_ms is out of range");
+            if (!(age >= 0) || age > 1e13) {
+                throw std::runtime_error("server " + server.id + ": age_ms is out of range");
+            }
             server.age = Micros(static_cast<std::int64_t>(age * 1000));
             out.servers.push_back(std::move(server));
         }
@@ -46,26 +57,37 @@
     } catch (const std::invalid_argument& wrong) {
         throw std::runtime_error(std::string("the list can't be read: ") + wrong.what());
     }
-    if (out.servers.size() > kServersMost) throw std::runtime_error("the list names more than 65535 servers");
+    if (out.servers.size() > kServersMost) {
+        throw std::runtime_error("the list names more than 65535 servers");
+    }
     out.about.servers = out.servers.size();
     return out;
 }
 
-RegistryWatch::RegistryWatch(net::Loop& loop, base::ActorId actor, std::string host, const config::GovernorConfig& config)
-    : loop_(loop), id_(config.id), wait_(config.registry_wait), timeout_(config.registry_timeout),
+RegistryWatch::RegistryWatch(net::Loop& loop, base::ActorId actor, std::string host,
+                             const config::GovernorConfig& config)
+    : loop_(loop),
+      id_(config.id),
+      wait_(config.registry_wait),
+      timeout_(config.registry_timeout),
       check_(config.empty_list, config.shrink_refused),
-      pool_(loop, actor, std::move(host), net::parse_address(config.registry_address), config.registry_timeout, 60s),
+      pool_(loop, actor, std::move(host), net::parse_address(config.registry_address),
+            config.registry_timeout, 60s),
       again_(loop.clock(), actor) {}
 
 void RegistryWatch::start() {
-    if (std::exchange(on_, true)) return;
+    if (std::exchange(on_, true)) {
+        return;
+    }
     poll();
 }
 
 void RegistryWatch::stop() {
     on_ = false;
     again_.stop();
-    if (now_) pool_.cancel(std::exchange(now_, 0));
+    if (now_) {
+        pool_.cancel(std::exchange(now_, 0));
+    }
 }
 
 void RegistryWatch::fetch() {
@@ -81,7 +103,8 @@
     net::HttpMessage request;
     request.method = "GET";
     const std::uint64_t after = whole_ ? 0 : index_;
-    request.target = "/v1/servers?index=" + std::to_string(after) + "&wait_ms=" + std::to_string(wait_.count() / 1000);
+    request.target = "/v1/servers?index=" + std::to_string(after) +
+                     "&wait_ms=" + std::to_string(wait_.count() / 1000);
     request.headers.emplace_back("x-governor", id_);
     // A watch that hangs for longer than it said it would is a dead registry.
     const Micros limit = (after == 0 ? Micros{0} : wait_) + timeout_;
@@ -92,14 +115,20 @@
 }
 
 void RegistryWatch::later(const std::string& why) {
-    if (on_trouble) on_trouble(why);
+    if (on_trouble) {
+        on_trouble(why);
+    }
     const auto factor = std::int64_t{1} << std::min(failures_++, 5);
     again_.after(std::min(kRetryMost, kRetryFirst * factor), [this] { poll(); });
 }
 
 void RegistryWatch::came(net::HttpOutcome outcome) {
-    if (outcome.how != net::HttpOutcome::How::Answered) return later("no answer: " + outcome.why);
-    if (outcome.response.status != 200) return later("HTTP status " + std::to_string(outcome.response.status));
+    if (outcome.how != net::HttpOutcome::How::Answered) {
+        return later("no answer: " + outcome.why);
+    }
+    if (outcome.response.status != 200) {
+        return later("HTTP status " + std::to_string(outcome.response.status));
+    }
     ServerList list;
     try {
         list = parse_list(outcome.response.body);
@@ -117,10 +146,15 @@
     }
     failures_ = 0, whole_ = false;
     index_ = list.about.index;
-    if (finding.verdict == ListCheck::Verdict::Take && on_list) on_list(list);
-    if (!on_) return;
+    if (finding.verdict == ListCheck::Verdict::Take && on_list) {
+        on_list(list);
+    }
+    if (!on_) {
+        return;
+    }
     // Answers at once, again and again, would make a busy loop of the watch.
-    again_.after(finding.verdict == ListCheck::Verdict::Same ? 100ms : Micros{1000}, [this] { poll(); });
+    again_.after(finding.verdict == ListCheck::Verdict::Same ? 100ms : Micros{1000},
+                 [this] { poll(); });
 }
 
 }  // namespace badgergrade::governor
--- a/src/governor/registry_watch.h
+++ b/src/governor/registry_watch.h
@@ -4,8 +4,8 @@
 //       {"id": "...", "zone": "...", "address": "host:port", "state": "ready" | "draining",
 //        "weight": 1.0, "incarnation": "...", "age_ms": 1234}, ...]}
 //
-// The answer comes when the index is above N, or after W with the same index. `age_ms` is how long ago the server
-// last started; missing or 0 is long ago. `incarnation` changes with each start.
+// The answer comes when the index is above N, or after W with the same index. `age_ms` is how long
+// ago the server last started; missing or 0 is long ago. `incarnation` changes with each start.
 #pragma once
 
 #include <functional>
@@ -37,7 +37,8 @@
 
 class RegistryWatch {
 public:
-    RegistryWatch(net::Loop& loop, base::ActorId actor, std::string host, const config::GovernorConfig& config);
+    RegistryWatch(net::Loop& loop, base::ActorId actor, std::string host,
+                  const config::GovernorConfig& config);
 
     std::function<void(const ServerList&)> on_list;
     // An answer was refused or could not be had; the last list stays valid. Retried by itself.
--- a/src/governor/reports.cpp
+++ b/src/governor/reports.cpp
@@ -6,16 +6,24 @@
 namespace badgergrade::governor {
 
 Reports::Reports(const Settings& told)
-    : columns_(told.load_columns), per_second_(std::max(1.0, told.intake_per_s)), period_(told.report_period) {
-    for (std::size_t k = 0; k < told.operations.size(); ++k) operations_[told.operations[k].name] = {static_cast<int>(k)};
+    : columns_(told.load_columns),
+      per_second_(std::max(1.0, told.intake_per_s)),
+      period_(told.report_period) {
+    for (std::size_t k = 0; k < told.operations.size(); ++k) {
+        operations_[told.operations[k].name] = {static_cast<int>(k)};
+    }
 }
 
-void Reports::add(Source from, const xds::LoadReport& report, const std::map<net::Address, ServerId>& servers,
+void Reports::add(Source from, const xds::LoadReport& report,
+                  const std::map<net::Address, ServerId>& servers,
                   std::vector<std::string>& unknown) {
     for (const auto& [address, sums] : report.endpoints) {
         const auto it = servers.find(address);
-        if (it == servers.end()) unknown.push_back(net::to_text(address));
-        else met_[{from.zone, it->second}] += sums;
+        if (it == servers.end()) {
+            unknown.push_back(net::to_text(address));
+        } else {
+            met_[{from.zone, it->second}] += sums;
+        }
     }
     for (const auto& [name, sums] : report.operations) {
         const auto it = operations_.find(name);
@@ -32,20 +40,28 @@
     const Micros span = since_ > Micros{0} ? now - since_ : period_;
     since_ = now;
     for (const auto& [key, sums] : met_) {
-        if (sums.tries == 0) continue;
-        ev::Heard heard{key.first, key.second, sums.tries, std::min(sums.errored, sums.tries), {}, span, {}};
-        if (sums.succeeded > 0)
+        if (sums.tries == 0) {
+            continue;
+        }
+        ev::Heard heard{key.first, key.second, sums.tries, std::min(sums.errored, sums.tries),
+                        {},        span,       {}};
+        if (sums.succeeded > 0) {
             heard.mean = Micros(std::llround(sums.answer_us / static_cast<double>(sums.succeeded)));
-        if (!sums.load.empty())
+        }
+        if (!sums.load.empty()) {
             for (const auto& column : columns_) {
                 const auto it = sums.load.find(column);
                 heard.load.push_back(it == sums.load.end() ? 0 : it->second);
             }
+        }
         waiting_.push_back(std::move(heard));
     }
-    for (const auto& [key, asked] : asked_)
-        if (asked.span > Micros{0})
-            waiting_.push_back(ev::Demand{key.first, key.second, asked.count, asked.errored, asked.span});
+    for (const auto& [key, asked] : asked_) {
+        if (asked.span > Micros{0}) {
+            waiting_.push_back(
+                ev::Demand{key.first, key.second, asked.count, asked.errored, asked.span});
+        }
+    }
     met_.clear(), asked_.clear();
 }
 
--- a/src/governor/reports.h
+++ b/src/governor/reports.h
@@ -1,5 +1,6 @@
-// Gathers what forwarders report into one line a zone and server, and one a forwarder and operation, each period,
-// and lets them through to the module no faster than the intake allows, the oldest first. No I/O.
+// Gathers what forwarders report into one line a zone and server, and one a forwarder and
+// operation, each period, and lets them through to the module no faster than the intake allows, the
+// oldest first. No I/O.
 #pragma once
 
 #include <deque>
@@ -21,12 +22,14 @@
         ProxyId proxy;
         ZoneId zone;
     };
-    void add(Source from, const xds::LoadReport& report, const std::map<net::Address, ServerId>& servers,
-             std::vector<std::string>& unknown);
+
+    void add(Source from, const xds::LoadReport& report,
+             const std::map<net::Address, ServerId>& servers, std::vector<std::string>& unknown);
     // The end of a period: what was gathered waits for the intake.
     void close_period(Micros now);
     // What may pass by now.
     std::vector<Event> take(Micros now);
+
     std::size_t waiting() const { return waiting_.size(); }
 
 private:
@@ -34,6 +37,7 @@
         std::int64_t count = 0, errored = 0;
         Micros span{};
     };
+
     std::vector<std::string> columns_;
     std::map<std::string, OpId> operations_;
     double per_second_;
--- a/src/governor/service.cpp
+++ b/src/governor/service.cpp
@@ -28,13 +28,20 @@
 
 std::string outcome_text(ProbeOutcome outcome) {
     switch (outcome) {
-        case ProbeOutcome::Answered: return "answered";
-        case ProbeOutcome::Errored: return "errored";
-        case ProbeOutcome::Full: return "full";
-        case ProbeOutcome::Late: return "late";
-        case ProbeOutcome::Unreachable: return "unreachable";
-        case ProbeOutcome::Reset: return "reset";
-        case ProbeOutcome::Other: return "other";
+        case ProbeOutcome::Answered:
+            return "answered";
+        case ProbeOutcome::Errored:
+            return "errored";
+        case ProbeOutcome::Full:
+            return "full";
+        case ProbeOutcome::Late:
+            return "late";
+        case ProbeOutcome::Unreachable:
+            return "unreachable";
+        case ProbeOutcome::Reset:
+            return "reset";
+        case ProbeOutcome::Other:
+            return "other";
     }
     return "other";
 }
@@ -47,54 +54,85 @@
     bool known = false;
 };
 
-Service::Service(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config, log::Log& log, std::string life)
-    : loop_(loop), clock_(loop.clock()), actor_(actor), config_(config), log_(log, config.id), life_(std::move(life)),
-      driver_(clock_, actor, config.told, config.seed, config.batch), board_(config.told, config.zones, config.eject_time),
-      channel_(config.told.channel_rate), reports_(config.told),
+Service::Service(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
+                 log::Log& log, std::string life)
+    : loop_(loop),
+      clock_(loop.clock()),
+      actor_(actor),
+      config_(config),
+      log_(log, config.id),
+      life_(std::move(life)),
+      driver_(clock_, actor, config.told, config.seed, config.batch),
+      board_(config.told, config.zones, config.eject_time),
+      channel_(config.told.channel_rate),
+      reports_(config.told),
       server_(loop, actor, config.id, net::parse_address(config.xds_address), grpc_limits(config),
               static_cast<std::size_t>(config.connections_most)),
-      registry_(loop, actor, config.id, config), channel_timer_(clock_, actor),
-      tick_(clock_, actor), period_(clock_, actor) {
+      registry_(loop, actor, config.id, config),
+      channel_timer_(clock_, actor),
+      tick_(clock_, actor),
+      period_(clock_, actor) {
     driver_.on_event = [this](const Event& event) {
-        if (watcher_) watcher_->told(clock_.now(), *this, event);
+        if (watcher_) {
+            watcher_->told(clock_.now(), *this, event);
+        }
     };
     driver_.on_decided = [this](std::vector<Action>& actions) {
         ++figures_.decisions;
-        if (tamper) tamper(clock_.now(), actions);
-        if (watcher_ && !actions.empty()) watcher_->decided(clock_.now(), *this, actions);
+        if (tamper) {
+            tamper(clock_.now(), actions);
+        }
+        if (watcher_ && !actions.empty()) {
+            watcher_->decided(clock_.now(), *this, actions);
+        }
+    };
+    driver_.on_actions = [this](std::vector<Action> actions) {
+        carry_out(std::move(actions));
+    };
+    server_.on_call = [this](net::GrpcCallPtr call) {
+        on_call(call);
     };
-    driver_.on_actions = [this](std::vector<Action> actions) { carry_out(std::move(actions)); };
-    server_.on_call = [this](net::GrpcCallPtr call) { on_call(call); };
     server_.on_trouble = [this](const std::string& peer, const std::string& why) {
         log_.warn("connection.ended", {{"peer", peer}, {"why", why}});
     };
     server_.on_exhausted([this](const std::string& why) {
         // Told once a second, not at every attempt.
-        if (clock_.now() < exhausted_told_ + 1s) return;
+        if (clock_.now() < exhausted_told_ + 1s) {
+            return;
+        }
         exhausted_told_ = clock_.now();
         log_.error("descriptors.none", {{"why", why}, {"streams", forwarders_.size()}});
     });
-    registry_.on_list = [this](const ServerList& list) { on_list(list); };
+    registry_.on_list = [this](const ServerList& list) {
+        on_list(list);
+    };
     registry_.on_trouble = [this](const std::string& why) {
         log_.warn("list.trouble", {{"why", why}});
-        if (config_.told.ask_for_list) tell(ev::List{ListForm::Failed, {}});
+        if (config_.told.ask_for_list) {
+            tell(ev::List{ListForm::Failed, {}});
+        }
     };
     log_.info("governor.started", {{"xds", net::to_text(address())},
                                    {"registry", config.registry_address},
                                    {"life", life_},
                                    {"zones", config.told.zones},
                                    {"operations", config.told.operations.size()}});
-    if (!config.told.ask_for_list) registry_.start();
+    if (!config.told.ask_for_list) {
+        registry_.start();
+    }
     tick();
     period_.after(config.told.report_period, [this] { end_period(); });
     driver_.decide_soon();
 }
 
 Service::~Service() {
-    // As when the process dies: all connections break at once, while what their callbacks touch still stands.
+    // As when the process dies: all connections break at once, while what their callbacks touch
+    // still stands.
     stopping_ = true;
     server_.close(false);
-    if (watcher_) watcher_->stopped(clock_.now(), *this);
+    if (watcher_) {
+        watcher_->stopped(clock_.now(), *this);
+    }
 }
 
 void Service::watch(Watcher& watcher) {
@@ -113,16 +151,21 @@
 }
 
 void Service::stop() {
-    if (std::exchange(stopping_, true)) return;
+    if (std::exchange(stopping_, true)) {
+        return;
+    }
     log_.info("governor.stopping", {{"streams", forwarders_.size()}});
-    for (auto& [name, forwarder] : forwarders_)
+    for (auto& [name, forwarder] : forwarders_) {
         if (forwarder.call) {
             forwarder.call->on_closed = {};
             forwarder.call->finish(net::GrpcStatus::Unavailable, "the governor goes away");
         }
+    }
     registry_.stop();
     server_.close(true);
-    for (base::Timer* timer : {&channel_timer_, &tick_, &period_}) timer->stop();
+    for (base::Timer* timer : {&channel_timer_, &tick_, &period_}) {
+        timer->stop();
+    }
     driver_.stop();
 }
 
@@ -141,31 +184,45 @@
 // ---- streams
 
 void Service::on_call(const net::GrpcCallPtr& call) {
-    if (call->path() == xds::kAdsMethod) open_ads(call);
-    else if (call->path() == xds::kLrsMethod) open_lrs(call);
-    else log_.warn("call.unknown", {{"peer", call->peer()}, {"method", call->path()}});
+    if (call->path() == xds::kAdsMethod) {
+        open_ads(call);
+    } else if (call->path() == xds::kLrsMethod) {
+        open_lrs(call);
+    } else {
+        log_.warn("call.unknown", {{"peer", call->peer()}, {"method", call->path()}});
+    }
 }
 
 void Service::open_ads(const net::GrpcCallPtr& call) {
     const auto state = std::make_shared<StreamState>();
     call->on_message = [this, weak = std::weak_ptr(call), state](std::string_view bytes) {
-        if (const auto strong = weak.lock()) on_ads_message(strong, state, bytes);
+        if (const auto strong = weak.lock()) {
+            on_ads_message(strong, state, bytes);
+        }
     };
     call->on_half_closed = [weak = std::weak_ptr(call)] {
-        if (const auto strong = weak.lock()) strong->finish();
+        if (const auto strong = weak.lock()) {
+            strong->finish();
+        }
     };
     call->on_closed = [this, state, raw = call.get()](std::string why) {
-        if (state->known) leave(state->name, raw, why);
+        if (state->known) {
+            leave(state->name, raw, why);
+        }
     };
 }
 
-void Service::on_ads_message(const net::GrpcCallPtr& call, const std::shared_ptr<StreamState>& state, std::string_view bytes) {
+void Service::on_ads_message(const net::GrpcCallPtr& call,
+                             const std::shared_ptr<StreamState>& state, std::string_view bytes) {
     const base::CpuMeter meter(figures_.handler_cpu_us);
     xds::AdsServer::Request request;
     if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        log_.warn("stream.malformed", {{"peer", call->peer()}, {"forwarder", state->name}, {"bytes", bytes.size()}});
+        log_.warn("stream.malformed",
+                  {{"peer", call->peer()}, {"forwarder", state->name}, {"bytes", bytes.size()}});
         call->finish(net::GrpcStatus::InvalidArgument, "the request can't be read");
-        if (state->known) leave(state->name, call.get(), "malformed request");
+        if (state->known) {
+            leave(state->name, call.get(), "malformed request");
+        }
         return;
     }
     if (!state->known) {
@@ -178,10 +235,13 @@
         state->known = true, state->name = request.node().id();
     }
     const auto it = forwarders_.find(state->name);
-    if (it != forwarders_.end() && it->second.call == call) answer(it->second, request);
+    if (it != forwarders_.end() && it->second.call == call) {
+        answer(it->second, request);
+    }
 }
 
-Service::Forwarder* Service::join(const net::GrpcCallPtr& call, const envoy::config::core::v3::Node& node, std::string& why) {
+Service::Forwarder* Service::join(const net::GrpcCallPtr& call,
+                                  const envoy::config::core::v3::Node& node, std::string& why) {
     const std::string& name = node.id();
     if (name.empty() || name.size() > 128) {
         why = "the first request must carry a node with an id of 1 to 128 bytes";
@@ -190,7 +250,8 @@
     // The newest stream of a node stands: an older one is what a broken way left behind.
     if (const auto it = forwarders_.find(name); it != forwarders_.end()) {
         const net::GrpcCallPtr old = it->second.call;
-        log_.warn("stream.replaced", {{"forwarder", name}, {"old", old->peer()}, {"new", call->peer()}});
+        log_.warn("stream.replaced",
+                  {{"forwarder", name}, {"old", old->peer()}, {"new", call->peer()}});
         leave(name, old.get(), "a newer stream of this node");
         old->finish(net::GrpcStatus::AlreadyExists, "a newer stream of this node");
     }
@@ -199,7 +260,8 @@
         why = "no more than " + std::to_string(kProxiesMost) + " nodes";
         return nullptr;
     }
-    const ProxyId proxy = known != proxy_ids_.end() ? known->second : ProxyId{static_cast<int>(proxy_ids_.size())};
+    const ProxyId proxy =
+        known != proxy_ids_.end() ? known->second : ProxyId{static_cast<int>(proxy_ids_.size())};
     proxy_ids_[name] = proxy, proxy_names_[proxy] = name;
     const auto& told = node.metadata().fields();
     const auto rate = told.find("rate");
@@ -211,8 +273,12 @@
     forwarder.stream = std::make_unique<xds::AdsServer>(config_.id + "." + life_);
     board_.joined(proxy);
     ++figures_.joins;
-    log_.info("forwarder.joined", {{"forwarder", name}, {"zone", node.locality().zone()}, {"peer", call->peer()}});
-    if (forwarder.zone.v < 0) log_.warn("forwarder.zone_unknown", {{"forwarder", name}, {"zone", node.locality().zone()}});
+    log_.info("forwarder.joined",
+              {{"forwarder", name}, {"zone", node.locality().zone()}, {"peer", call->peer()}});
+    if (forwarder.zone.v < 0) {
+        log_.warn("forwarder.zone_unknown",
+                  {{"forwarder", name}, {"zone", node.locality().zone()}});
+    }
     tell(ev::Joined{proxy, fresh != told.end() && fresh->second.bool_value(), forwarder.zone,
                     std::isfinite(part) && part > 0 ? part : 0});
     return &forwarder;
@@ -220,11 +286,16 @@
 
 void Service::leave(const std::string& name, const net::GrpcCall* call, const std::string& why) {
     const auto it = forwarders_.find(name);
-    if (it == forwarders_.end() || it->second.call.get() != call) return;
+    if (it == forwarders_.end() || it->second.call.get() != call) {
+        return;
+    }
     const ProxyId proxy = it->second.proxy;
-    log_.info("forwarder.left", {{"forwarder", name}, {"why", why}, {"unproven", it->second.stream->pending()}});
+    log_.info("forwarder.left",
+              {{"forwarder", name}, {"why", why}, {"unproven", it->second.stream->pending()}});
     forwarders_.erase(it);
-    if (stopping_) return;
+    if (stopping_) {
+        return;
+    }
     board_.left(proxy);
     channel_.drop(proxy);
     tell(ev::Left{proxy});
@@ -232,40 +303,58 @@
 
 void Service::answer(Forwarder& forwarder, const xds::AdsServer::Request& request) {
     const auto outcome = forwarder.stream->on_request(request);
-    if (!outcome.ignored.empty())
+    if (!outcome.ignored.empty()) {
         log_.warn("request.ignored", {{"forwarder", forwarder.name}, {"why", outcome.ignored}});
+    }
     if (const auto& no = outcome.rejected) {
         ++figures_.rejections;
         std::string names;
-        for (const auto& name : no->names) names += (names.empty() ? "" : ",") + name;
-        log_.error("version.rejected", {{"forwarder", forwarder.name}, {"version", no->version}, {"names", names}, {"why", no->why}});
+        for (const auto& name : no->names) {
+            names += (names.empty() ? "" : ",") + name;
+        }
+        log_.error("version.rejected", {{"forwarder", forwarder.name},
+                                        {"version", no->version},
+                                        {"names", names},
+                                        {"why", no->why}});
     }
     figures_.applied += static_cast<std::int64_t>(outcome.applied.size());
-    for (const auto& applied : outcome.applied)
-        if (applied.mark) tell(ev::Applied{forwarder.proxy, *applied.mark, clock_.now() - applied.ordered});
+    for (const auto& applied : outcome.applied) {
+        if (applied.mark) {
+            tell(ev::Applied{forwarder.proxy, *applied.mark, clock_.now() - applied.ordered});
+        }
+    }
     write(forwarder);
 }
 
 void Service::write(Forwarder& forwarder) {
     const auto responses = forwarder.stream->take_encoded(responses_);
-    if (responses.empty()) return;
+    if (responses.empty()) {
+        return;
+    }
     const net::GrpcCallPtr call = forwarder.call;
     call->cork();
-    for (const auto& response : responses) call->send(response.common, response.own);
+    for (const auto& response : responses) {
+        call->send(response.common, response.own);
+    }
     call->uncork();
 }
 
 void Service::open_lrs(const net::GrpcCallPtr& call) {
     const auto state = std::make_shared<StreamState>();
     call->on_message = [this, weak = std::weak_ptr(call), state](std::string_view bytes) {
-        if (const auto strong = weak.lock()) on_lrs_message(strong, state, bytes);
+        if (const auto strong = weak.lock()) {
+            on_lrs_message(strong, state, bytes);
+        }
     };
     call->on_half_closed = [weak = std::weak_ptr(call)] {
-        if (const auto strong = weak.lock()) strong->finish();
+        if (const auto strong = weak.lock()) {
+            strong->finish();
+        }
     };
 }
 
-void Service::on_lrs_message(const net::GrpcCallPtr& call, const std::shared_ptr<StreamState>& state, std::string_view bytes) {
+void Service::on_lrs_message(const net::GrpcCallPtr& call,
+                             const std::shared_ptr<StreamState>& state, std::string_view bytes) {
     const base::CpuMeter meter(figures_.handler_cpu_us);
     envoy::service::load_stats::v3::LoadStatsRequest request;
     if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
@@ -275,30 +364,38 @@
     }
     if (!state->known) {
         if (request.node().id().empty()) {
-            call->finish(net::GrpcStatus::InvalidArgument, "the first report must carry a node with an id");
+            call->finish(net::GrpcStatus::InvalidArgument,
+                         "the first report must carry a node with an id");
             return;
         }
         state->known = true, state->name = request.node().id();
         envoy::service::load_stats::v3::LoadStatsResponse response;
         response.set_send_all_clusters(true);
         response.set_report_endpoint_granularity(true);
-        *response.mutable_load_reporting_interval() = TimeUtil::MicrosecondsToDuration(config_.told.report_period.count());
+        *response.mutable_load_reporting_interval() =
+            TimeUtil::MicrosecondsToDuration(config_.told.report_period.count());
         call->send(response.SerializeAsString());
     }
     const auto it = forwarders_.find(state->name);
     // Sums of a forwarder that is not joined tell of orders that are not ours.
-    if (it == forwarders_.end()) return;
+    if (it == forwarders_.end()) {
+        return;
+    }
     std::vector<std::string> refused, unknown;
     const auto report = xds::read_report(request, refused);
     reports_.add({it->second.proxy, it->second.zone}, report, by_address_, unknown);
-    for (const auto& what : refused) log_.warn("report.refused", {{"forwarder", state->name}, {"why", what}});
+    for (const auto& what : refused) {
+        log_.warn("report.refused", {{"forwarder", state->name}, {"why", what}});
+    }
     unknown_once(unknown, state->name);
 }
 
 void Service::unknown_once(const std::vector<std::string>& what, const std::string& from) {
-    for (const auto& name : what)
-        if (told_unknown_.size() < 1000 && told_unknown_.insert(name).second)
+    for (const auto& name : what) {
+        if (told_unknown_.size() < 1000 && told_unknown_.insert(name).second) {
             log_.info("report.unknown", {{"forwarder", from}, {"what", name}});
+        }
+    }
 }
 
 // ---- the list
@@ -312,10 +409,13 @@
         server_names_[known.server] = listed.id;
     }
     fresh = added;
-    const Micros started = listed.age > Micros{0} ? std::max(Micros{1}, clock_.now() - listed.age) : Micros{0};
-    // Ages are told late and unevenly; the first one heard of an incarnation stands, or the module would see a
-    // new start in each list.
-    if (added || known.incarnation != listed.incarnation) known.started = started;
+    const Micros started =
+        listed.age > Micros{0} ? std::max(Micros{1}, clock_.now() - listed.age) : Micros{0};
+    // Ages are told late and unevenly; the first one heard of an incarnation stands, or the module
+    // would see a new start in each list.
+    if (added || known.incarnation != listed.incarnation) {
+        known.started = started;
+    }
     known.incarnation = listed.incarnation;
     known.zone = zone_of(listed.zone);
     by_address_[listed.address] = known.server;
@@ -331,19 +431,29 @@
         bool fresh = false;
         const ServerId server = server_for(listed, fresh);
         const Known& known = servers_.at({listed.id, listed.address});
-        if (fresh || !board_.place_of(server)) board_.place(server, {listed.address, listed.zone});
-        if (known.zone.v < 0) log_.warn("server.zone_unknown", {{"server", listed.id}, {"zone", listed.zone}});
+        if (fresh || !board_.place_of(server)) {
+            board_.place(server, {listed.address, listed.zone});
+        }
+        if (known.zone.v < 0) {
+            log_.warn("server.zone_unknown", {{"server", listed.id}, {"zone", listed.zone}});
+        }
         event.rows.push_back({server, known.zone, listed.state, listed.weight, known.started});
         ++(listed.state == ServerState::Ready ? ready : draining);
     }
-    log_.info("list.taken", {{"registry", list.about.registry}, {"index", list.about.index}, {"ready", ready}, {"draining", draining}});
+    log_.info("list.taken", {{"registry", list.about.registry},
+                             {"index", list.about.index},
+                             {"ready", ready},
+                             {"draining", draining}});
     tell(event);
 }
 
 std::optional<ServerId> Service::server_id(const std::string& id) const {
     std::optional<ServerId> out;
-    for (const auto& [key, known] : servers_)
-        if (key.first == id) out = known.server;
+    for (const auto& [key, known] : servers_) {
+        if (key.first == id) {
+            out = known.server;
+        }
+    }
     return out;
 }
 
@@ -351,14 +461,19 @@
     bool fresh = false;
     const ServerId server = server_for(listed, fresh);
     board_.place(server, {listed.address, listed.zone});
-    tell(ev::List{ListForm::Delta, {{server, zone_of(listed.zone), ServerState::Ready, 1, Micros{0}}}});
+    tell(ev::List{ListForm::Delta,
+                  {{server, zone_of(listed.zone), ServerState::Ready, 1, Micros{0}}}});
 }
 
 void Service::change_for_trial(double weight) {
     std::vector<Action> actions;
     const TableId full{config_.told.zones};
-    for (const auto& [server, name] : server_names_) actions.push_back(act::Line{full, server, weight});
-    for (const auto& [name, forwarder] : forwarders_) actions.push_back(act::Bind{full, 0, forwarder.proxy});
+    for (const auto& [server, name] : server_names_) {
+        actions.push_back(act::Line{full, server, weight});
+    }
+    for (const auto& [name, forwarder] : forwarders_) {
+        actions.push_back(act::Bind{full, 0, forwarder.proxy});
+    }
     actions.push_back(act::Mark{{1}, false});
     carry_out(std::move(actions));
 }
@@ -372,7 +487,9 @@
 void Service::tick() {
     const base::CpuMeter meter(figures_.handler_cpu_us);
     tick_.after(kIntakeTick, [this] { tick(); });
-    for (const Event& event : reports_.take(clock_.now())) tell(event);
+    for (const Event& event : reports_.take(clock_.now())) {
+        tell(event);
+    }
 }
 
 void Service::end_period() {
@@ -386,8 +503,11 @@
         if (const auto* line = std::get_if<act::Log>(&action)) {
             log_.info("module.says", {{"text", line->text}});
         } else if (const auto* watch = std::get_if<act::Watch>(&action)) {
-            if (watch->on) registry_.start();
-            else registry_.stop();
+            if (watch->on) {
+                registry_.start();
+            } else {
+                registry_.stop();
+            }
         } else if (std::holds_alternative<act::Fetch>(action)) {
             registry_.fetch();
         } else if (const auto* one = std::get_if<act::Probe>(&action)) {
@@ -399,25 +519,36 @@
             tables = true;
         }
     }
-    if (!tables) return;
+    if (!tables) {
+        return;
+    }
     ++figures_.orders;
     std::vector<std::string> refused;
     const Micros now = clock_.now();
     auto messages = board_.order(now, std::move(actions), refused);
-    for (const auto& why : refused) log_.error("order.refused", {{"why", why}});
+    for (const auto& why : refused) {
+        log_.error("order.refused", {{"why", why}});
+    }
     double lines = 0;
     for (auto& message : messages) {
         lines += message.lines;
         channel_.put(now, std::move(message));
     }
-    if (!messages.empty())
-        log_.debug("order.given", {{"order", board_.orders()}, {"forwarders", messages.size()}, {"lines", lines}, {"waiting", channel_.waiting()}});
+    if (!messages.empty()) {
+        log_.debug("order.given", {{"order", board_.orders()},
+                                   {"forwarders", messages.size()},
+                                   {"lines", lines},
+                                   {"waiting", channel_.waiting()}});
+    }
     arm_channel();
 }
 
 void Service::arm_channel() {
-    if (const auto due = channel_.due()) channel_timer_.at(*due, [this] { run_channel(); });
-    else channel_timer_.stop();
+    if (const auto due = channel_.due()) {
+        channel_timer_.at(*due, [this] { run_channel(); });
+    } else {
+        channel_timer_.stop();
+    }
 }
 
 void Service::run_channel() {
@@ -426,7 +557,9 @@
     const Micros now = clock_.now();
     while (auto message = channel_.take(now)) {
         const auto it = forwarders_.find(proxy_names_[message->proxy]);
-        if (it == forwarders_.end()) continue;
+        if (it == forwarders_.end()) {
+            continue;
+        }
         it->second.stream->give(now, *message);
         write(it->second);
     }
@@ -436,26 +569,37 @@
 void Service::probe(ServerId server) {
     const auto* place = board_.place_of(server);
     if (!place || !config_.told.may_probe) {
-        log_.error("order.refused", {{"why", place ? "probes are not permitted" : "a probe of a server that no list named"}});
+        log_.error("order.refused", {{"why", place ? "probes are not permitted"
+                                                   : "a probe of a server that no list named"}});
         return;
     }
     auto& pool = probes_[server];
-    if (!pool) pool = std::make_unique<net::HttpPool>(loop_, actor_, config_.id, place->address, config_.probe_timeout, 5s);
+    if (!pool) {
+        pool = std::make_unique<net::HttpPool>(loop_, actor_, config_.id, place->address,
+                                               config_.probe_timeout, 5s);
+    }
     net::HttpMessage request;
     request.method = "GET", request.target = "/probe/shallow";
     const Micros sent = clock_.now();
-    pool->send(std::move(request), config_.probe_timeout, [this, server, sent](net::HttpOutcome outcome) {
-        using How = net::HttpOutcome::How;
-        ProbeOutcome said = ProbeOutcome::Other;
-        if (outcome.how == How::Answered)
-            said = outcome.response.status == 200 ? ProbeOutcome::Answered
-                   : outcome.response.status == 503 ? ProbeOutcome::Full : ProbeOutcome::Errored;
-        else if (outcome.how == How::TimedOut) said = ProbeOutcome::Late;
-        else if (outcome.how == How::NeverSent) said = ProbeOutcome::Unreachable;
-        else if (outcome.how == How::Broken) said = ProbeOutcome::Reset;
-        log_.debug("probe.ended", {{"server", server_names_[server]}, {"outcome", outcome_text(said)}});
-        tell(ev::Probed{server, said, clock_.now() - sent, {}});
-    });
+    pool->send(std::move(request), config_.probe_timeout,
+               [this, server, sent](net::HttpOutcome outcome) {
+                   using How = net::HttpOutcome::How;
+                   ProbeOutcome said = ProbeOutcome::Other;
+                   if (outcome.how == How::Answered) {
+                       said = outcome.response.status == 200   ? ProbeOutcome::Answered
+                              : outcome.response.status == 503 ? ProbeOutcome::Full
+                                                               : ProbeOutcome::Errored;
+                   } else if (outcome.how == How::TimedOut) {
+                       said = ProbeOutcome::Late;
+                   } else if (outcome.how == How::NeverSent) {
+                       said = ProbeOutcome::Unreachable;
+                   } else if (outcome.how == How::Broken) {
+                       said = ProbeOutcome::Reset;
+                   }
+                   log_.debug("probe.ended",
+                              {{"server", server_names_[server]}, {"outcome", outcome_text(said)}});
+                   tell(ev::Probed{server, said, clock_.now() - sent, {}});
+               });
 }
 
 }  // namespace badgergrade::governor
--- a/src/governor/service.h
+++ b/src/governor/service.h
@@ -1,4 +1,5 @@
-// The running governor: tells the module what happens on the sockets and carries out what it decides.
+// The running governor: tells the module what happens on the sockets and carries out what it
+// decides.
 #pragma once
 
 #include <functional>
@@ -31,20 +32,23 @@
 
 class Service {
 public:
-    // Listens at once; throws std::system_error where the port can't be had. `life` tells this start from earlier
-    // ones of the same governor.
-    Service(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config, log::Log& log, std::string life);
+    // Listens at once; throws std::system_error where the port can't be had. `life` tells this
+    // start from earlier ones of the same governor.
+    Service(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
+            log::Log& log, std::string life);
     ~Service();
     Service(const Service&) = delete;
 
     net::Address address() const { return server_.address(); }
+
     // Ends in order: streams are closed, what is queued is sent.
     void stop();
 
     // For trials: the channel's pace as a part of the usual one.
     void set_channel_pace(double part) { channel_.set_pace(clock_.now(), part), arm_channel(); }
-    // For tests alone: changes what the module decided before it is carried out, so that the auditor of the
-    // rules can be shown a governor that breaks them.
+
+    // For tests alone: changes what the module decided before it is carried out, so that the
+    // auditor of the rules can be shown a governor that breaks them.
     std::function<void(Micros, std::vector<Action>&)> tamper;
     // For tests alone: the server id of a listed server.
     std::optional<ServerId> server_id(const std::string& id) const;
@@ -52,14 +56,18 @@
     Figures figures() const;
     // Hears from now on; must outlive the service.
     void watch(Watcher& watcher);
+
     const std::string& id() const { return config_.id; }
+
     const std::string& life() const { return life_; }
+
     int ordinal() const { return config_.told.ordinal; }
+
     // Names behind the module's numbers; empty where there is none.
     std::string forwarder_name(ProxyId proxy) const;
     std::string server_name(ServerId server) const;
-    // For measurements alone: a listed server without a registry; the full table laid and everyone bound to it with
-    // this weight on each line.
+    // For measurements alone: a listed server without a registry; the full table laid and everyone
+    // bound to it with this weight on each line.
     void list_for_trial(const ListedServer& listed);
     void change_for_trial(double weight);
 
@@ -71,6 +79,7 @@
         net::GrpcCallPtr call;
         std::unique_ptr<xds::AdsServer> stream;
     };
+
     struct Known {
         ServerId server;
         std::string incarnation;
@@ -83,9 +92,12 @@
     void on_call(const net::GrpcCallPtr& call);
     void open_ads(const net::GrpcCallPtr& call);
     void open_lrs(const net::GrpcCallPtr& call);
-    void on_ads_message(const net::GrpcCallPtr& call, const std::shared_ptr<StreamState>& state, std::string_view bytes);
-    void on_lrs_message(const net::GrpcCallPtr& call, const std::shared_ptr<StreamState>& state, std::string_view bytes);
-    Forwarder* join(const net::GrpcCallPtr& call, const envoy::config::core::v3::Node& node, std::string& why);
+    void on_ads_message(const net::GrpcCallPtr& call, const std::shared_ptr<StreamState>& state,
+                        std::string_view bytes);
+    void on_lrs_message(const net::GrpcCallPtr& call, const std::shared_ptr<StreamState>& state,
+                        std::string_view bytes);
+    Forwarder* join(const net::GrpcCallPtr& call, const envoy::config::core::v3::Node& node,
+                    std::string& why);
     void leave(const std::string& name, const net::GrpcCall* call, const std::string& why);
     void answer(Forwarder& forwarder, const xds::AdsServer::Request& request);
     void write(Forwarder& forwarder);
--- a/src/governor/watcher.h
+++ b/src/governor/watcher.h
@@ -1,4 +1,5 @@
-// For whoever writes down what a governor heard and decided. Called in order, before it takes effect.
+// For whoever writes down what a governor heard and decided. Called in order, before it takes
+// effect.
 #pragma once
 
 #include <vector>
@@ -12,9 +13,13 @@
 class Watcher {
 public:
     virtual ~Watcher() = default;
+
     virtual void started(Micros, const Service&) {}
+
     virtual void stopped(Micros, const Service&) {}
+
     virtual void told(Micros, const Service&, const Event&) {}
+
     virtual void decided(Micros, const Service&, const std::vector<Action>&) {}
 };
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -21,7 +21,9 @@
     void sink_it_(const spdlog::details::log_msg& line) override {
         to_(std::string(line.payload.data(), line.payload.size()));
     }
+
     void flush_() override {}
+
     std::function<void(const std::string&)> to_;
 };
 
@@ -38,29 +40,46 @@
     if (const auto* text = std::get_if<std::string>(&value)) {
         const bool bare = !text->empty() && text->find_first_of(" \"=\n\r\t") == std::string::npos;
         return bare ? *text
-                    : nlohmann::json(*text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+                    : nlohmann::json(*text).dump(-1, ' ', false,
+                                                 nlohmann::json::error_handler_t::replace);
+    }
+    if (const auto* whole = std::get_if<std::int64_t>(&value)) {
+        return std::to_string(*whole);
+    }
+    if (const auto* real = std::get_if<double>(&value)) {
+        return fmt::format("{:.6g}", *real);
     }
-    if (const auto* whole = std::get_if<std::int64_t>(&value)) return std::to_string(*whole);
-    if (const auto* real = std::get_if<double>(&value)) return fmt::format("{:.6g}", *real);
     return std::get<bool>(value) ? "yes" : "no";
 }
 
 }  // namespace
 
 Log::Log(const base::Clock& clock, Level level, Form form)
-    : clock_(clock), level_(level), form_(form), wall_(true),
+    : clock_(clock),
+      level_(level),
+      form_(form),
+      wall_(true),
       logger_(logger_with(std::make_shared<spdlog::sinks::stderr_sink_st>())) {}
 
-Log::Log(const base::Clock& clock, Level level, Form form, std::function<void(const std::string&)> to)
-    : clock_(clock), level_(level), form_(form), logger_(logger_with(std::make_shared<Handing>(std::move(to)))) {}
+Log::Log(const base::Clock& clock, Level level, Form form,
+         std::function<void(const std::string&)> to)
+    : clock_(clock),
+      level_(level),
+      form_(form),
+      logger_(logger_with(std::make_shared<Handing>(std::move(to)))) {}
 
 Log::Log(const base::Clock& clock) : clock_(clock), level_(Level::Off), form_(Form::Text) {}
 
-void Log::write(Level level, std::string_view who, std::string_view event, std::initializer_list<Field> fields) {
-    if (!on(level) || !logger_) return;
-    const std::string line = form_ == Form::Json ? json(level, who, event, fields) : text(level, who, event, fields);
-    constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info, spdlog::level::warn,
-                                                     spdlog::level::err, spdlog::level::off};
+void Log::write(Level level, std::string_view who, std::string_view event,
+                std::initializer_list<Field> fields) {
+    if (!on(level) || !logger_) {
+        return;
+    }
+    const std::string line =
+        form_ == Form::Json ? json(level, who, event, fields) : text(level, who, event, fields);
+    constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
+                                                     spdlog::level::warn, spdlog::level::err,
+                                                     spdlog::level::off};
     logger_->log(kLevels[static_cast<int>(level)], spdlog::string_view_t(line));
 }
 
@@ -69,20 +88,25 @@
     std::string out = wall_ ? base::wall_time_text() + " " : std::string{};
     out += fmt::format("{:.6f} {} {} {}", static_cast<double>(clock_.now().count()) / 1e6,
                        kNames[static_cast<int>(level)], who, event);
-    for (const Field& field : fields) out.append(" ").append(field.name).append("=").append(plain(field.value));
+    for (const Field& field : fields) {
+        out.append(" ").append(field.name).append("=").append(plain(field.value));
+    }
     return out;
 }
 
 std::string Log::json(Level level, std::string_view who, std::string_view event,
                       std::initializer_list<Field> fields) const {
     nlohmann::ordered_json out;
-    if (wall_) out["time"] = base::wall_time_text();
+    if (wall_) {
+        out["time"] = base::wall_time_text();
+    }
     out["us"] = clock_.now().count();
     out["level"] = kNames[static_cast<int>(level)];
     out["who"] = who;
     out["event"] = event;
-    for (const Field& field : fields)
+    for (const Field& field : fields) {
         std::visit([&](const auto& value) { out[std::string(field.name)] = value; }, field.value);
+    }
     return out.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -22,14 +22,21 @@
 struct Field {
     std::string_view name;
     Value value;
+
     Field(std::string_view n, std::string_view v) : name(n), value(std::string(v)) {}
+
     Field(std::string_view n, const std::string& v) : name(n), value(v) {}
+
     Field(std::string_view n, const char* v) : name(n), value(std::string(v)) {}
+
     Field(std::string_view n, bool v) : name(n), value(v) {}
+
     Field(std::string_view n, double v) : name(n), value(v) {}
+
     template <class Whole>
         requires std::is_integral_v<Whole>
-    Field(std::string_view n, Whole v) : name(n), value(static_cast<std::int64_t>(v)) {}
+    Field(std::string_view n, Whole v) : name(n),
+                                         value(static_cast<std::int64_t>(v)) {}
 };
 
 class Log {
@@ -37,15 +44,22 @@
     // Writes to standard error.
     Log(const base::Clock& clock, Level level, Form form);
     // Hands each line over (tests, days).
-    Log(const base::Clock& clock, Level level, Form form, std::function<void(const std::string&)> to);
+    Log(const base::Clock& clock, Level level, Form form,
+        std::function<void(const std::string&)> to);
     // Nothing at all.
     explicit Log(const base::Clock& clock);
 
     // `who` is the instance (governor/0, forwarder-3); `event` a fixed name such as list.taken.
     void write(Level level, std::string_view who, std::string_view event,
                std::initializer_list<Field> fields = {});
+
     bool on(Level level) const { return level >= level_ && level_ != Level::Off; }
-    void flush() { if (logger_) logger_->flush(); }
+
+    void flush() {
+        if (logger_) {
+            logger_->flush();
+        }
+    }
 
 private:
     std::string text(Level level, std::string_view who, std::string_view event,
@@ -64,10 +78,22 @@
 class Voice {
 public:
     Voice(Log& log, std::string who) : log_(&log), who_(std::move(who)) {}
-    void debug(std::string_view event, std::initializer_list<Field> f = {}) { log_->write(Level::Debug, who_, event, f); }
-    void info(std::string_view event, std::initializer_list<Field> f = {}) { log_->write(Level::Info, who_, event, f); }
-    void warn(std::string_view event, std::initializer_list<Field> f = {}) { log_->write(Level::Warning, who_, event, f); }
-    void error(std::string_view event, std::initializer_list<Field> f = {}) { log_->write(Level::Error, who_, event, f); }
+
+    void debug(std::string_view event, std::initializer_list<Field> f = {}) {
+        log_->write(Level::Debug, who_, event, f);
+    }
+
+    void info(std::string_view event, std::initializer_list<Field> f = {}) {
+        log_->write(Level::Info, who_, event, f);
+    }
+
+    void warn(std::string_view event, std::initializer_list<Field> f = {}) {
+        log_->write(Level::Warning, who_, event, f);
+    }
+
+    void error(std::string_view event, std::initializer_list<Field> f = {}) {
+        log_->write(Level::Error, who_, event, f);
+    }
 
 private:
     Log* log_;
--- a/src/logic.h
+++ b/src/logic.h
@@ -1,4 +1,5 @@
-// Interface of the decision module: one Governor object an instance, nothing shared between objects.
+// Interface of the decision module: one Governor object an instance, nothing shared between
+// objects.
 #pragma once
 
 #include <memory>
--- a/src/net/http1.h
+++ b/src/net/http1.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 messages without sockets: bytes in, whole messages out (http-parser does the reading). Limits guard
-// against heads and bodies without end.
+// HTTP/1.1 messages without sockets: bytes in, whole messages out (http-parser does the reading).
+// Limits guard against heads and bodies without end.
 #pragma once
 
 #include <http_parser.h>
@@ -14,8 +14,8 @@
 namespace badgergrade::net {
 
 struct HttpMessage {
-    std::string method, target;  // requests
-    int status = 0;              // responses
+    std::string method, target;                                // requests
+    int status = 0;                                            // responses
     std::vector<std::pair<std::string, std::string>> headers;  // names in lower case
     std::string body;
     bool keep_alive = true;
@@ -37,9 +37,10 @@
     Http1Parser(Kind kind, HttpLimits limits, std::function<void(HttpMessage)> on_message);
     Http1Parser(const Http1Parser&) = delete;
 
-    // Feeds bytes; false where they are no HTTP or break a limit: then error() says what is wrong and no more
-    // may be fed.
+    // Feeds bytes; false where they are no HTTP or break a limit: then error() says what is wrong
+    // and no more may be fed.
     bool feed(std::string_view bytes);
+
     const std::string& error() const { return error_; }
 
 private:
@@ -51,6 +52,7 @@
     static int body(http_parser* p, const char* at, std::size_t size);
     static int message_complete(http_parser* p);
     bool grow_head(std::size_t size);
+
     static Http1Parser& of(http_parser* p) { return *static_cast<Http1Parser*>(p->data); }
 
     http_parser parser_;
--- a/src/net/http2.cpp
+++ b/src/net/http2.cpp
@@ -11,10 +11,11 @@
 std::vector<nghttp2_nv> to_nv(const Http2Headers& headers) {
     std::vector<nghttp2_nv> out;
     out.reserve(headers.size());
-    for (const auto& [name, value] : headers)
+    for (const auto& [name, value] : headers) {
         out.push_back({reinterpret_cast<std::uint8_t*>(const_cast<char*>(name.data())),
-                       reinterpret_cast<std::uint8_t*>(const_cast<char*>(value.data())), name.size(),
-                       value.size(), NGHTTP2_NV_FLAG_NONE});
+                       reinterpret_cast<std::uint8_t*>(const_cast<char*>(value.data())),
+                       name.size(), value.size(), NGHTTP2_NV_FLAG_NONE});
+    }
     return out;
 }
 }  // namespace
@@ -26,19 +27,23 @@
         of(user).in_[frame->hd.stream_id] = {};
         return 0;
     }
-    static int header(nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name, std::size_t name_size,
-                      const std::uint8_t* value, std::size_t value_size, std::uint8_t, void* user) {
+
+    static int header(nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name,
+                      std::size_t name_size, const std::uint8_t* value, std::size_t value_size,
+                      std::uint8_t, void* user) {
         Http2Session& self = of(user);
         In& in = self.in_[frame->hd.stream_id];
         in.bytes += name_size + value_size + 32;
         if (in.bytes > self.limits_.head_bytes) {
-            self.error_ = "a head larger than " + std::to_string(self.limits_.head_bytes) + " bytes";
+            self.error_ =
+                "a head larger than " + std::to_string(self.limits_.head_bytes) + " bytes";
             return NGHTTP2_ERR_CALLBACK_FAILURE;
         }
         in.headers.emplace_back(std::string(reinterpret_cast<const char*>(name), name_size),
                                 std::string(reinterpret_cast<const char*>(value), value_size));
         return 0;
     }
+
     static int frame(nghttp2_session*, const nghttp2_frame* frame, void* user) {
         Http2Session& self = of(user);
         const std::int32_t stream = frame->hd.stream_id;
@@ -48,43 +53,67 @@
                 self.idle_frames_ = 0;
                 const Http2Headers headers = std::move(self.in_[stream].headers);
                 self.in_[stream].headers.clear();
-                if (self.on_headers) self.on_headers(stream, headers, last);
-                if (last && self.on_half_closed) self.on_half_closed(stream);
+                if (self.on_headers) {
+                    self.on_headers(stream, headers, last);
+                }
+                if (last && self.on_half_closed) {
+                    self.on_half_closed(stream);
+                }
                 return 0;
             }
             case NGHTTP2_DATA:
-                if (frame->hd.length > 0) self.idle_frames_ = 0;
-                if (last && self.on_half_closed) self.on_half_closed(stream);
+                if (frame->hd.length > 0) {
+                    self.idle_frames_ = 0;
+                }
+                if (last && self.on_half_closed) {
+                    self.on_half_closed(stream);
+                }
                 return self.idle(frame->hd.length == 0 && !last);
             case NGHTTP2_GOAWAY:
-                if (self.on_goaway) self.on_goaway();
+                if (self.on_goaway) {
+                    self.on_goaway();
+                }
                 return 0;
-            case NGHTTP2_PING: return self.idle(!(frame->hd.flags & NGHTTP2_FLAG_ACK));
-            case NGHTTP2_SETTINGS: return self.idle(!(frame->hd.flags & NGHTTP2_FLAG_ACK));
+            case NGHTTP2_PING:
+                return self.idle(!(frame->hd.flags & NGHTTP2_FLAG_ACK));
+            case NGHTTP2_SETTINGS:
+                return self.idle(!(frame->hd.flags & NGHTTP2_FLAG_ACK));
             case NGHTTP2_RST_STREAM:
-            case NGHTTP2_PRIORITY: return self.idle(true);
-            default: return 0;
+            case NGHTTP2_PRIORITY:
+                return self.idle(true);
+            default:
+                return 0;
         }
     }
-    static int data(nghttp2_session*, std::uint8_t, std::int32_t stream, const std::uint8_t* bytes, std::size_t size,
-                    void* user) {
+
+    static int data(nghttp2_session*, std::uint8_t, std::int32_t stream, const std::uint8_t* bytes,
+                    std::size_t size, void* user) {
         Http2Session& self = of(user);
-        if (self.on_data) self.on_data(stream, {reinterpret_cast<const char*>(bytes), size});
+        if (self.on_data) {
+            self.on_data(stream, {reinterpret_cast<const char*>(bytes), size});
+        }
         return 0;
     }
-    static int stream_close(nghttp2_session*, std::int32_t stream, std::uint32_t error, void* user) {
+
+    static int stream_close(nghttp2_session*, std::int32_t stream, std::uint32_t error,
+                            void* user) {
         Http2Session& self = of(user);
         if (const auto it = self.out_.find(stream); it != self.out_.end()) {
-            for (const auto& part : it->second.parts) self.queued_ -= part.bytes().size();
+            for (const auto& part : it->second.parts) {
+                self.queued_ -= part.bytes().size();
+            }
             self.queued_ += it->second.offset;
             self.out_.erase(it);
         }
         self.in_.erase(stream);
-        if (self.on_closed) self.on_closed(stream, error);
+        if (self.on_closed) {
+            self.on_closed(stream, error);
+        }
         return 0;
     }
-    static ssize_t read(nghttp2_session* session, std::int32_t stream, std::uint8_t* to, std::size_t size,
-                        std::uint32_t* flags, nghttp2_data_source*, void* user) {
+
+    static ssize_t read(nghttp2_session* session, std::int32_t stream, std::uint8_t* to,
+                        std::size_t size, std::uint32_t* flags, nghttp2_data_source*, void* user) {
         Http2Session& self = of(user);
         const auto it = self.out_.find(stream);
         if (it == self.out_.end()) {
@@ -98,7 +127,9 @@
             const std::size_t n = std::min(size - done, part.size() - out.offset);
             std::memcpy(to + done, part.data() + out.offset, n);
             done += n, out.offset += n, self.queued_ -= n;
-            if (out.offset < part.size()) break;
+            if (out.offset < part.size()) {
+                break;
+            }
             out.offset = 0;
             out.parts.pop_front();
         }
@@ -117,12 +148,16 @@
         }
         return static_cast<ssize_t>(done);
     }
+
     // A GOAWAY with an error of ours says what the other side did wrong.
     static int frame_sent(nghttp2_session*, const nghttp2_frame* frame, void* user) {
-        if (frame->hd.type == NGHTTP2_GOAWAY && frame->goaway.error_code != NGHTTP2_NO_ERROR && of(user).error_.empty())
+        if (frame->hd.type == NGHTTP2_GOAWAY && frame->goaway.error_code != NGHTTP2_NO_ERROR &&
+            of(user).error_.empty()) {
             of(user).error_ = nghttp2_http2_strerror(frame->goaway.error_code);
+        }
         return 0;
     }
+
     static int invalid(nghttp2_session*, const nghttp2_frame*, int code, void* user) {
         of(user).error_ = nghttp2_strerror(code);
         return 0;
@@ -130,7 +165,9 @@
 };
 
 int Http2Session::idle(bool counts) {
-    if (!counts || ++idle_frames_ <= limits_.idle_frames) return 0;
+    if (!counts || ++idle_frames_ <= limits_.idle_frames) {
+        return 0;
+    }
     error_ = "a flood of frames that carry nothing";
     return NGHTTP2_ERR_CALLBACK_FAILURE;
 }
@@ -148,8 +185,11 @@
     nghttp2_option* options = nullptr;
     nghttp2_option_new(&options);
     nghttp2_option_set_max_outbound_ack(options, 100);
-    if (role == Role::Server) nghttp2_session_server_new2(&session_, callbacks, this, options);
-    else nghttp2_session_client_new2(&session_, callbacks, this, options);
+    if (role == Role::Server) {
+        nghttp2_session_server_new2(&session_, callbacks, this, options);
+    } else {
+        nghttp2_session_client_new2(&session_, callbacks, this, options);
+    }
     nghttp2_option_del(options);
     nghttp2_session_callbacks_del(callbacks);
     const nghttp2_settings_entry settings[] = {
@@ -170,10 +210,14 @@
 }
 
 bool Http2Session::feed(std::string_view bytes) {
-    if (!error_.empty()) return false;
+    if (!error_.empty()) {
+        return false;
+    }
     const ssize_t took = nghttp2_session_mem_recv(
         session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-    if (took < 0 && error_.empty()) error_ = nghttp2_strerror(static_cast<int>(took));
+    if (took < 0 && error_.empty()) {
+        error_ = nghttp2_strerror(static_cast<int>(took));
+    }
     return error_.empty();
 }
 
@@ -188,7 +232,9 @@
         const std::uint8_t* bytes = nullptr;
         const ssize_t size = nghttp2_session_mem_send(session_, &bytes);
         if (size <= 0) {
-            if (size < 0 && error_.empty()) error_ = nghttp2_strerror(static_cast<int>(size));
+            if (size < 0 && error_.empty()) {
+                error_ = nghttp2_strerror(static_cast<int>(size));
+            }
             return;
         }
         out.append(reinterpret_cast<const char*>(bytes), static_cast<std::size_t>(size));
@@ -203,8 +249,11 @@
     const auto nv = to_nv(headers);
     nghttp2_data_provider body{};
     body.read_callback = Callbacks::read;
-    const std::int32_t stream = nghttp2_submit_request(session_, nullptr, nv.data(), nv.size(), &body, nullptr);
-    if (stream > 0) out_[stream].has_body = true;
+    const std::int32_t stream =
+        nghttp2_submit_request(session_, nullptr, nv.data(), nv.size(), &body, nullptr);
+    if (stream > 0) {
+        out_[stream].has_body = true;
+    }
     return stream;
 }
 
@@ -212,16 +261,25 @@
     const auto nv = to_nv(headers);
     nghttp2_data_provider body{};
     body.read_callback = Callbacks::read;
-    if (!last) out_[stream].has_body = true;
+    if (!last) {
+        out_[stream].has_body = true;
+    }
     nghttp2_submit_response(session_, stream, nv.data(), nv.size(), last ? nullptr : &body);
 }
 
-void Http2Session::send(std::int32_t stream, std::string bytes) { add(stream, {std::move(bytes), nullptr}); }
-void Http2Session::send(std::int32_t stream, std::shared_ptr<const std::string> bytes) { add(stream, {{}, std::move(bytes)}); }
+void Http2Session::send(std::int32_t stream, std::string bytes) {
+    add(stream, {std::move(bytes), nullptr});
+}
+
+void Http2Session::send(std::int32_t stream, std::shared_ptr<const std::string> bytes) {
+    add(stream, {{}, std::move(bytes)});
+}
 
 void Http2Session::add(std::int32_t stream, Part part) {
     const auto it = out_.find(stream);
-    if (it == out_.end() || it->second.ending || part.bytes().empty()) return;
+    if (it == out_.end() || it->second.ending || part.bytes().empty()) {
+        return;
+    }
     queued_ += part.bytes().size();
     it->second.parts.push_back(std::move(part));
     body_for(stream);
@@ -229,7 +287,9 @@
 
 void Http2Session::end(std::int32_t stream, Http2Headers trailers) {
     const auto it = out_.find(stream);
-    if (it == out_.end() || it->second.ending) return;
+    if (it == out_.end() || it->second.ending) {
+        return;
+    }
     it->second.ending = true;
     it->second.trailers = std::move(trailers);
     body_for(stream);
@@ -237,14 +297,21 @@
 
 void Http2Session::body_for(std::int32_t stream) {
     Out& out = out_.at(stream);
-    if (std::exchange(out.deferred, false)) nghttp2_session_resume_data(session_, stream);
+    if (std::exchange(out.deferred, false)) {
+        nghttp2_session_resume_data(session_, stream);
+    }
 }
 
 void Http2Session::reset(std::int32_t stream, std::uint32_t error) {
     nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, stream, error);
 }
 
-void Http2Session::goaway() { nghttp2_session_terminate_session(session_, NGHTTP2_NO_ERROR); }
-void Http2Session::ping() { nghttp2_submit_ping(session_, NGHTTP2_FLAG_NONE, nullptr); }
+void Http2Session::goaway() {
+    nghttp2_session_terminate_session(session_, NGHTTP2_NO_ERROR);
+}
+
+void Http2Session::ping() {
+    nghttp2_submit_ping(session_, NGHTTP2_FLAG_NONE, nullptr);
+}
 
 }  // namespace badgergrade::net
--- a/src/net/http2.h
+++ b/src/net/http2.h
@@ -1,4 +1,5 @@
-// HTTP/2 without sockets, on nghttp2: bytes in, streams and their events out, bytes to write on demand.
+// HTTP/2 without sockets, on nghttp2: bytes in, streams and their events out, bytes to write on
+// demand.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +21,8 @@
 struct Http2Limits {
     std::uint32_t streams = 100;
     std::uint32_t head_bytes = 16 * 1024;
-    // Frames that cost us work and carry nothing: pings, settings, resets in a row without data between them.
+    // Frames that cost us work and carry nothing: pings, settings, resets in a row without data
+    // between them.
     int idle_frames = 200;
 };
 
@@ -45,7 +47,9 @@
     // What is to be written now, added to `out`.
     void output(std::string& out);
     std::string output();
+
     const std::string& error() const { return error_; }
+
     bool over() const;
 
     // Client: opens a stream whose body is sent with send().
@@ -59,20 +63,24 @@
     void reset(std::int32_t stream, std::uint32_t error);
     void goaway();
     void ping();
+
     std::size_t queued() const { return queued_; }
 
 private:
     struct Part {
         std::string own;
         std::shared_ptr<const std::string> shared;
+
         const std::string& bytes() const { return shared ? *shared : own; }
     };
+
     struct Out {
         std::deque<Part> parts;
         std::size_t offset = 0;
         bool ending = false, deferred = false, has_body = false;
         Http2Headers trailers;
     };
+
     struct In {
         Http2Headers headers;
         std::size_t bytes = 0;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -3,29 +3,41 @@
 namespace badgergrade::net {
 
 void HttpExchange::answer(HttpMessage response) {
-    if (const auto id = std::exchange(connection_, 0)) server_->answer(id, std::move(response));
+    if (const auto id = std::exchange(connection_, 0)) {
+        server_->answer(id, std::move(response));
+    }
 }
 
 void HttpExchange::break_off() {
-    if (const auto id = std::exchange(connection_, 0)) server_->drop(id, true);
+    if (const auto id = std::exchange(connection_, 0)) {
+        server_->drop(id, true);
+    }
 }
 
-HttpServer::HttpServer(Loop& loop, base::ActorId actor, std::string host, const Address& at, HttpLimits limits,
-                       std::size_t connections_most)
-    : limits_(limits), most_(connections_most),
-      listener_(std::make_unique<Listener>(loop, actor, std::move(host), at,
-                                           [this](StreamPtr stream) { accept(std::move(stream)); })) {}
+HttpServer::HttpServer(Loop& loop, base::ActorId actor, std::string host, const Address& at,
+                       HttpLimits limits, std::size_t connections_most)
+    : limits_(limits),
+      most_(connections_most),
+      listener_(
+          std::make_unique<Listener>(loop, actor, std::move(host), at,
+                                     [this](StreamPtr stream) { accept(std::move(stream)); })) {}
 
-HttpServer::~HttpServer() { abort(); }
+HttpServer::~HttpServer() {
+    abort();
+}
 
 void HttpServer::abort() {
     listener_.reset();
-    while (!connections_.empty()) drop(connections_.begin()->first, true);
+    while (!connections_.empty()) {
+        drop(connections_.begin()->first, true);
+    }
 }
 
 void HttpServer::accept(StreamPtr stream) {
     if (connections_.size() >= most_) {
-        if (on_trouble) on_trouble(stream->peer(), "refused: too many connections");
+        if (on_trouble) {
+            on_trouble(stream->peer(), "refused: too many connections");
+        }
         stream->close(true);
         return;
     }
@@ -35,74 +47,113 @@
     connection.parser = std::make_unique<Http1Parser>(
         Http1Parser::Kind::Requests, limits_, [this, id](HttpMessage message) {
             const auto it = connections_.find(id);
-            if (it != connections_.end()) it->second.waiting.push_back(std::move(message));
+            if (it != connections_.end()) {
+                it->second.waiting.push_back(std::move(message));
+            }
         });
-    stream->on_data = [this, id](std::string_view bytes) { came(id, bytes); };
-    stream->on_end = [this, id](std::string) { drop(id, false); };
-    if (on_connection) on_connection(connections_.size());
+    stream->on_data = [this, id](std::string_view bytes) {
+        came(id, bytes);
+    };
+    stream->on_end = [this, id](std::string) {
+        drop(id, false);
+    };
+    if (on_connection) {
+        on_connection(connections_.size());
+    }
 }
 
 void HttpServer::came(std::uint64_t id, std::string_view bytes) {
     const auto it = connections_.find(id);
-    if (it == connections_.end()) return;
+    if (it == connections_.end()) {
+        return;
+    }
     const bool good = it->second.parser->feed(bytes);
     if (!good) {
-        if (on_trouble) on_trouble(it->second.stream->peer(), "no good HTTP/1.1: " + it->second.parser->error());
+        if (on_trouble) {
+            on_trouble(it->second.stream->peer(),
+                       "no good HTTP/1.1: " + it->second.parser->error());
+        }
         HttpMessage refusal;
-        refusal.status = 400, refusal.body = it->second.parser->error() + "\n", refusal.keep_alive = false;
+        refusal.status = 400, refusal.body = it->second.parser->error() + "\n",
+        refusal.keep_alive = false;
         it->second.stream->send(to_bytes_response(refusal));
         return drop(id, false);
     }
     // A client that sends on and on without waiting for answers is not let fill our memory.
-    if (it->second.waiting.size() > 64) return drop(id, true);
+    if (it->second.waiting.size() > 64) {
+        return drop(id, true);
+    }
     next(id);
 }
 
 void HttpServer::next(std::uint64_t id) {
     const auto it = connections_.find(id);
-    if (it == connections_.end() || it->second.now || it->second.waiting.empty()) return;
+    if (it == connections_.end() || it->second.now || it->second.waiting.empty()) {
+        return;
+    }
     const auto exchange = std::make_shared<HttpExchange>();
     exchange->request = std::move(it->second.waiting.front());
     it->second.waiting.pop_front();
     exchange->server_ = this, exchange->connection_ = id;
     it->second.now = exchange;
     it->second.last = !exchange->request.keep_alive;
-    if (on_request) on_request(exchange);
-    else exchange->break_off();
+    if (on_request) {
+        on_request(exchange);
+    } else {
+        exchange->break_off();
+    }
 }
 
 void HttpServer::answer(std::uint64_t id, HttpMessage response) {
     const auto it = connections_.find(id);
-    if (it == connections_.end()) return;
-    if (it->second.last) response.keep_alive = false;
+    if (it == connections_.end()) {
+        return;
+    }
+    if (it->second.last) {
+        response.keep_alive = false;
+    }
     const bool last = !response.keep_alive;
     it->second.now.reset();
     it->second.stream->send(to_bytes_response(response));
-    if (last) return drop(id, false);
+    if (last) {
+        return drop(id, false);
+    }
     next(id);
 }
 
 void HttpServer::drop(std::uint64_t id, bool abort) {
     const auto it = connections_.find(id);
-    if (it == connections_.end()) return;
+    if (it == connections_.end()) {
+        return;
+    }
     // Destroyed only after the callbacks: the parser may be what is calling.
     const auto gone = std::make_shared<Connection>(std::move(it->second));
     connections_.erase(it);
     gone->stream->close(abort);
     if (gone->now) {
         gone->now->connection_ = 0;
-        if (gone->now->on_gone) std::exchange(gone->now->on_gone, {})();
+        if (gone->now->on_gone) {
+            std::exchange(gone->now->on_gone, {})();
+        }
     }
 }
 
 // ---- HttpPool
 
-HttpPool::HttpPool(Loop& loop, base::ActorId actor, std::string host, Address to, Micros connect_timeout, Micros idle)
-    : loop_(loop), actor_(actor), host_(std::move(host)), to_(std::move(to)), connect_timeout_(connect_timeout),
-      idle_(idle), sweep_(loop.clock(), actor) {}
+HttpPool::HttpPool(Loop& loop, base::ActorId actor, std::string host, Address to,
+                   Micros connect_timeout, Micros idle)
+    : loop_(loop),
+      actor_(actor),
+      host_(std::move(host)),
+      to_(std::move(to)),
+      connect_timeout_(connect_timeout),
+      idle_(idle),
+      sweep_(loop.clock(), actor) {}
 
 HttpPool::~HttpPool() {
-    for (auto& [id, link] : links_) link->stream->close(true);
+    for (auto& [id, link] : links_) {
+        link->stream->close(true);
+    }
 }
 
 HttpPool::TryId HttpPool::send(HttpMessage request, Micros timeout, Done done, Micros silence) {
@@ -114,15 +165,18 @@
     tries_[id] = std::move(fresh);
     now.silence = silence, now.due = loop_.clock().now() + timeout;
     now.limit.at(now.due, [this, id] { overdue(id); });
-    for (auto& [link_id, link] : links_)
+    for (auto& [link_id, link] : links_) {
         if (!link->now && !link->dead) {
             on_link(id, link_id);
             return id;
         }
+    }
     now.fresh = true;
     now.dial = std::make_unique<Dial>(loop_, actor_, host_, to_, connect_timeout_,
                                       [this, id](StreamPtr stream, std::string why) {
-                                          if (stream) return add_link(id, std::move(stream));
+                                          if (stream) {
+                                              return add_link(id, std::move(stream));
+                                          }
                                           HttpOutcome outcome;
                                           outcome.why = std::move(why);
                                           outcome.fresh_connection = true;
@@ -138,21 +192,29 @@
         stream->take_unread();
     }
     const auto it = tries_.find(id);
-    if (it == tries_.end()) return;
+    if (it == tries_.end()) {
+        return;
+    }
     Try& now = *it->second;
-    if (now.due > loop_.clock().now()) return now.limit.at(now.due, [this, id] { overdue(id); });
+    if (now.due > loop_.clock().now()) {
+        return now.limit.at(now.due, [this, id] { overdue(id); });
+    }
     HttpOutcome outcome;
     outcome.how = now.written ? HttpOutcome::How::TimedOut : HttpOutcome::How::NeverSent;
     outcome.why = "timed out";
     outcome.fresh_connection = now.fresh;
     const std::uint64_t link = now.link;
     end(id, std::move(outcome));
-    if (link) link_over(link, "given up");
+    if (link) {
+        link_over(link, "given up");
+    }
 }
 
 void HttpPool::add_link(TryId id, StreamPtr stream) {
     const auto it = tries_.find(id);
-    if (it == tries_.end()) return stream->close(true);
+    if (it == tries_.end()) {
+        return stream->close(true);
+    }
     const std::uint64_t link_id = ++ids_;
     auto link = std::make_unique<Link>();
     link->stream = std::move(stream);
@@ -164,17 +226,27 @@
     links_[link_id] = std::move(link);
     now.stream->on_data = [this, link_id](std::string_view bytes) {
         const auto at = links_.find(link_id);
-        if (at == links_.end()) return;
+        if (at == links_.end()) {
+            return;
+        }
         Link& here = *at->second;
-        if (const auto now = tries_.find(here.now); now != tries_.end() && now->second->silence > Micros{0})
-            now->second->due = std::max(now->second->due, loop_.clock().now() + now->second->silence);
+        if (const auto now = tries_.find(here.now);
+            now != tries_.end() && now->second->silence > Micros{0}) {
+            now->second->due =
+                std::max(now->second->due, loop_.clock().now() + now->second->silence);
+        }
         here.feeding = true;
         const bool good = here.parser->feed(bytes);
         here.feeding = false;
-        if (!good) link_over(link_id, "no good HTTP/1.1: " + here.parser->error());
-        else if (here.dead) link_over(link_id, "closed");
+        if (!good) {
+            link_over(link_id, "no good HTTP/1.1: " + here.parser->error());
+        } else if (here.dead) {
+            link_over(link_id, "closed");
+        }
+    };
+    now.stream->on_end = [this, link_id](std::string why) {
+        link_over(link_id, why);
     };
-    now.stream->on_end = [this, link_id](std::string why) { link_over(link_id, why); };
     on_link(id, link_id);
 }
 
@@ -190,8 +262,11 @@
 void HttpPool::answered(std::uint64_t link_id, HttpMessage response) {
     Link& link = *links_.at(link_id);
     const TryId id = std::exchange(link.now, 0);
-    if (!response.keep_alive || retired_) link.dead = true;
-    else link.idle.after(idle_, [this, link_id] { link_over(link_id, "idle"); });
+    if (!response.keep_alive || retired_) {
+        link.dead = true;
+    } else {
+        link.idle.after(idle_, [this, link_id] { link_over(link_id, "idle"); });
+    }
     if (id == 0) {
         link.dead = true;  // an answer that nobody asked for
         return;
@@ -199,13 +274,17 @@
     HttpOutcome outcome;
     outcome.how = HttpOutcome::How::Answered;
     outcome.response = std::move(response);
-    if (const auto it = tries_.find(id); it != tries_.end()) outcome.fresh_connection = it->second->fresh;
+    if (const auto it = tries_.find(id); it != tries_.end()) {
+        outcome.fresh_connection = it->second->fresh;
+    }
     end(id, std::move(outcome));
 }
 
 void HttpPool::link_over(std::uint64_t link_id, const std::string& why) {
     const auto it = links_.find(link_id);
-    if (it == links_.end()) return;
+    if (it == links_.end()) {
+        return;
+    }
     if (it->second->feeding) {
         it->second->dead = true;
         return;
@@ -216,8 +295,12 @@
     const TryId id = link->now;
     link->idle.stop();
     dead_links_.push_back(std::move(link));
-    if (!sweep_.set()) sweep_.after(Micros{0}, [this] { dead_links_.clear(), dead_tries_.clear(); });
-    if (id == 0) return;
+    if (!sweep_.set()) {
+        sweep_.after(Micros{0}, [this] { dead_links_.clear(), dead_tries_.clear(); });
+    }
+    if (id == 0) {
+        return;
+    }
     HttpOutcome outcome;
     outcome.how = HttpOutcome::How::Broken;
     outcome.why = why;
@@ -226,39 +309,61 @@
 
 void HttpPool::cancel(TryId id) {
     const auto it = tries_.find(id);
-    if (it == tries_.end()) return;
+    if (it == tries_.end()) {
+        return;
+    }
     it->second->done = {};
     const std::uint64_t link = it->second->link;
     end(id, {});
-    if (const auto at = links_.find(link); at != links_.end()) at->second->now = 0, link_over(link, "cancelled");
+    if (const auto at = links_.find(link); at != links_.end()) {
+        at->second->now = 0, link_over(link, "cancelled");
+    }
 }
 
 void HttpPool::end(TryId id, HttpOutcome outcome) {
     const auto it = tries_.find(id);
-    if (it == tries_.end()) return;
+    if (it == tries_.end()) {
+        return;
+    }
     auto now = std::move(it->second);
     tries_.erase(it);
     now->limit.stop();
-    // The link of a try that ended early is closed by whoever ended it; it must not answer this one again.
-    if (const auto at = links_.find(now->link); at != links_.end() && at->second->now == id) at->second->now = 0;
+    // The link of a try that ended early is closed by whoever ended it; it must not answer this one
+    // again.
+    if (const auto at = links_.find(now->link); at != links_.end() && at->second->now == id) {
+        at->second->now = 0;
+    }
     const Done done = std::move(now->done);
     dead_tries_.push_back(std::move(now));
-    if (!sweep_.set()) sweep_.after(Micros{0}, [this] { dead_links_.clear(), dead_tries_.clear(); });
-    if (done) done(std::move(outcome));
+    if (!sweep_.set()) {
+        sweep_.after(Micros{0}, [this] { dead_links_.clear(), dead_tries_.clear(); });
+    }
+    if (done) {
+        done(std::move(outcome));
+    }
 }
 
 void HttpPool::take_unread() {
     std::vector<StreamPtr> streams;
-    for (const auto& [id, link] : links_) streams.push_back(link->stream);
-    for (const StreamPtr& stream : streams) stream->take_unread();
+    for (const auto& [id, link] : links_) {
+        streams.push_back(link->stream);
+    }
+    for (const StreamPtr& stream : streams) {
+        stream->take_unread();
+    }
 }
 
 void HttpPool::retire() {
     retired_ = true;
     std::vector<std::uint64_t> idle;
-    for (const auto& [id, link] : links_)
-        if (!link->now) idle.push_back(id);
-    for (const auto id : idle) link_over(id, "retired");
+    for (const auto& [id, link] : links_) {
+        if (!link->now) {
+            idle.push_back(id);
+        }
+    }
+    for (const auto id : idle) {
+        link_over(id, "retired");
+    }
 }
 
 }  // namespace badgergrade::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,4 +1,5 @@
-// A small HTTP/1.1 server and client on streams: for the registry, probes, workers, forwarders and clients.
+// A small HTTP/1.1 server and client on streams: for the registry, probes, workers, forwarders and
+// clients.
 #pragma once
 
 #include <deque>
@@ -23,6 +24,7 @@
     std::function<void()> on_gone;
 
     bool open() const { return connection_ != 0; }
+
     void answer(HttpMessage response);
     // Breaks the connection off without an answer.
     void break_off();
@@ -32,12 +34,13 @@
     HttpServer* server_ = nullptr;
     std::uint64_t connection_ = 0;
 };
+
 using HttpExchangePtr = std::shared_ptr<HttpExchange>;
 
 class HttpServer {
 public:
-    HttpServer(Loop& loop, base::ActorId actor, std::string host, const Address& at, HttpLimits limits,
-               std::size_t connections_most);
+    HttpServer(Loop& loop, base::ActorId actor, std::string host, const Address& at,
+               HttpLimits limits, std::size_t connections_most);
     ~HttpServer();
 
     std::function<void(HttpExchangePtr)> on_request;
@@ -46,13 +49,17 @@
     std::function<void(const std::string& peer, const std::string& why)> on_trouble;
 
     Address address() const { return listener_->address(); }
+
     std::size_t connections() const { return connections_.size(); }
+
     void limit_connections(std::size_t most) { most_ = most; }
+
     // Ends all connections at once, as when the process dies.
     void abort();
 
 private:
     friend class HttpExchange;
+
     struct Connection {
         StreamPtr stream;
         std::unique_ptr<Http1Parser> parser;
@@ -60,6 +67,7 @@
         HttpExchangePtr now;
         bool feeding = false, last = false;
     };
+
     void accept(StreamPtr stream);
     void came(std::uint64_t id, std::string_view bytes);
     void next(std::uint64_t id);
@@ -90,17 +98,21 @@
 // Connections to one address, kept open between tries, one try at a time on each.
 class HttpPool {
 public:
-    HttpPool(Loop& loop, base::ActorId actor, std::string host, Address to, Micros connect_timeout, Micros idle);
+    HttpPool(Loop& loop, base::ActorId actor, std::string host, Address to, Micros connect_timeout,
+             Micros idle);
     ~HttpPool();
 
     using Done = std::function<void(HttpOutcome)>;
     using TryId = std::uint64_t;
-    // `timeout` counts from now; `done` is called once, never from within send(). Where `silence` is given, an answer
-    // that has begun may take longer, as long as no pause in it is longer than that.
+    // `timeout` counts from now; `done` is called once, never from within send(). Where `silence`
+    // is given, an answer that has begun may take longer, as long as no pause in it is longer than
+    // that.
     TryId send(HttpMessage request, Micros timeout, Done done, Micros silence = Micros{0});
     // Gives a try up: its connection is closed, `done` is not called.
     void cancel(TryId id);
+
     std::size_t connections() const { return links_.size(); }
+
     // Reads what has come on all connections, without waiting for their turn.
     void take_unread();
     // Closes what is idle and every other connection when its try is over.
@@ -116,6 +128,7 @@
         bool written = false, fresh = false;
         Micros silence{}, due{};
     };
+
     struct Link {
         StreamPtr stream;
         std::unique_ptr<Http1Parser> parser;
@@ -123,6 +136,7 @@
         TryId now = 0;
         bool feeding = false, dead = false;
     };
+
     void overdue(TryId id);
     void on_link(TryId id, std::uint64_t link);
     void add_link(TryId id, StreamPtr stream);
--- a/src/net/network.h
+++ b/src/net/network.h
@@ -1,7 +1,8 @@
-// Sockets for one host: listen, dial, and streams of bytes. All of it on one thread; callbacks run on the loop.
+// Sockets for one host: listen, dial, and streams of bytes. All of it on one thread; callbacks run
+// on the loop.
 //
-// A Loop carries the clock and, for a day that is played in one process, the ledger and the weather (delays and
-// cuts between hosts). Without those it is an ordinary Asio loop.
+// A Loop carries the clock and, for a day that is played in one process, the ledger and the weather
+// (delays and cuts between hosts). Without those it is an ordinary Asio loop.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -34,6 +35,7 @@
     std::uint16_t port = 0;
     friend auto operator<=>(const Address&, const Address&) = default;
 };
+
 // "host:port", "[v6]:port"; throws std::invalid_argument that says what is wrong.
 Address parse_address(std::string_view text);
 std::string to_text(const Address& address);
@@ -51,17 +53,23 @@
     Loop& operator=(const Loop&) = delete;
 
     base::Clock& clock() { return *clock_; }
+
     asio::io_context& io() { return io_; }
+
     Ledger& ledger() { return ledger_; }
+
     bool is_virtual() const { return virtual_ != nullptr; }
+
     Weather* weather = nullptr;
-    // Whether connections of this loop enter the ledger (days do; a governor alone does not need it).
+    // Whether connections of this loop enter the ledger (days do; a governor alone does not need
+    // it).
     bool keeps_ledger = false;
 
     // Runs until the clock shows this or stop() is called.
     void run_until(Micros when);
     void run();
     void stop();
+
     bool stopped() const { return stopped_; }
 
 private:
@@ -78,8 +86,8 @@
 class Stream : public std::enable_shared_from_this<Stream> {
 public:
     // `host` is the name of the host this end belongs to, for the weather.
-    Stream(Loop& loop, base::ActorId actor, std::string host, asio::ip::tcp::socket socket, Ledger::PairId pair,
-           Side side);
+    Stream(Loop& loop, base::ActorId actor, std::string host, asio::ip::tcp::socket socket,
+           Ledger::PairId pair, Side side);
     ~Stream();
 
     // Called with what came; never after close().
@@ -91,21 +99,28 @@
 
     void start();
     void send(std::string bytes);
-    // The same without handing the bytes over: they are copied only where the kernel does not take them at once.
+    // The same without handing the bytes over: they are copied only where the kernel does not take
+    // them at once.
     void write(std::string_view bytes);
+
     // Bytes handed to send() which the kernel has not taken yet.
     std::size_t unsent() const { return unsent_; }
+
     void pause_reading();
     void resume_reading();
-    // Reads what the kernel holds by now, without waiting for this stream's turn: for whoever is about to give a peer up
-    // for its silence, and may itself have been the one that was late.
+    // Reads what the kernel holds by now, without waiting for this stream's turn: for whoever is
+    // about to give a peer up for its silence, and may itself have been the one that was late.
     void take_unread();
-    // Half-close: sends what is queued, then the end; what the other side still sends is read on. A close while input
-    // waits unread is a reset, which may cost the other side the last bytes it was sent.
+    // Half-close: sends what is queued, then the end; what the other side still sends is read on. A
+    // close while input waits unread is a reset, which may cost the other side the last bytes it
+    // was sent.
     void finish_sending();
-    // Sends what is queued, then ends. With `abort`, queued bytes are dropped and the other side sees a reset.
+    // Sends what is queued, then ends. With `abort`, queued bytes are dropped and the other side
+    // sees a reset.
     void close(bool abort = false);
+
     bool open() const { return open_; }
+
     std::string peer() const { return peer_; }
 
 private:
@@ -113,6 +128,7 @@
         Micros due;
         std::string bytes;
     };
+
     void wait_read();
     void read_ready();
     // False where the stream is over or paused.
@@ -140,14 +156,15 @@
     base::Timer release_;
     std::string inbox_;
     bool inbox_due_ = false;
-    bool open_ = true, reading_ = false, paused_ = false, writing_ = false, ended_ = false, closing_ = false;
+    bool open_ = true, reading_ = false, paused_ = false, writing_ = false, ended_ = false,
+         closing_ = false;
     bool finishing_ = false, aborted_ = false;
 };
 
 using StreamPtr = std::shared_ptr<Stream>;
 
-// Keeps a loopback port for a process of a day that dies and comes back at its old address: bound, not listening,
-// so that meanwhile connections are refused and no other socket takes the port.
+// Keeps a loopback port for a process of a day that dies and comes back at its old address: bound,
+// not listening, so that meanwhile connections are refused and no other socket takes the port.
 class PortHold {
 public:
     explicit PortHold(Loop& loop);
--- a/src/node/config_reload.h
+++ b/src/node/config_reload.h
@@ -1,5 +1,6 @@
-// Reads the configuration again on SIGHUP. The file may be in the middle of its replacement (half of it, or none for a
-// moment) and no second signal need follow: what can't be read is tried again for a while, and the one before stays.
+// Reads the configuration again on SIGHUP. The file may be in the middle of its replacement (half
+// of it, or none for a moment) and no second signal need follow: what can't be read is tried again
+// for a while, and the one before stays.
 #pragma once
 
 #include <exception>
@@ -19,7 +20,11 @@
     using Apply = std::function<void(const platform::NodeConfig&)>;
 
     ConfigReload(base::Clock& clock, base::ActorId actor, log::Voice log, Read read, Apply apply)
-        : clock_(clock), log_(std::move(log)), read_(std::move(read)), apply_(std::move(apply)), again_(clock, actor) {}
+        : clock_(clock),
+          log_(std::move(log)),
+          read_(std::move(read)),
+          apply_(std::move(apply)),
+          again_(clock, actor) {}
 
     // A signal: the file is read now; one that comes while it is tried again begins the while anew.
     void begin() {
@@ -27,10 +32,12 @@
         told_ = false;
         attempt();
     }
+
     void stop() { again_.stop(); }
 
 private:
-    static constexpr base::Micros kTryFor = std::chrono::seconds(3), kTryAgain = std::chrono::milliseconds(50);
+    static constexpr base::Micros kTryFor = std::chrono::seconds(3),
+                                  kTryAgain = std::chrono::milliseconds(50);
 
     void attempt() {
         again_.stop();
@@ -38,8 +45,15 @@
         try {
             config = read_();
         } catch (const std::exception& wrong) {
-            if (!std::exchange(told_, true)) log_.error("config.refused", {{"why", wrong.what()}, {"kept", "the one before"}, {"again_for_ms", kTryFor / std::chrono::milliseconds(1)}});
-            if (clock_.now() < until_) again_.after(kTryAgain, [this] { attempt(); });
+            if (!std::exchange(told_, true)) {
+                log_.error("config.refused",
+                           {{"why", wrong.what()},
+                            {"kept", "the one before"},
+                            {"again_for_ms", kTryFor / std::chrono::milliseconds(1)}});
+            }
+            if (clock_.now() < until_) {
+                again_.after(kTryAgain, [this] { attempt(); });
+            }
             return;
         }
         apply_(config);
--- a/src/node/discovery_watch.h
+++ b/src/node/discovery_watch.h
@@ -1,5 +1,6 @@
-// Follows the platform's list of servers: GET /discovery/hosts?from=N&hold_ms=H, one call after the other, each from
-// the generation of the last answer. What was answered stays valid while discovery is broken, silent or gone.
+// Follows the platform's list of servers: GET /discovery/hosts?from=N&hold_ms=H, one call after the
+// other, each from the generation of the last answer. What was answered stays valid while discovery
+// is broken, silent or gone.
 #pragma once
 
 #include <functional>
@@ -15,7 +16,8 @@
 class DiscoveryWatch {
 public:
     // Follows from `generation` on, the one of the list that the governor has already.
-    DiscoveryWatch(net::Loop& loop, base::ActorId actor, std::string host, const net::Address& at, std::uint64_t generation, std::uint64_t seed);
+    DiscoveryWatch(net::Loop& loop, base::ActorId actor, std::string host, const net::Address& at,
+                   std::uint64_t generation, std::uint64_t seed);
 
     // A list, or changes to the one before; called only where there is news.
     std::function<void(const platform::InstanceList&)> on_list;
@@ -24,11 +26,14 @@
     std::function<bool()> knows_servers;
 
     void start() { poll(); }
+
     void stop();
-    // Goes on at another address, from the same generation: what had come from the old one is taken, what was still on
-    // its way is asked for at the new one.
+    // Goes on at another address, from the same generation: what had come from the old one is
+    // taken, what was still on its way is asked for at the new one.
     void move(const net::Address& to);
+
     const net::Address& at() const { return at_; }
+
     std::uint64_t generation() const { return generation_; }
 
 private:
--- a/src/node/line_limit.h
+++ b/src/node/line_limit.h
@@ -11,12 +11,16 @@
 
 class LineLimit {
 public:
-    // Whether a line of this event may be written now; `unsaid` gets how many were not since the last one. Events are
-    // fixed names: there are only so many.
+    // Whether a line of this event may be written now; `unsaid` gets how many were not since the
+    // last one. Events are fixed names: there are only so many.
     bool allows(std::string_view event, base::Micros now, std::int64_t& unsaid) {
         Event& known = events_[event];
-        if (now - known.since >= std::chrono::seconds(1)) known.since = now, known.said = 0;
-        if (known.said >= kLinesASecond) return ++known.unsaid, false;
+        if (now - known.since >= std::chrono::seconds(1)) {
+            known.since = now, known.said = 0;
+        }
+        if (known.said >= kLinesASecond) {
+            return ++known.unsaid, false;
+        }
         ++known.said;
         unsaid = known.unsaid;
         known.unsaid = 0;
@@ -25,11 +29,13 @@
 
 private:
     static constexpr int kLinesASecond = 3;
+
     struct Event {
         base::Micros since{};
         int said = 0;
         std::int64_t unsaid = 0;
     };
+
     std::map<std::string_view, Event> events_;
 };
 
--- a/src/node/open_marks.h
+++ b/src/node/open_marks.h
@@ -1,5 +1,5 @@
-// The marks that were written on a stream and are not answered yet: so many, the ones written first are forgotten first.
-// Numbers come round again, so that the smallest need not be the oldest.
+// The marks that were written on a stream and are not answered yet: so many, the ones written first
+// are forgotten first. Numbers come round again, so that the smallest need not be the oldest.
 #pragma once
 
 #include <algorithm>
@@ -15,15 +15,22 @@
 
     void written(MarkId mark) {
         open_.push_back(mark);
-        if (open_.size() > kMost) open_.pop_front(), forgot_ = true;
+        if (open_.size() > kMost) {
+            open_.pop_front(), forgot_ = true;
+        }
     }
-    // A mark is answered once. Where some were forgotten, an answer to none that is known may be a late one.
+
+    // A mark is answered once. Where some were forgotten, an answer to none that is known may be a
+    // late one.
     Answer answered(MarkId mark) {
         const auto it = std::find(open_.begin(), open_.end(), mark);
-        if (it == open_.end()) return forgot_ ? Answer::Late : Answer::Unknown;
+        if (it == open_.end()) {
+            return forgot_ ? Answer::Late : Answer::Unknown;
+        }
         open_.erase(it);
         return Answer::Awaited;
     }
+
     std::size_t size() const { return open_.size(); }
 
 private:
--- a/src/node/service.h
+++ b/src/node/service.h
@@ -1,4 +1,5 @@
-// The governor in service on the platform: proxies and collectors on one address, discovery's watch, the module between.
+// The governor in service on the platform: proxies and collectors on one address, discovery's
+// watch, the module between.
 #pragma once
 
 #include <deque>
@@ -25,7 +26,8 @@
 
 struct Figures {
     std::int64_t joins = 0, leaves = 0, orders = 0, applied = 0, spoilt = 0, refused = 0;
-    std::size_t connections = 0, strangers = 0, proxies = 0, servers = 0, held_bytes = 0, timers = 0;
+    std::size_t connections = 0, strangers = 0, proxies = 0, servers = 0, held_bytes = 0,
+                timers = 0;
 };
 
 struct CannotListen : std::runtime_error {
@@ -34,24 +36,30 @@
 
 class Service {
 public:
-    // Listens at once, or once the life before has let go of the address: it is asked for again for a while. Throws
-    // CannotListen where it can't be had, then out of the loop. `wall_ahead` is Unix time less the loop's clock.
-    Service(net::Loop& loop, base::ActorId actor, const platform::NodeConfig& config, log::Log& log, Micros wall_ahead);
+    // Listens at once, or once the life before has let go of the address: it is asked for again for
+    // a while. Throws CannotListen where it can't be had, then out of the loop. `wall_ahead` is
+    // Unix time less the loop's clock.
+    Service(net::Loop& loop, base::ActorId actor, const platform::NodeConfig& config, log::Log& log,
+            Micros wall_ahead);
     ~Service();
     Service(const Service&) = delete;
 
     // Where it listens, or will once the address is free.
     net::Address address() const { return listener_ ? listener_->address() : config_.listen; }
-    // A configuration that replaces the one before: discovery may have moved. What needs a new start is told in the log.
+
+    // A configuration that replaces the one before: discovery may have moved. What needs a new
+    // start is told in the log.
     void reload(const platform::NodeConfig& config);
     // Ends all connections; nothing is heard or ordered from then on.
     void stop();
     Figures figures() const;
 
 private:
-    // Leaving: was told NACK and that we send no more; what it still sends is read, so that the answer reaches it.
+    // Leaving: was told NACK and that we send no more; what it still sends is read, so that the
+    // answer reaches it.
     enum class Role { Stranger, Collector, Proxy, Leaving };
     using ConnectionId = std::uint64_t;  // rises with each connection: the smallest is the oldest
+
     struct Connection {
         net::StreamPtr stream;
         resp::Reader reader;
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -17,18 +17,28 @@
 // A value inside the simulator's line: what would end it turns into '_', as there.
 std::string plain(const Json& value) {
     std::string text = value.is_string() ? value.get<std::string>() : value.dump();
-    for (char& c : text)
-        if (c == ' ' || c == ',' || c == '\t' || c == '\n' || c == '\r') c = '_';
+    for (char& c : text) {
+        if (c == ' ' || c == ',' || c == '\t' || c == '\n' || c == '\r') {
+            c = '_';
+        }
+    }
     return text;
 }
 
 void add_to_line(std::string& line, const std::string& path, const Json& value, std::size_t depth) {
-    if (depth > kDepthMost) throw Unreadable("settings are nested too deeply at " + path);
-    if (value.is_null()) return;
+    if (depth > kDepthMost) {
+        throw Unreadable("settings are nested too deeply at " + path);
+    }
+    if (value.is_null()) {
+        return;
+    }
     const std::string under = path.empty() ? "" : path + ".";
     if (value.is_object()) {
-        for (const auto& [key, inner] : value.items())
-            if (key.find_first_of("\t\n\r=") == std::string::npos) add_to_line(line, under + key, inner, depth + 1);
+        for (const auto& [key, inner] : value.items()) {
+            if (key.find_first_of("\t\n\r=") == std::string::npos) {
+                add_to_line(line, under + key, inner, depth + 1);
+            }
+        }
         return;
     }
     if (!value.is_array()) {
@@ -39,52 +49,79 @@
     std::string list;
     std::size_t at = 0;
     for (const Json& inner : value) {
-        if (objects) add_to_line(line, under + std::to_string(at), inner, depth + 1);
-        else list += (at > 0 ? "," : "") + plain(inner);
+        if (objects) {
+            add_to_line(line, under + std::to_string(at), inner, depth + 1);
+        } else {
+            list += (at > 0 ? "," : "") + plain(inner);
+        }
         ++at;
     }
-    if (objects) line += "\t" + path + ".count=" + std::to_string(value.size());
-    else line += "\t" + path + "=" + list;
+    if (objects) {
+        line += "\t" + path + ".count=" + std::to_string(value.size());
+    } else {
+        line += "\t" + path + "=" + list;
+    }
 }
 
 std::vector<std::string> texts(const Json& list, const char* key) {
     std::vector<std::string> out;
-    for (const Json& one : list) out.push_back((key ? one.at(key) : one).get<std::string>());
+    for (const Json& one : list) {
+        out.push_back((key ? one.at(key) : one).get<std::string>());
+    }
     return out;
 }
 
 // The simulator and the platform have other words for what a load report holds.
 std::string platform_column(const std::string& column) {
-    static const std::pair<const char*, const char*> words[] = {{"active", "inflight"}, {"waiting", "queue"}, {"cpu", "util"},
-                                                                {"avg_ms", "latency_ms"}, {"rps", "qps"}, {"err_rps", "eps"}};
-    for (const auto& [ours, theirs] : words)
-        if (column == ours) return theirs;
+    static const std::pair<const char*, const char*> words[] = {
+        {"active", "inflight"},   {"waiting", "queue"}, {"cpu", "util"},
+        {"avg_ms", "latency_ms"}, {"rps", "qps"},       {"err_rps", "eps"}};
+    for (const auto& [ours, theirs] : words) {
+        if (column == ours) {
+            return theirs;
+        }
+    }
     return column;
 }
 
 std::uint64_t seed_of(const Json& value) {
-    if (value.is_number_unsigned()) return value.get<std::uint64_t>();
+    if (value.is_number_unsigned()) {
+        return value.get<std::uint64_t>();
+    }
     const std::string text = value.get<std::string>();
     std::uint64_t seed = 0;
     const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-    if (wrong != std::errc{} || end != text.data() + text.size()) throw Unreadable("seed is no hexadecimal number: '" + text.substr(0, 40) + "'");
+    if (wrong != std::errc{} || end != text.data() + text.size()) {
+        throw Unreadable("seed is no hexadecimal number: '" + text.substr(0, 40) + "'");
+    }
     return seed;
 }
 
 Instance instance_of(const Json& row) {
     Instance out;
     out.id = row.at("instanceId").get<std::string>();
-    if (out.id.empty() || out.id.size() > kIdMost) throw Unreadable("an instanceId is 1 to 128 bytes");
+    if (out.id.empty() || out.id.size() > kIdMost) {
+        throw Unreadable("an instanceId is 1 to 128 bytes");
+    }
     out.zone = row.value("zone", "");
     const std::string state = row.at("lifecycle").get<std::string>();
-    if (state == "Ready") out.state = ServerState::Ready;
-    else if (state == "Terminating") out.state = ServerState::Draining;
-    else if (state == "Gone") out.state = ServerState::Gone;
-    else throw Unreadable(out.id + ": lifecycle '" + state.substr(0, 40) + "'");
+    if (state == "Ready") {
+        out.state = ServerState::Ready;
+    } else if (state == "Terminating") {
+        out.state = ServerState::Draining;
+    } else if (state == "Gone") {
+        out.state = ServerState::Gone;
+    } else {
+        throw Unreadable(out.id + ": lifecycle '" + state.substr(0, 40) + "'");
+    }
     out.weight = row.value("weight", 1.0);
-    if (!std::isfinite(out.weight) || out.weight < 0 || out.weight > 1e9) throw Unreadable(out.id + ": weight is out of range");
+    if (!std::isfinite(out.weight) || out.weight < 0 || out.weight > 1e9) {
+        throw Unreadable(out.id + ": weight is out of range");
+    }
     out.started_ms = row.value("startedAtMs", 0.0);
-    if (!(out.started_ms >= 0) || out.started_ms > kStartedMost) throw Unreadable(out.id + ": startedAtMs is out of range");
+    if (!(out.started_ms >= 0) || out.started_ms > kStartedMost) {
+        throw Unreadable(out.id + ": startedAtMs is out of range");
+    }
     return out;
 }
 
@@ -93,12 +130,19 @@
     out.generation = json.at("generation").get<std::uint64_t>();
     out.whole = json.value("reset", false);
     const Json& rows = json.at("instances");
-    if (!rows.is_array()) throw Unreadable("instances is no list");
-    if (rows.size() > kInstancesMost) throw Unreadable("a list names more than 65535 instances");
+    if (!rows.is_array()) {
+        throw Unreadable("instances is no list");
+    }
+    if (rows.size() > kInstancesMost) {
+        throw Unreadable("a list names more than 65535 instances");
+    }
     const auto leave_out = [&](const Json& row, const char* why) {
         out.left_out.emplace_back(why);
-        if (const Json* id = row.is_object() && row.contains("instanceId") ? &row["instanceId"] : nullptr; id && id->is_string())
+        if (const Json* id =
+                row.is_object() && row.contains("instanceId") ? &row["instanceId"] : nullptr;
+            id && id->is_string()) {
             out.unreadable.push_back(id->get<std::string>());
+        }
     };
     for (const Json& row : rows) {
         try {
@@ -120,7 +164,9 @@
 
 Micros batch_of(const Json& settings) {
     const double ms = settings.value("quantum", 4.0);
-    if (!(ms >= 0) || ms > 1000) throw Unreadable("settings.quantum is out of range");
+    if (!(ms >= 0) || ms > 1000) {
+        throw Unreadable("settings.quantum is out of range");
+    }
     return Micros(std::llround(ms * 1000));
 }
 
@@ -129,22 +175,36 @@
     out.name = json.value("name", "");
     out.listen = net::parse_address(json.at("listen").get<std::string>());
     out.discovery = net::parse_address(json.at("discovery").get<std::string>());
-    if (json.contains("seed")) out.seed = seed_of(json["seed"]);
+    if (json.contains("seed")) {
+        out.seed = seed_of(json["seed"]);
+    }
     if (const auto limits = json.find("limits"); limits != json.end()) {
         out.sockets = limits->value("sockets", out.sockets);
-        if (out.sockets < 16) throw Unreadable("limits.sockets is below 16");
+        if (out.sockets < 16) {
+            throw Unreadable("limits.sockets is below 16");
+        }
     }
     const Json& settings = json.at("settings");
-    if (!settings.is_object()) throw Unreadable("settings is no object");
+    if (!settings.is_object()) {
+        throw Unreadable("settings is no object");
+    }
     out.settings = settings_of(settings);
     out.batch = batch_of(settings);
     out.names.zones = texts(settings.at("zones"), nullptr);
     out.names.operations = texts(settings.at("request_classes"), "name");
     out.names.proxies = out.settings.proxies;
-    for (const std::string& column : out.settings.load_columns) out.names.load_columns.push_back(platform_column(column));
-    if (out.names.zones.empty()) throw Unreadable("settings.zones is empty");
-    if (out.names.operations.empty()) throw Unreadable("settings.request_classes is empty");
-    if (const auto known = json.find("known"); known != json.end() && !known->is_null()) out.known = instances_of(*known);
+    for (const std::string& column : out.settings.load_columns) {
+        out.names.load_columns.push_back(platform_column(column));
+    }
+    if (out.names.zones.empty()) {
+        throw Unreadable("settings.zones is empty");
+    }
+    if (out.names.operations.empty()) {
+        throw Unreadable("settings.request_classes is empty");
+    }
+    if (const auto known = json.find("known"); known != json.end() && !known->is_null()) {
+        out.known = instances_of(*known);
+    }
     return out;
 }
 
@@ -164,7 +224,12 @@
 
 }  // namespace
 
-NodeConfig read_config(const std::string& json) { return read_json(json, config_of); }
-InstanceList read_instances(const std::string& json) { return read_json(json, instances_of); }
+NodeConfig read_config(const std::string& json) {
+    return read_json(json, config_of);
+}
+
+InstanceList read_instances(const std::string& json) {
+    return read_json(json, instances_of);
+}
 
 }  // namespace badgergrade::platform
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -1,7 +1,8 @@
-// A governor's configuration on the platform, and discovery's answers: JSON into the module's types. No I/O.
+// A governor's configuration on the platform, and discovery's answers: JSON into the module's
+// types. No I/O.
 //
-// The settings are the object that the simulator sends at the start, with its names and units (milliseconds); they are
-// put into that message's own form and read by the same reader.
+// The settings are the object that the simulator sends at the start, with its names and units
+// (milliseconds); they are put into that message's own form and read by the same reader.
 #pragma once
 
 #include <cstdint>
@@ -37,8 +38,9 @@
     std::uint64_t generation = 0;
     bool whole = false;
     std::vector<Instance> instances;
-    std::vector<std::string> left_out;    // entries that can't be read, each with its reason
-    std::vector<std::string> unreadable{};  // ids of those that have one: not named as gone by a whole list
+    std::vector<std::string> left_out;  // entries that can't be read, each with its reason
+    std::vector<std::string>
+        unreadable{};  // ids of those that have one: not named as gone by a whole list
 };
 
 struct NodeConfig {
--- a/src/platform/orders_text.cpp
+++ b/src/platform/orders_text.cpp
@@ -11,7 +11,8 @@
 // Rows of one part: ids are 128 bytes at most, so that a part stays well under 1 MiB.
 constexpr std::size_t kRowsMost = 4000;
 
-// Without an exponent, and with all the digits that the number has. Weights and levels are finite and not below 0.
+// Without an exponent, and with all the digits that the number has. Weights and levels are finite
+// and not below 0.
 std::string number(double value) {
     char room[400];
     const auto end = std::to_chars(room, room + sizeof room, value, std::chars_format::fixed).ptr;
@@ -22,28 +23,41 @@
 
 std::string classes(OpMask ops, const Names& names) {
     std::string out;
-    for (std::size_t k = 0; k < names.operations.size(); ++k)
-        if (ops >> k & 1) out += (out.empty() ? "" : "+") + names.operations[k];
+    for (std::size_t k = 0; k < names.operations.size(); ++k) {
+        if (ops >> k & 1) {
+            out += (out.empty() ? "" : "+") + names.operations[k];
+        }
+    }
     return out;
 }
 
 Words opening(OpMask ops, const Names& names) {
     Words words{"CONFIG"};
-    if (ops != 0) words.insert(words.end(), {"for", classes(ops, names)});
+    if (ops != 0) {
+        words.insert(words.end(), {"for", classes(ops, names)});
+    }
     return words;
 }
 
-void add_lines(std::vector<Words>& parts, const drive::TablePart& part, const Names& names, const Servers& servers) {
-    if (!part.whole && part.lines.empty()) return;
+void add_lines(std::vector<Words>& parts, const drive::TablePart& part, const Names& names,
+               const Servers& servers) {
+    if (!part.whole && part.lines.empty()) {
+        return;
+    }
     auto it = part.lines.begin();
     bool first = true;
     do {
         std::string rows;
-        for (std::size_t count = 0; it != part.lines.end() && count < kRowsMost; ++it, ++count)
+        for (std::size_t count = 0; it != part.lines.end() && count < kRowsMost; ++it, ++count) {
             rows += (rows.empty() ? "" : ",") + servers.id(it->first) + ":" + number(it->second);
+        }
         Words words = opening(part.ops, names);
-        if (part.whole && first) words.insert(words.end(), {"replace", "1"});
-        if (!rows.empty()) words.insert(words.end(), {"rows", rows});
+        if (part.whole && first) {
+            words.insert(words.end(), {"replace", "1"});
+        }
+        if (!rows.empty()) {
+            words.insert(words.end(), {"rows", rows});
+        }
         parts.push_back(std::move(words));
         first = false;
     } while (it != part.lines.end());
@@ -55,41 +69,62 @@
     for (const auto& [op, level] : part.levels) {
         const OpMask bit = OpMask{1} << op.v;
         bool found = false;
-        for (auto& [known, ops] : groups)
-            if (known == level) ops |= bit, found = true;
-        if (!found) groups.emplace_back(level, bit);
+        for (auto& [known, ops] : groups) {
+            if (known == level) {
+                ops |= bit, found = true;
+            }
+        }
+        if (!found) {
+            groups.emplace_back(level, bit);
+        }
     }
     for (const auto& [level, ops] : groups) {
         Words words = opening(ops, names);
-        words.insert(words.end(), {"gate", number(level.let_in), "again", std::to_string(static_cast<int>(level.again))});
+        words.insert(words.end(), {"gate", number(level.let_in), "again",
+                                   std::to_string(static_cast<int>(level.again))});
         parts.push_back(std::move(words));
     }
 }
 
 std::string ids(const std::vector<ServerId>& list, const Servers& servers) {
     std::string out;
-    for (const ServerId server : list) out += (out.empty() ? "" : ",") + servers.id(server);
+    for (const ServerId server : list) {
+        out += (out.empty() ? "" : ",") + servers.id(server);
+    }
     return out;
 }
 
 }  // namespace
 
-std::optional<std::string> to_config(const drive::Order& order, const Names& names, const Servers& servers) {
+std::optional<std::string> to_config(const drive::Order& order, const Names& names,
+                                     const Servers& servers) {
     std::vector<Words> parts;
     for (const auto& part : order.parts) {
         add_lines(parts, *part, names, servers);
         add_levels(parts, *part, names);
     }
-    if (parts.empty()) parts.push_back({"CONFIG"});
+    if (parts.empty()) {
+        parts.push_back({"CONFIG"});
+    }
     // These speak of the whole proxy: any part may carry them, the last one does.
     Words& last = parts.back();
-    if (!order.out.empty()) last.insert(last.end(), {"drop", ids(order.out, servers)});
-    if (!order.back.empty()) last.insert(last.end(), {"undrop", ids(order.back, servers)});
-    if (order.mark) last.insert(last.end(), {"stamp", std::to_string(order.mark->v)});
-    if (parts.size() > kPartsMost) return std::nullopt;
+    if (!order.out.empty()) {
+        last.insert(last.end(), {"drop", ids(order.out, servers)});
+    }
+    if (!order.back.empty()) {
+        last.insert(last.end(), {"undrop", ids(order.back, servers)});
+    }
+    if (order.mark) {
+        last.insert(last.end(), {"stamp", std::to_string(order.mark->v)});
+    }
+    if (parts.size() > kPartsMost) {
+        return std::nullopt;
+    }
     std::string out;
     for (std::size_t k = 0; k < parts.size(); ++k) {
-        if (k + 1 < parts.size()) parts[k].insert(parts[k].end(), {"part", "1"});
+        if (k + 1 < parts.size()) {
+            parts[k].insert(parts[k].end(), {"part", "1"});
+        }
         resp::write(out, parts[k]);
     }
     return out;
--- a/src/platform/orders_text.h
+++ b/src/platform/orders_text.h
@@ -11,6 +11,7 @@
 namespace badgergrade::platform {
 
 // Nothing where the order takes more than the 64 parts that one message may have.
-std::optional<std::string> to_config(const drive::Order& order, const Names& names, const Servers& servers);
+std::optional<std::string> to_config(const drive::Order& order, const Names& names,
+                                     const Servers& servers);
 
 }  // namespace badgergrade::platform
--- a/src/platform/servers.cpp
+++ b/src/platform/servers.cpp
@@ -10,15 +10,19 @@
 constexpr Micros kRemembered = std::chrono::seconds(120);
 }  // namespace
 
-// The module takes 0 for "long ago"; a start before this clock began is just as long ago, but stays a start, and the
-// same one whenever a list repeats it.
+// The module takes 0 for "long ago"; a start before this clock began is just as long ago, but stays
+// a start, and the same one whenever a list repeats it.
 Micros Servers::start_of(double started_ms) const {
-    if (!(started_ms > 0)) return Micros{0};
+    if (!(started_ms > 0)) {
+        return Micros{0};
+    }
     return std::max(Micros{1}, Micros(std::llround(started_ms * 1000)) - wall_ahead_);
 }
 
 ServerId Servers::new_number() {
-    if (free_.empty()) return {++last_};
+    if (free_.empty()) {
+        return {++last_};
+    }
     const ServerId number = *free_.begin();
     free_.erase(free_.begin());
     return number;
@@ -26,29 +30,43 @@
 
 ev::List Servers::take(const InstanceList& list, ListForm form, Micros now) {
     ev::List out{form, {}};
-    if (form != ListForm::Delta)
+    if (form != ListForm::Delta) {
         for (auto& [id, known] : by_id_) {
-            if (known.gone) known.row.state = ServerState::Gone;
-            else known.gone = true, known.gone_since = now;
+            if (known.gone) {
+                known.row.state = ServerState::Gone;
+            } else {
+                known.gone = true, known.gone_since = now;
+            }
         }
+    }
     for (const Instance& instance : list.instances) {
         auto it = by_id_.find(instance.id);
         if (it == by_id_.end()) {
             // What was never there and is gone already needs no number.
-            if (instance.state == ServerState::Gone) continue;
+            if (instance.state == ServerState::Gone) {
+                continue;
+            }
             it = by_id_.emplace(instance.id, Known{{new_number(), {}, {}, 1, {}}, false, {}}).first;
             ids_[it->second.row.server] = instance.id;
         }
         Known& known = it->second;
         const bool gone = instance.state == ServerState::Gone;
-        if (gone && !known.gone) known.gone_since = now;
+        if (gone && !known.gone) {
+            known.gone_since = now;
+        }
         known.gone = gone;
         const auto zone = std::find(names_.zones.begin(), names_.zones.end(), instance.zone);
-        known.row = {known.row.server, {zone == names_.zones.end() ? -1 : static_cast<int>(zone - names_.zones.begin())},
-                     instance.state, instance.weight, start_of(instance.started_ms)};
+        known.row = {
+            known.row.server,
+            {zone == names_.zones.end() ? -1 : static_cast<int>(zone - names_.zones.begin())},
+            instance.state,
+            instance.weight,
+            start_of(instance.started_ms)};
         out.rows.push_back(known.row);
     }
-    if (form != ListForm::Delta) keep_unreadable(list, out);
+    if (form != ListForm::Delta) {
+        keep_unreadable(list, out);
+    }
     return out;
 }
 
@@ -56,14 +74,17 @@
 void Servers::keep_unreadable(const InstanceList& list, ev::List& out) {
     for (const std::string& id : list.unreadable) {
         const auto it = by_id_.find(id);
-        if (it == by_id_.end() || !it->second.gone || it->second.row.state == ServerState::Gone) continue;
+        if (it == by_id_.end() || !it->second.gone || it->second.row.state == ServerState::Gone) {
+            continue;
+        }
         it->second.gone = false;
         out.rows.push_back(it->second.row);
     }
 }
 
 bool Servers::any() const {
-    return std::any_of(by_id_.begin(), by_id_.end(), [](const auto& one) { return !one.second.gone; });
+    return std::any_of(by_id_.begin(), by_id_.end(),
+                       [](const auto& one) { return !one.second.gone; });
 }
 
 std::optional<ServerId> Servers::number(std::string_view id) const {
--- a/src/platform/servers.h
+++ b/src/platform/servers.h
@@ -15,7 +15,8 @@
 
 class Servers {
 public:
-    // `wall_ahead`: Unix time less the module's clock, read once, so that each start has one stable time.
+    // `wall_ahead`: Unix time less the module's clock, read once, so that each start has one stable
+    // time.
     Servers(const Names& names, Micros wall_ahead) : names_(names), wall_ahead_(wall_ahead) {}
 
     // The list as the module is told it. New ids get numbers; one that comes back keeps its own.
@@ -24,12 +25,14 @@
     std::optional<ServerId> number(std::string_view id) const;
     // Empty where there is none.
     const std::string& id(ServerId server) const;
+
     std::size_t size() const { return by_id_.size(); }
+
     // Whether any of them is not gone.
     bool any() const;
 
-    // Numbers of servers that were gone for a while, and that `named` denies, are free for others: a day that replaces
-    // all its servers must not grow.
+    // Numbers of servers that were gone for a while, and that `named` denies, are free for others:
+    // a day that replaces all its servers must not grow.
     void forget(Micros now, const std::function<bool(ServerId)>& named);
 
 private:
@@ -38,6 +41,7 @@
         bool gone = false;
         Micros gone_since{};
     };
+
     ServerId new_number();
     void keep_unreadable(const InstanceList& list, ev::List& out);
     Micros start_of(double started_ms) const;
--- a/src/record/frames.h
+++ b/src/record/frames.h
@@ -1,4 +1,5 @@
-// A recording is a row of frames, each good by itself, so that a cut or damaged file is read as far as it is whole:
+// A recording is a row of frames, each good by itself, so that a cut or damaged file is read as far
+// as it is whole:
 //
 //   8 bytes   "BGFRAME" and the kind: H header, B block, I index
 //   4 bytes   length of the packed body (all numbers little-endian)
@@ -6,7 +7,8 @@
 //   8 bytes   XXH3-64 over the 16 bytes before and the packed body
 //   body      zstd; a message of proto/badgergrade/recording/v1
 //
-// The header comes first, the index last; behind it 16 bytes: where the index stands, and "BGINDEX\n". No I/O.
+// The header comes first, the index last; behind it 16 bytes: where the index stands, and
+// "BGINDEX\n". No I/O.
 #pragma once
 
 #include <cstdint>
@@ -34,7 +36,8 @@
 // The head of a frame; `why` says what is wrong where there is none.
 std::optional<FrameHead> read_head(std::string_view bytes, std::string& why);
 // The body of the frame that `head_bytes` begins; `why` says what is wrong with it.
-std::optional<std::string> unpack_body(const FrameHead& head, std::string_view head_bytes, std::string_view packed, std::string& why);
+std::optional<std::string> unpack_body(const FrameHead& head, std::string_view head_bytes,
+                                       std::string_view packed, std::string& why);
 
 std::string pack_trailer(std::uint64_t index_at);
 std::optional<std::uint64_t> read_trailer(std::string_view bytes);
--- a/src/record/writer.cpp
+++ b/src/record/writer.cpp
@@ -15,12 +15,20 @@
 
 class FileSink final : public Sink {
 public:
-    explicit FileSink(const std::string& path) : path_(path), file_(std::fopen(path.c_str(), "wb"), &std::fclose) {
-        if (!file_) throw CannotWrite(path + ": can't be made: " + std::strerror(errno));
+    explicit FileSink(const std::string& path)
+        : path_(path),
+          file_(std::fopen(path.c_str(), "wb"), &std::fclose) {
+        if (!file_) {
+            throw CannotWrite(path + ": can't be made: " + std::strerror(errno));
+        }
     }
+
     bool write(std::string_view bytes, std::string& why) override {
         // Flushed each time: what a crash leaves behind ends at a whole block.
-        if (std::fwrite(bytes.data(), 1, bytes.size(), file_.get()) == bytes.size() && std::fflush(file_.get()) == 0) return true;
+        if (std::fwrite(bytes.data(), 1, bytes.size(), file_.get()) == bytes.size() &&
+            std::fflush(file_.get()) == 0) {
+            return true;
+        }
         why = path_ + ": " + std::strerror(errno);
         return false;
     }
@@ -37,32 +45,48 @@
 
 Span span_of(const pb::Block& block) {
     Span out{Micros(block.first_us()), Micros(block.first_us())};
-    each_record(block, [&](Micros at, const pb::Record&) { out.first = std::min(out.first, at), out.last = std::max(out.last, at); });
+    each_record(block, [&](Micros at, const pb::Record&) {
+        out.first = std::min(out.first, at), out.last = std::max(out.last, at);
+    });
     return out;
 }
 
 std::string name_in(const pb::Block& block, std::uint32_t number) {
-    return number == 0 || number > static_cast<std::uint32_t>(block.names_size()) ? std::string{} : block.names(static_cast<int>(number) - 1);
+    return number == 0 || number > static_cast<std::uint32_t>(block.names_size())
+               ? std::string{}
+               : block.names(static_cast<int>(number) - 1);
 }
 
-std::unique_ptr<Sink> file_sink(const std::string& path) { return std::make_unique<FileSink>(path); }
+std::unique_ptr<Sink> file_sink(const std::string& path) {
+    return std::make_unique<FileSink>(path);
+}
 
 Writer::Writer(std::unique_ptr<Sink> sink, const pb::Header& header, WriterOptions options)
-    : sink_(std::move(sink)), options_(options), begin_(header.begin_us()) {
+    : sink_(std::move(sink)),
+      options_(options),
+      begin_(header.begin_us()) {
     pb::Header told = header;
     told.set_format(kFormat);
-    const std::string frame = pack_frame(FrameKind::Header, told.SerializeAsString(), options_.level);
+    const std::string frame =
+        pack_frame(FrameKind::Header, told.SerializeAsString(), options_.level);
     std::string why;
-    if (!sink_->write(frame, why)) throw CannotWrite(why);
+    if (!sink_->write(frame, why)) {
+        throw CannotWrite(why);
+    }
     at_ = figures_.bytes = frame.size();
     thread_ = std::thread([this] { run(); });
 }
 
-Writer::~Writer() { finish(); }
+Writer::~Writer() {
+    finish();
+}
 
 pb::Record& Writer::add(Micros now) {
     const Micros at = now - begin_;
-    if (open_ && (size_ > options_.block_bytes || at - Micros(open_->first_us()) >= options_.block_span)) close_block();
+    if (open_ &&
+        (size_ > options_.block_bytes || at - Micros(open_->first_us()) >= options_.block_span)) {
+        close_block();
+    }
     if (!open_) {
         open_ = std::make_unique<pb::Block>();
         open_->set_first_us(at.count());
@@ -76,9 +100,13 @@
 }
 
 std::uint32_t Writer::name(std::string_view text) {
-    if (text.empty()) return 0;
+    if (text.empty()) {
+        return 0;
+    }
     const auto known = names_.find(text);
-    if (known != names_.end()) return known->second;
+    if (known != names_.end()) {
+        return known->second;
+    }
     open_->add_names(std::string(text));
     size_ += text.size() + 2;
     const auto number = static_cast<std::uint32_t>(open_->names_size());
@@ -86,10 +114,14 @@
     return number;
 }
 
-void Writer::flush() { close_block(); }
+void Writer::flush() {
+    close_block();
+}
 
 void Writer::close_block() {
-    if (!open_) return;
+    if (!open_) {
+        return;
+    }
     names_.clear();
     size_ = 0, last_id_ = 0;
     put(std::move(open_), options_.when_full);
@@ -98,14 +130,21 @@
 void Writer::put(std::unique_ptr<pb::Block> block, WhenFull when_full) {
     std::unique_lock lock(mutex_);
     const auto count = static_cast<std::uint64_t>(block->records_size());
-    if (when_full == WhenFull::Wait)
-        room_.wait(lock, [this] { return waiting_.size() < options_.blocks_waiting_most || !figures_.failed.empty(); });
+    if (when_full == WhenFull::Wait) {
+        room_.wait(lock, [this] {
+            return waiting_.size() < options_.blocks_waiting_most || !figures_.failed.empty();
+        });
+    }
     if (waiting_.size() >= options_.blocks_waiting_most || !figures_.failed.empty()) {
-        if (lost_ == 0) lost_from_ = Micros(block->first_us());
+        if (lost_ == 0) {
+            lost_from_ = Micros(block->first_us());
+        }
         lost_ += count, figures_.lost += count;
         return;
     }
-    if (lost_ > 0) block->set_lost(lost_), block->set_lost_from_us(lost_from_.count());
+    if (lost_ > 0) {
+        block->set_lost(lost_), block->set_lost_from_us(lost_from_.count());
+    }
     lost_ = 0;
     waiting_.push_back(std::move(block));
     more_.notify_one();
@@ -117,7 +156,9 @@
         {
             std::unique_lock lock(mutex_);
             more_.wait(lock, [this] { return ending_ || !waiting_.empty(); });
-            if (waiting_.empty()) return;
+            if (waiting_.empty()) {
+                return;
+            }
             block = std::move(waiting_.front());
             waiting_.pop_front();
             room_.notify_one();
@@ -137,7 +178,9 @@
     }
     if (!why.empty() || !write(frame)) {
         const std::lock_guard lock(mutex_);
-        if (!why.empty()) figures_.failed = why;
+        if (!why.empty()) {
+            figures_.failed = why;
+        }
         figures_.lost += count;
         room_.notify_all();
         return;
@@ -155,13 +198,18 @@
     std::string why;
     const bool good = sink_->write(bytes, why);
     const std::lock_guard lock(mutex_);
-    if (good) at_ += bytes.size(), figures_.bytes += bytes.size();
-    else figures_.failed = why.empty() ? "can't be written" : why;
+    if (good) {
+        at_ += bytes.size(), figures_.bytes += bytes.size();
+    } else {
+        figures_.failed = why.empty() ? "can't be written" : why;
+    }
     return good;
 }
 
 void Writer::finish() {
-    if (std::exchange(finished_, true)) return;
+    if (std::exchange(finished_, true)) {
+        return;
+    }
     close_block();
     if (lost_ > 0) {
         // Told in a block of its own: nothing comes after.
@@ -175,9 +223,12 @@
         more_.notify_one();
     }
     thread_.join();
-    if (!figures_.failed.empty()) return;
+    if (!figures_.failed.empty()) {
+        return;
+    }
     const std::uint64_t at = at_;
-    write(pack_frame(FrameKind::Index, index_.SerializeAsString(), options_.level) + pack_trailer(at));
+    write(pack_frame(FrameKind::Index, index_.SerializeAsString(), options_.level) +
+          pack_trailer(at));
 }
 
 WriterFigures Writer::figures() const {
--- a/src/record/writer.h
+++ b/src/record/writer.h
@@ -1,6 +1,6 @@
-// Writes a recording in bounded memory. Records are gathered into blocks; a thread of its own packs and writes them,
-// so that a slow disk does not hold up the loop. When too many blocks wait, whole blocks are lost: counted, and told
-// in the next block that is written.
+// Writes a recording in bounded memory. Records are gathered into blocks; a thread of its own packs
+// and writes them, so that a slow disk does not hold up the loop. When too many blocks wait, whole
+// blocks are lost: counted, and told in the next block that is written.
 #pragma once
 
 #include <condition_variable>
@@ -42,23 +42,29 @@
 struct Span {
     Micros first{}, last{};
 };
+
 Span span_of(const pb::Block& block);
-// Each record with its time, and a name by its number (empty for 0 and for a number that the block does not hold).
+
+// Each record with its time, and a name by its number (empty for 0 and for a number that the block
+// does not hold).
 template <class Take>
 void each_record(const pb::Block& block, const Take& take) {
     Micros at(block.first_us());
-    for (const auto& record : block.records()) take(at += Micros(record.after_us()), record);
+    for (const auto& record : block.records()) {
+        take(at += Micros(record.after_us()), record);
+    }
 }
+
 std::string name_in(const pb::Block& block, std::uint32_t number);
 
 enum class WhenFull { Lose, Wait };
 
 struct WriterOptions {
-    std::size_t block_bytes = 192 << 10;     // about; a block is closed past this
+    std::size_t block_bytes = 192 << 10;  // about; a block is closed past this
     Micros block_span = std::chrono::seconds(5);
     std::size_t blocks_waiting_most = 32;
     WhenFull when_full = WhenFull::Lose;
-    int level = 3;                           // zstd's
+    int level = 3;  // zstd's
 };
 
 struct WriterFigures {
@@ -77,8 +83,10 @@
     pb::Record& add(Micros now);
     // The number of a name in the block of the last record.
     std::uint32_t name(std::string_view text);
+
     // The number of the last invocation that came in the block of the last record; for differences.
     std::int64_t& last_id() { return last_id_; }
+
     // Closes the open block, so that all until now will be written.
     void flush();
     // Writes what is left and the index, and waits for it.
--- a/src/replay/compare.h
+++ b/src/replay/compare.h
@@ -1,5 +1,5 @@
-// One recorded day under two settings, each played twice or more: whether the runs of one setting match, what differs
-// between the settings, and where and why they part.
+// One recorded day under two settings, each played twice or more: whether the runs of one setting
+// match, what differs between the settings, and where and why they part.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -14,25 +14,29 @@
 struct SettingResult {
     Trial trial;
     int runs = 0;
-    bool same = true;              // all runs the same to the byte
+    bool same = true;  // all runs the same to the byte
     Played first;
-    std::vector<double> service;   // whole day, run by run
+    std::vector<double> service;  // whole day, run by run
 };
 
 // The first step at which two trails differ, one decision or one thing heard.
 struct Parting {
     std::size_t step = 0;
     std::optional<Trail::Step> a, b;  // nothing: that trail has ended
+
     Micros at() const { return a && b ? std::min(a->at, b->at) : a ? a->at : b ? b->at : Micros{}; }
 };
-std::optional<Parting> first_parting(const std::vector<Trail::Step>& a, const std::vector<Trail::Step>& b, bool decisions);
+
+std::optional<Parting> first_parting(const std::vector<Trail::Step>& a,
+                                     const std::vector<Trail::Step>& b, bool decisions);
 
 struct Comparison {
     SettingResult a, b;
     std::optional<Parting> heard, decided;
 };
 
-Comparison compare(const RecordedDay& day, const Trial& a, const Trial& b, int runs, const PlayOptions& options);
+Comparison compare(const RecordedDay& day, const Trial& a, const Trial& b, int runs,
+                   const PlayOptions& options);
 
 // A named figure under both settings.
 struct Difference {
@@ -40,6 +44,7 @@
     double a = 0, b = 0;
     bool part = true;  // of 1; else a count
 };
+
 std::vector<Difference> differences(const Comparison& comparison);
 
 nlohmann::ordered_json to_json(const RecordedDay& day, const Comparison& comparison);
