--- a/src/replay/play.cpp
+++ b/src/replay/play.cpp
@@ -14,42 +14,69 @@
 // ---- the trail
 
 void Trail::add(Micros now, const governor::Service& service, bool decision, std::string text) {
-    if (text_ > kTextMost) text.clear();
+    if (text_ > kTextMost) {
+        text.clear();
+    }
     text_ += text.size();
     steps_.push_back({now - begin_, service.id(), decision, std::move(text)});
 }
 
 void Trail::told(Micros now, const governor::Service& service, const Event& event) {
-    if (!std::holds_alternative<ev::Timer>(event)) add(now, service, false, to_text(service, event));
+    if (!std::holds_alternative<ev::Timer>(event)) {
+        add(now, service, false, to_text(service, event));
+    }
 }
 
-void Trail::decided(Micros now, const governor::Service& service, const std::vector<Action>& actions) {
+void Trail::decided(Micros now, const governor::Service& service,
+                    const std::vector<Action>& actions) {
     std::string text;
-    for (const Action& action : actions)
-        if (!std::holds_alternative<act::Timer>(action)) text += (text.empty() ? "" : "; ") + to_text(service, action);
-    if (!text.empty()) add(now, service, true, std::move(text));
+    for (const Action& action : actions) {
+        if (!std::holds_alternative<act::Timer>(action)) {
+            text += (text.empty() ? "" : "; ") + to_text(service, action);
+        }
+    }
+    if (!text.empty()) {
+        add(now, service, true, std::move(text));
+    }
 }
 
 // ---- the series
 
 Series::Second& Series::at(Micros now) {
-    const auto k = static_cast<std::size_t>(std::max<std::int64_t>(0, (now - begin_).count() / 1000000));
-    if (seconds_.size() <= k) seconds_.resize(k + 1);
+    const auto k =
+        static_cast<std::size_t>(std::max<std::int64_t>(0, (now - begin_).count() / 1000000));
+    if (seconds_.size() <= k) {
+        seconds_.resize(k + 1);
+    }
     return seconds_[k];
 }
 
-void Series::invocation_came(Micros now, const standin::Invocation&) { ++at(now).came; }
-void Series::try_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int, int number, standin::TryEnd) {
+void Series::invocation_came(Micros now, const standin::Invocation&) {
+    ++at(now).came;
+}
+
+void Series::try_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int,
+                      int number, standin::TryEnd) {
     Second& second = at(now);
     ++second.tries;
     second.further += number > 1;
 }
-void Series::joined(Micros now, const std::string&, const std::string&) { ++at(now).joins; }
-void Series::server_fell(Micros now, const std::string&, const std::vector<Push>&) { ++at(now).pushed_over; }
-void Series::response_read(Micros now, const std::string&, const std::string&, const std::string& orders, std::size_t, const std::string& why) {
+
+void Series::joined(Micros now, const std::string&, const std::string&) {
+    ++at(now).joins;
+}
+
+void Series::server_fell(Micros now, const std::string&, const std::vector<Push>&) {
+    ++at(now).pushed_over;
+}
+
+void Series::response_read(Micros now, const std::string&, const std::string&,
+                           const std::string& orders, std::size_t, const std::string& why) {
     const auto read = xds::read_orders(orders);
     for (const auto& order : read.orders) {
-        if (why.empty()) at(now).lines += order.lines;
+        if (why.empty()) {
+            at(now).lines += order.lines;
+        }
         auto& moves = moves_[read.origin];
         moves[order.ordered] += order.lines;
         moves[order.released] -= order.lines;
@@ -64,9 +91,15 @@
         for (auto it = moves.begin(); it != moves.end(); ++it) {
             waiting += it->second;
             const auto next = std::next(it);
-            const auto first = static_cast<std::size_t>(std::max<std::int64_t>(0, (it->first - begin_).count() / 1000000));
-            const auto last = next == moves.end() ? first : static_cast<std::size_t>(std::max<std::int64_t>(0, (next->first - begin_).count() / 1000000));
-            for (std::size_t k = first; k <= last && k < out.size(); ++k) out[k].waiting = std::max(out[k].waiting, waiting);
+            const auto first = static_cast<std::size_t>(
+                std::max<std::int64_t>(0, (it->first - begin_).count() / 1000000));
+            const auto last = next == moves.end()
+                                  ? first
+                                  : static_cast<std::size_t>(std::max<std::int64_t>(
+                                        0, (next->first - begin_).count() / 1000000));
+            for (std::size_t k = first; k <= last && k < out.size(); ++k) {
+                out[k].waiting = std::max(out[k].waiting, waiting);
+            }
         }
     }
     return out;
@@ -77,16 +110,25 @@
 Played play(const RecordedDay& day, const Trial& trial, const PlayOptions& options) {
     std::vector<config::Mistake> mistakes;
     Playable playable = make_playable(day, trial, mistakes);
-    if (!mistakes.empty()) throw std::runtime_error(config::to_text(mistakes.front()));
+    if (!mistakes.empty()) {
+        throw std::runtime_error(config::to_text(mistakes.front()));
+    }
     Played out;
     out.from = options.from, out.to = options.to > 0us ? options.to : day.length;
-    if (out.from < 0us || out.from >= out.to || out.to > day.length)
-        throw std::runtime_error("the day lasts from 0 to " + std::to_string(static_cast<double>(day.length.count()) / 1e6) +
+    if (out.from < 0us || out.from >= out.to || out.to > day.length) {
+        throw std::runtime_error("the day lasts from 0 to " +
+                                 std::to_string(static_cast<double>(day.length.count()) / 1e6) +
                                  " s; from must lie before to, and both within it");
-    if (options.seed) playable.script.seed = *options.seed;
+    }
+    if (options.seed) {
+        playable.script.seed = *options.seed;
+    }
     playable.script.length = out.to;
-    for (auto& [forwarder, list] : playable.world.traffic)
-        std::erase_if(list, [&](const auto& one) { return one.came < out.from - options.lead || one.came >= out.to; });
+    for (auto& [forwarder, list] : playable.world.traffic) {
+        std::erase_if(list, [&](const auto& one) {
+            return one.came < out.from - options.lead || one.came >= out.to;
+        });
+    }
     // A virtual and a real clock both begin here (day/runner.cpp).
     std::optional<Trail> trail;
     std::optional<Series> series;
@@ -100,7 +142,9 @@
     };
     how.before = [&](day::World& world) {
         world.governor_watcher = &*trail;
-        if (options.before) options.before(world);
+        if (options.before) {
+            options.before(world);
+        }
     };
     out.run = day::run_day(playable.script, how);
     out.script = std::move(playable.script);
--- a/src/replay/play.h
+++ b/src/replay/play.h
@@ -1,4 +1,5 @@
-// Plays a recorded day again through governors on loopback sockets, and keeps what is needed to compare runs.
+// Plays a recorded day again through governors on loopback sockets, and keeps what is needed to
+// compare runs.
 #pragma once
 
 #include <optional>
@@ -21,11 +22,14 @@
         std::string text;
         friend bool operator==(const Step&, const Step&) = default;
     };
+
     explicit Trail(Micros begin = {}) : begin_(begin) {}
+
     void told(Micros, const governor::Service&, const Event&) override;
     void decided(Micros, const governor::Service&, const std::vector<Action>&) override;
 
     const std::vector<Step>& steps() const { return steps_; }
+
     // Past this many bytes of text only times are kept, so that an hour stays in memory.
     static constexpr std::size_t kTextMost = 256u << 20;
 
@@ -44,11 +48,15 @@
         std::int64_t came = 0, tries = 0, further = 0, pushed_over = 0, joins = 0;
         double lines = 0, waiting = 0;  // lines applied; most lines that waited in the channels
     };
+
     explicit Series(Micros begin) : begin_(begin) {}
+
     void invocation_came(Micros, const standin::Invocation&) override;
-    void try_sent(Micros, const std::string&, const std::string&, std::uint64_t, int, int number, standin::TryEnd) override;
+    void try_sent(Micros, const std::string&, const std::string&, std::uint64_t, int, int number,
+                  standin::TryEnd) override;
     void joined(Micros, const std::string&, const std::string&) override;
-    void response_read(Micros, const std::string&, const std::string&, const std::string& orders, std::size_t, const std::string&) override;
+    void response_read(Micros, const std::string&, const std::string&, const std::string& orders,
+                       std::size_t, const std::string&) override;
     void server_fell(Micros, const std::string&, const std::vector<Push>&) override;
 
     // With the waiting lines reckoned from when orders were given and when they left.
@@ -58,21 +66,24 @@
     Second& at(Micros now);
     Micros begin_;
     std::vector<Second> seconds_;
-    std::map<std::string, std::map<Micros, double>> moves_;  // by governor: lines that began to wait or left
+    std::map<std::string, std::map<Micros, double>>
+        moves_;  // by governor: lines that began to wait or left
 };
 
 struct PlayOptions {
     day::ClockKind clock = day::ClockKind::Virtual;
     double speed = 1;
     std::optional<std::uint64_t> seed;
-    Micros from{}, to{};          // to 0: to its end
-    // Traffic sets in so long before `from`, uncounted: tables, queues and what the module has seen must be as at work.
+    Micros from{}, to{};  // to 0: to its end
+    // Traffic sets in so long before `from`, uncounted: tables, queues and what the module has seen
+    // must be as at work.
     Micros lead = std::chrono::seconds(60);
     log::Level log = log::Level::Off;
     // Taken beside, as by a recorder.
     std::function<void(day::World&)> before;
     std::vector<standin::Observer*> watchers;
 };
+
 struct Played {
     day::DayScript script;  // as played
     day::DayRun run;
--- a/src/replay/recorded_day.cpp
+++ b/src/replay/recorded_day.cpp
@@ -16,30 +16,47 @@
 
 const char* kind_of(const pb::Record& record) {
     switch (record.what_case()) {
-        case pb::Record::kCame: return "invocations";
-        case pb::Record::kEnded: return "results";
-        case pb::Record::kTried: return "tries";
-        case pb::Record::kJoined: return "joins";
-        case pb::Record::kLeft: return "breaks";
-        case pb::Record::kMove: return "moves";
-        case pb::Record::kTold: return "events";
-        case pb::Record::kDecided: return "decisions";
+        case pb::Record::kCame:
+            return "invocations";
+        case pb::Record::kEnded:
+            return "results";
+        case pb::Record::kTried:
+            return "tries";
+        case pb::Record::kJoined:
+            return "joins";
+        case pb::Record::kLeft:
+            return "breaks";
+        case pb::Record::kMove:
+            return "moves";
+        case pb::Record::kTold:
+            return "events";
+        case pb::Record::kDecided:
+            return "decisions";
         case pb::Record::kStarted:
-        case pb::Record::kStopped: return "lives";
-        case pb::Record::kTrouble: return "troubles";
-        case pb::Record::kRead: return "responses";
-        case pb::Record::kBroken: return "broken rules";
-        case pb::Record::WHAT_NOT_SET: break;
+        case pb::Record::kStopped:
+            return "lives";
+        case pb::Record::kTrouble:
+            return "troubles";
+        case pb::Record::kRead:
+            return "responses";
+        case pb::Record::kBroken:
+            return "broken rules";
+        case pb::Record::WHAT_NOT_SET:
+            break;
     }
     return "unknown";
 }
 
 standin::WorkerSettings worker_of(const std::string& id, const pb::Worker& w) {
     standin::WorkerSettings s;
-    s.id = id, s.zone = w.zone(), s.cores = w.cores(), s.speed = w.speed(), s.queue_per_core = w.queue_per_core();
-    s.cold_from = w.cold_from(), s.cold_time = Micros(w.cold_time_us()), s.fall_time = Micros(w.fall_time_us());
-    s.fall_multiple = w.fall_multiple(), s.connections_most = w.connections_most(), s.handshake_work = Micros(w.handshake_work_us());
-    s.key_gain = w.key_gain(), s.key_time = Micros(w.key_time_us()), s.reports_load = w.reports_load();
+    s.id = id, s.zone = w.zone(), s.cores = w.cores(), s.speed = w.speed(),
+    s.queue_per_core = w.queue_per_core();
+    s.cold_from = w.cold_from(), s.cold_time = Micros(w.cold_time_us()),
+    s.fall_time = Micros(w.fall_time_us());
+    s.fall_multiple = w.fall_multiple(), s.connections_most = w.connections_most(),
+    s.handshake_work = Micros(w.handshake_work_us());
+    s.key_gain = w.key_gain(), s.key_time = Micros(w.key_time_us()),
+    s.reports_load = w.reports_load();
     s.report_every = Micros(w.report_every_us()), s.error_rate = w.error_rate();
     return s;
 }
@@ -56,7 +73,9 @@
 class Builder {
 public:
     Builder(RecordedDay& day, const day::DayScript& script)
-        : day_(day), script_(script), figures_(script, 0us, script.length, {}) {}
+        : day_(day),
+          script_(script),
+          figures_(script, 0us, script.length, {}) {}
 
     void take(const pb::Block& block) {
         block_ = &block;
@@ -67,36 +86,54 @@
             take(steady(told), record);
         });
     }
+
     void close() {
         figures_.close();
         day_.figures = figures_.json();
-        if (senseless_ > 0)
-            day_.damage.push_back({0, std::to_string(senseless_) + " moves name what this recording does not begin; they are left out"});
+        if (senseless_ > 0) {
+            day_.damage.push_back(
+                {0, std::to_string(senseless_) +
+                        " moves name what this recording does not begin; they are left out"});
+        }
     }
 
 private:
-    // Where the recorder's clock went back, the day goes on from where it was: what follows is moved by as much.
+    // Where the recorder's clock went back, the day goes on from where it was: what follows is
+    // moved by as much.
     Micros steady(Micros told) {
         if (told < last_told_) {
-            day_.damage.push_back({0, "the clock went back by " + std::to_string((last_told_ - told).count()) + " us at " +
-                                          std::to_string(last_told_.count()) + " us; what follows is moved by as much"});
+            day_.damage.push_back({0, "the clock went back by " +
+                                          std::to_string((last_told_ - told).count()) + " us at " +
+                                          std::to_string(last_told_.count()) +
+                                          " us; what follows is moved by as much"});
             moved_by_ += last_told_ - told;
         }
         last_told_ = told;
         return told + moved_by_;
     }
+
     std::string name(std::uint32_t number) const { return record::name_in(*block_, number); }
+
     void take(Micros at, const pb::Record& record) {
-        if (record.has_move()) return move(at, record.move());
-        if (record.has_came()) return came(at, record.came());
-        if (record.has_ended()) return ended(at, record.ended());
+        if (record.has_move()) {
+            return move(at, record.move());
+        }
+        if (record.has_came()) {
+            return came(at, record.came());
+        }
+        if (record.has_ended()) {
+            return ended(at, record.ended());
+        }
         if (record.has_trouble()) {
             const auto& t = record.trouble();
-            day_.troubles.push_back({at, Micros(t.lasts_us()), t.name() + (t.whom().empty() ? "" : " " + t.whom())});
+            day_.troubles.push_back(
+                {at, Micros(t.lasts_us()), t.name() + (t.whom().empty() ? "" : " " + t.whom())});
         }
-        if (record.has_tried())
+        if (record.has_tried()) {
             figures_.try_sent(at, {}, {}, 0, 0, static_cast<int>(record.tried().number()), {});
+        }
     }
+
     void move(Micros at, const pb::Move& from) {
         day::TimedMove out;
         out.at = at, out.opening = from.opening();
@@ -104,73 +141,110 @@
         out.joined = from.joined() && !day_.world.moves.empty() && day_.world.moves.back().at == at;
         day::Move& m = out.what;
         m.kind = static_cast<day::MoveKind>(from.kind());
-        m.who = name(from.who()), m.on = from.on(), m.by = from.by(), m.wait = Micros(from.wait_us()), m.text = from.text();
-        if (from.has_trouble()) m.trouble = trouble_of(from.trouble());
-        if (from.has_worker()) m.worker = worker_of(m.who, from.worker());
-        if (!makes_sense(m)) return void(++senseless_);
-        if (m.kind == day::MoveKind::AddForwarder) figures_.place(m.who, m.text);
+        m.who = name(from.who()), m.on = from.on(), m.by = from.by(),
+        m.wait = Micros(from.wait_us()), m.text = from.text();
+        if (from.has_trouble()) {
+            m.trouble = trouble_of(from.trouble());
+        }
+        if (from.has_worker()) {
+            m.worker = worker_of(m.who, from.worker());
+        }
+        if (!makes_sense(m)) {
+            return void(++senseless_);
+        }
+        if (m.kind == day::MoveKind::AddForwarder) {
+            figures_.place(m.who, m.text);
+        }
         day_.world.moves.push_back(std::move(out));
     }
-    // Where blocks are lost, a move may name a host whose beginning is lost with them, or start what already runs.
+
+    // Where blocks are lost, a move may name a host whose beginning is lost with them, or start
+    // what already runs.
     bool makes_sense(const day::Move& m) {
         using enum day::MoveKind;
         switch (m.kind) {
-            case AddWorker: return workers_.try_emplace(m.who, false).second;
-            case AddForwarder: return forwarders_.insert(m.who).second;
+            case AddWorker:
+                return workers_.try_emplace(m.who, false).second;
+            case AddForwarder:
+                return forwarders_.insert(m.who).second;
             case StartWorker:
             case StopWorker:
-                if (!workers_.contains(m.who)) return false;
+                if (!workers_.contains(m.who)) {
+                    return false;
+                }
                 workers_[m.who] = m.kind == StartWorker;
                 return true;
             case ListWorker:
             case UnlistWorker:
-            case TroubleWorker: return workers_.contains(m.who) && (m.kind == UnlistWorker || workers_[m.who]);
+            case TroubleWorker:
+                return workers_.contains(m.who) && (m.kind == UnlistWorker || workers_[m.who]);
             case StartForwarder:
             case StopForwarder:
             case BreakStream:
             case IsolateForwarder:
-            case StallForwarder: return forwarders_.contains(m.who);
+            case StallForwarder:
+                return forwarders_.contains(m.who);
             case StartGovernor:
             case StopGovernor: {
-                const auto known = m.who.rfind("governor-", 0) == 0 && std::atoi(m.who.c_str() + 9) < script_.governors;
-                return known && std::exchange(governors_[m.who], m.kind == StartGovernor) != (m.kind == StartGovernor);
+                const auto known = m.who.rfind("governor-", 0) == 0 &&
+                                   std::atoi(m.who.c_str() + 9) < script_.governors;
+                return known && std::exchange(governors_[m.who], m.kind == StartGovernor) !=
+                                    (m.kind == StartGovernor);
             }
-            default: return m.kind >= CutZone && m.kind <= GiveUp;
+            default:
+                return m.kind >= CutZone && m.kind <= GiveUp;
         }
     }
+
     void came(Micros at, const pb::Came& from) {
         last_id_ += from.id_more();
         standin::Invocation one;
-        one.id = static_cast<std::uint64_t>(last_id_), one.operation = static_cast<int>(from.operation());
-        if (one.operation >= static_cast<int>(script_.operations.size()))
-            throw std::runtime_error(day_.path + ": an invocation of operation " + std::to_string(one.operation) + ", which the settings do not name");
-        if (!forwarders_.contains(name(from.forwarder()))) return void(++senseless_);
-        one.forwarder = name(from.forwarder()), one.key = name(from.key()), one.work = Micros(static_cast<std::int64_t>(from.work_us()));
+        one.id = static_cast<std::uint64_t>(last_id_),
+        one.operation = static_cast<int>(from.operation());
+        if (one.operation >= static_cast<int>(script_.operations.size())) {
+            throw std::runtime_error(day_.path + ": an invocation of operation " +
+                                     std::to_string(one.operation) +
+                                     ", which the settings do not name");
+        }
+        if (!forwarders_.contains(name(from.forwarder()))) {
+            return void(++senseless_);
+        }
+        one.forwarder = name(from.forwarder()), one.key = name(from.key()),
+        one.work = Micros(static_cast<std::int64_t>(from.work_us()));
         one.came = at;
         figures_.invocation_came(at, one);
         ++day_.invocations;
         open_[one.id] = {one.operation, one.forwarder, at};
         day_.world.traffic[one.forwarder].push_back(std::move(one));
     }
+
     void ended(Micros at, const pb::Ended& from) {
         const auto id = static_cast<std::uint64_t>(last_id_ - from.id_less());
         const auto it = open_.find(id);
-        if (it == open_.end()) return;  // it came in a block that is lost
+        if (it == open_.end()) {
+            return;  // it came in a block that is lost
+        }
         standin::Invocation one;
-        one.id = id, one.operation = it->second.operation, one.forwarder = it->second.forwarder, one.came = it->second.came;
-        for (std::uint32_t n = 0; n < from.client_tries(); ++n) figures_.client_try(at, one);
-        figures_.invocation_ended(at, one, static_cast<standin::Result>(std::min(from.result(), 3u)));
+        one.id = id, one.operation = it->second.operation, one.forwarder = it->second.forwarder,
+        one.came = it->second.came;
+        for (std::uint32_t n = 0; n < from.client_tries(); ++n) {
+            figures_.client_try(at, one);
+        }
+        figures_.invocation_ended(at, one,
+                                  static_cast<standin::Result>(std::min(from.result(), 3u)));
         open_.erase(it);
     }
 
     std::map<std::string, bool> workers_, governors_;  // whether it runs
     std::set<std::string> forwarders_;
     std::uint64_t senseless_ = 0;
+
     struct Open {
         int operation = 0;
         std::string forwarder;
         Micros came{};
     };
+
     RecordedDay& day_;
     const day::DayScript& script_;
     day::Figures figures_;
@@ -202,9 +276,15 @@
     std::vector<config::Mistake> mistakes;
     out.settings = config::IniFile::parse(path, out.header.settings(), mistakes);
     out.script = without_settings(out.header.script());
-    if (out.header.script().empty()) throw std::runtime_error(path + ": holds no day, but what " + out.header.made_by() + " met: make a day of it with replay merge");
+    if (out.header.script().empty()) {
+        throw std::runtime_error(path + ": holds no day, but what " + out.header.made_by() +
+                                 " met: make a day of it with replay merge");
+    }
     auto script = day::parse_script(path, out.script, out.settings, mistakes);
-    if (!mistakes.empty()) throw std::runtime_error(path + ": its settings can't be read: " + config::to_text(mistakes.front()));
+    if (!mistakes.empty()) {
+        throw std::runtime_error(
+            path + ": its settings can't be read: " + config::to_text(mistakes.front()));
+    }
     script.seed = out.header.seed();
     out.length = Micros(out.header.length_us());
     Builder builder(out, script);
@@ -218,10 +298,14 @@
     if (!reader.finished() && !reader.blocks().empty()) {
         // Cut: the day ends where the file does.
         Micros last{};
-        for (const auto& block : reader.blocks()) last = std::max(last, block.last);
+        for (const auto& block : reader.blocks()) {
+            last = std::max(last, block.last);
+        }
         out.length = std::min(out.length, last + 1us);
     }
-    if (out.world.moves.empty() || out.invocations == 0) throw std::runtime_error(path + ": holds no day that could be played");
+    if (out.world.moves.empty() || out.invocations == 0) {
+        throw std::runtime_error(path + ": holds no day that could be played");
+    }
     return out;
 }
 
--- a/src/replay/recorded_day.h
+++ b/src/replay/recorded_day.h
@@ -1,5 +1,5 @@
-// A recording read back into what can be played again: the world as it was, the invocations as they came, and what
-// the day came to.
+// A recording read back into what can be played again: the world as it was, the invocations as they
+// came, and what the day came to.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -23,18 +23,20 @@
 struct RecordedDay {
     std::string path;
     pb::Header header;
-    config::IniFile settings;      // as in force when it was recorded
-    std::string script;            // the day's text, without its settings
+    config::IniFile settings;  // as in force when it was recorded
+    std::string script;        // the day's text, without its settings
     day::GivenWorld world;
     std::vector<TroubleSpan> troubles;
     Micros length{};
     std::uint64_t records = 0, lost = 0, invocations = 0;
     std::vector<record::Damage> damage;
-    nlohmann::ordered_json figures;  // as recorded; tries and effects of the stand-ins only as far as recorded
+    nlohmann::ordered_json
+        figures;  // as recorded; tries and effects of the stand-ins only as far as recorded
     std::map<std::string, std::uint64_t> kinds;  // records by kind
 };
 
-// Reads it whole. Throws std::runtime_error where the file is none, or holds no day that could be played.
+// Reads it whole. Throws std::runtime_error where the file is none, or holds no day that could be
+// played.
 RecordedDay load_recording(const std::string& path);
 
 // The script without the lines that name settings: those stand in the recording.
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -15,8 +15,13 @@
 namespace {
 
 // Zones count from 1, 0 is none.
-std::uint32_t zone_number(ZoneId zone) { return static_cast<std::uint32_t>(zone.v + 1); }
-Micros age_of(Micros now, Micros started) { return started > 0us ? std::max(1us, now - started) : 0us; }
+std::uint32_t zone_number(ZoneId zone) {
+    return static_cast<std::uint32_t>(zone.v + 1);
+}
+
+Micros age_of(Micros now, Micros started) {
+    return started > 0us ? std::max(1us, now - started) : 0us;
+}
 
 std::string text_of(double v) {
     std::ostringstream out;
@@ -39,18 +44,23 @@
     out.set_seed(script.seed);
     out.set_begin_us(begin.count());
     out.set_length_us(script.length.count());
-    for (const auto& op : script.governor.told.operations) out.add_operations(op.name);
+    for (const auto& op : script.governor.told.operations) {
+        out.add_operations(op.name);
+    }
     return out;
 }
 
-pb::Header header_of(const config::GovernorConfig& config, const std::string& settings, Micros begin, const std::string& wall) {
+pb::Header header_of(const config::GovernorConfig& config, const std::string& settings,
+                     Micros begin, const std::string& wall) {
     pb::Header out;
     out.set_made_by("governor " + config.id);
     out.set_settings(settings);
     out.set_seed(config.seed);
     out.set_begin_us(begin.count());
     out.set_wall_begin(wall);
-    for (const auto& op : config.told.operations) out.add_operations(op.name);
+    for (const auto& op : config.told.operations) {
+        out.add_operations(op.name);
+    }
     return out;
 }
 
@@ -58,7 +68,9 @@
     world.on_move = [this](Micros now, bool opening, bool joined, const day::Move& move) {
         write_move(writer_, now, {now, opening, joined, move});
     };
-    world.on_trouble = [this](Micros now, const day::Trouble& trouble) { struck(now, trouble); };
+    world.on_trouble = [this](Micros now, const day::Trouble& trouble) {
+        struck(now, trouble);
+    };
     world.governor_watcher = this;
 }
 
@@ -67,28 +79,36 @@
     auto& out = *writer.add(now).mutable_move();
     out.set_kind(static_cast<std::uint32_t>(move.kind));
     out.set_who(writer.name(move.who));
-    out.set_on(move.on), out.set_by(move.by), out.set_wait_us(move.wait.count()), out.set_text(move.text);
+    out.set_on(move.on), out.set_by(move.by), out.set_wait_us(move.wait.count()),
+        out.set_text(move.text);
     out.set_opening(timed.opening), out.set_joined(timed.joined);
     if (move.kind == day::MoveKind::TroubleWorker) {
         auto& t = *out.mutable_trouble();
-        t.set_hangs(move.trouble.hangs), t.set_errors(move.trouble.errors), t.set_slower(move.trouble.slower);
-        t.set_taken(move.trouble.taken), t.set_answers_lost(move.trouble.answers_lost), t.set_counters(move.trouble.counters);
+        t.set_hangs(move.trouble.hangs), t.set_errors(move.trouble.errors),
+            t.set_slower(move.trouble.slower);
+        t.set_taken(move.trouble.taken), t.set_answers_lost(move.trouble.answers_lost),
+            t.set_counters(move.trouble.counters);
         t.set_connections_most(move.trouble.connections_most);
     }
     if (move.kind == day::MoveKind::AddWorker) {
         auto& w = *out.mutable_worker();
         const auto& s = move.worker;
-        w.set_zone(s.zone), w.set_cores(s.cores), w.set_speed(s.speed), w.set_queue_per_core(s.queue_per_core);
-        w.set_cold_from(s.cold_from), w.set_cold_time_us(s.cold_time.count()), w.set_fall_time_us(s.fall_time.count());
+        w.set_zone(s.zone), w.set_cores(s.cores), w.set_speed(s.speed),
+            w.set_queue_per_core(s.queue_per_core);
+        w.set_cold_from(s.cold_from), w.set_cold_time_us(s.cold_time.count()),
+            w.set_fall_time_us(s.fall_time.count());
         w.set_fall_multiple(s.fall_multiple), w.set_connections_most(s.connections_most);
-        w.set_handshake_work_us(s.handshake_work.count()), w.set_key_gain(s.key_gain), w.set_key_time_us(s.key_time.count());
-        w.set_reports_load(s.reports_load), w.set_report_every_us(s.report_every.count()), w.set_error_rate(s.error_rate);
+        w.set_handshake_work_us(s.handshake_work.count()), w.set_key_gain(s.key_gain),
+            w.set_key_time_us(s.key_time.count());
+        w.set_reports_load(s.reports_load), w.set_report_every_us(s.report_every.count()),
+            w.set_error_rate(s.error_rate);
     }
 }
 
 void Recorder::struck(Micros now, const day::Trouble& trouble) {
     auto& out = *writer_.add(now).mutable_trouble();
-    out.set_name(trouble.name), out.set_lasts_us(trouble.lasts.count()), out.set_line(static_cast<std::uint32_t>(trouble.line));
+    out.set_name(trouble.name), out.set_lasts_us(trouble.lasts.count()),
+        out.set_line(static_cast<std::uint32_t>(trouble.line));
     out.set_whom(!trouble.one.empty() ? trouble.one
                  : trouble.count > 0  ? std::to_string(trouble.count)
                  : trouble.part > 0   ? text_of(trouble.part * 100) + "%"
@@ -104,42 +124,55 @@
     out.set_id_more(id - last);
     last = id;
     out.set_forwarder(writer_.name(what.forwarder)), out.set_key(writer_.name(what.key));
-    out.set_operation(static_cast<std::uint32_t>(what.operation)), out.set_work_us(static_cast<std::uint64_t>(what.work.count()));
+    out.set_operation(static_cast<std::uint32_t>(what.operation)),
+        out.set_work_us(static_cast<std::uint64_t>(what.work.count()));
 }
 
-void Recorder::invocation_ended(Micros now, const standin::Invocation& what, standin::Result result) {
+void Recorder::invocation_ended(Micros now, const standin::Invocation& what,
+                                standin::Result result) {
     const auto first = tries_.lower_bound({what.id, std::string()});
     auto it = first;
-    for (; it != tries_.end() && it->first.first == what.id; ++it) write_try(now, it->first.second, what.id, it->second, kGivenUp);
+    for (; it != tries_.end() && it->first.first == what.id; ++it) {
+        write_try(now, it->first.second, what.id, it->second, kGivenUp);
+    }
     tries_.erase(first, it);
     auto& out = *writer_.add(now).mutable_ended();
     out.set_id_less(writer_.last_id() - static_cast<std::int64_t>(what.id));
-    out.set_result(static_cast<std::uint32_t>(result)), out.set_client_tries(static_cast<std::uint32_t>(what.client_tries));
+    out.set_result(static_cast<std::uint32_t>(result)),
+        out.set_client_tries(static_cast<std::uint32_t>(what.client_tries));
 }
 
-void Recorder::try_sent(Micros now, const std::string& forwarder, const std::string& server, std::uint64_t invocation, int operation,
-                        int number, standin::TryEnd) {
+void Recorder::try_sent(Micros now, const std::string& forwarder, const std::string& server,
+                        std::uint64_t invocation, int operation, int number, standin::TryEnd) {
     OpenTry one{server, now, operation, number};
     const auto [it, fresh] = tries_.try_emplace({invocation, forwarder}, one);
-    if (fresh) return;
+    if (fresh) {
+        return;
+    }
     // The one before was given up with its client's try.
     write_try(now, forwarder, invocation, it->second, kGivenUp);
     it->second = std::move(one);
 }
 
-void Recorder::try_ended(Micros now, const std::string& forwarder, const std::string&, std::uint64_t invocation, standin::TryEnd end) {
+void Recorder::try_ended(Micros now, const std::string& forwarder, const std::string&,
+                         std::uint64_t invocation, standin::TryEnd end) {
     const auto it = tries_.find({invocation, forwarder});
-    if (it == tries_.end()) return;
+    if (it == tries_.end()) {
+        return;
+    }
     write_try(now, forwarder, invocation, it->second, static_cast<std::uint32_t>(end));
     tries_.erase(it);
 }
 
-void Recorder::write_try(Micros now, const std::string& forwarder, std::uint64_t invocation, const OpenTry& one, std::uint32_t end) {
+void Recorder::write_try(Micros now, const std::string& forwarder, std::uint64_t invocation,
+                         const OpenTry& one, std::uint32_t end) {
     auto& out = *writer_.add(now).mutable_tried();
     out.set_id_less(writer_.last_id() - static_cast<std::int64_t>(invocation));
-    out.set_server(writer_.name(one.server)), out.set_number(static_cast<std::uint32_t>(one.number)), out.set_end(end);
+    out.set_server(writer_.name(one.server)),
+        out.set_number(static_cast<std::uint32_t>(one.number)), out.set_end(end);
     out.set_took_us(static_cast<std::uint64_t>((now - one.sent).count()));
-    out.set_forwarder(writer_.name(forwarder)), out.set_operation(static_cast<std::uint32_t>(one.operation));
+    out.set_forwarder(writer_.name(forwarder)),
+        out.set_operation(static_cast<std::uint32_t>(one.operation));
 }
 
 // ---- streams
@@ -154,8 +187,8 @@
     out.set_forwarder(writer_.name(forwarder)), out.set_governor(writer_.name(governor));
 }
 
-void Recorder::response_read(Micros now, const std::string& forwarder, const std::string& governor, const std::string&,
-                             std::size_t bytes, const std::string& why) {
+void Recorder::response_read(Micros now, const std::string& forwarder, const std::string& governor,
+                             const std::string&, std::size_t bytes, const std::string& why) {
     auto& out = *writer_.add(now).mutable_read();
     out.set_forwarder(writer_.name(forwarder)), out.set_governor(writer_.name(governor));
     out.set_bytes(static_cast<std::uint32_t>(bytes)), out.set_rejected(!why.empty());
@@ -175,90 +208,123 @@
 
 void Recorder::told(Micros now, const governor::Service& service, const Event& event) {
     // The module's own beat says nothing of the day.
-    if (std::holds_alternative<ev::Timer>(event)) return;
+    if (std::holds_alternative<ev::Timer>(event)) {
+        return;
+    }
     auto& out = *writer_.add(now).mutable_told();
     out.set_governor(writer_.name(service.id()));
-    const auto forwarder = [&](ProxyId proxy) { return writer_.name(service.forwarder_name(proxy)); };
-    const auto server = [&](ServerId id) { return writer_.name(service.server_name(id)); };
-    std::visit(Cases{
-                   [&](const ev::List& e) {
-                       auto& list = *out.mutable_list();
-                       list.set_form(static_cast<std::uint32_t>(e.form));
-                       for (const auto& row : e.rows) {
-                           auto& to = *list.add_rows();
-                           to.set_server(server(row.server)), to.set_zone(zone_number(row.zone));
-                           to.set_state(static_cast<std::uint32_t>(row.state)), to.set_weight(row.weight);
-                           to.set_age_us(age_of(now, row.started).count());
-                       }
-                   },
-                   [&](const ev::Joined& e) {
-                       auto& to = *out.mutable_joined();
-                       to.set_forwarder(forwarder(e.proxy)), to.set_zone(zone_number(e.zone)), to.set_fresh(e.fresh), to.set_rate(e.rate);
-                   },
-                   [&](const ev::Left& e) { out.mutable_left()->set_forwarder(forwarder(e.proxy)); },
-                   [&](const ev::Heard& e) {
-                       auto& to = *out.mutable_heard();
-                       to.set_zone(zone_number(e.zone)), to.set_server(server(e.server)), to.set_tries(e.tries), to.set_errored(e.errored);
-                       to.set_mean_us(e.mean.count()), to.set_span_us(e.span.count());
-                       for (const double load : e.load) to.add_load(load);
-                   },
-                   [&](const ev::Demand& e) {
-                       auto& to = *out.mutable_demand();
-                       to.set_forwarder(forwarder(e.proxy)), to.set_operation(static_cast<std::uint32_t>(e.op.v)), to.set_count(e.count);
-                       to.set_errored(e.errored), to.set_span_us(e.span.count());
-                   },
-                   [&](const ev::Probed& e) {
-                       auto& to = *out.mutable_probed();
-                       to.set_server(server(e.server)), to.set_outcome(static_cast<std::uint32_t>(e.outcome)), to.set_took_us(e.took.count());
-                   },
-                   [&](const ev::Applied& e) {
-                       auto& to = *out.mutable_applied();
-                       to.set_forwarder(forwarder(e.proxy)), to.set_mark(e.mark.v), to.set_took_us(e.took.count());
-                   },
-                   [](const auto&) {},
-               },
-               event);
+    const auto forwarder = [&](ProxyId proxy) {
+        return writer_.name(service.forwarder_name(proxy));
+    };
+    const auto server = [&](ServerId id) {
+        return writer_.name(service.server_name(id));
+    };
+    std::visit(
+        Cases{
+            [&](const ev::List& e) {
+                auto& list = *out.mutable_list();
+                list.set_form(static_cast<std::uint32_t>(e.form));
+                for (const auto& row : e.rows) {
+                    auto& to = *list.add_rows();
+                    to.set_server(server(row.server)), to.set_zone(zone_number(row.zone));
+                    to.set_state(static_cast<std::uint32_t>(row.state)), to.set_weight(row.weight);
+                    to.set_age_us(age_of(now, row.started).count());
+                }
+            },
+            [&](const ev::Joined& e) {
+                auto& to = *out.mutable_joined();
+                to.set_forwarder(forwarder(e.proxy)), to.set_zone(zone_number(e.zone)),
+                    to.set_fresh(e.fresh), to.set_rate(e.rate);
+            },
+            [&](const ev::Left& e) { out.mutable_left()->set_forwarder(forwarder(e.proxy)); },
+            [&](const ev::Heard& e) {
+                auto& to = *out.mutable_heard();
+                to.set_zone(zone_number(e.zone)), to.set_server(server(e.server)),
+                    to.set_tries(e.tries), to.set_errored(e.errored);
+                to.set_mean_us(e.mean.count()), to.set_span_us(e.span.count());
+                for (const double load : e.load) {
+                    to.add_load(load);
+                }
+            },
+            [&](const ev::Demand& e) {
+                auto& to = *out.mutable_demand();
+                to.set_forwarder(forwarder(e.proxy)),
+                    to.set_operation(static_cast<std::uint32_t>(e.op.v)), to.set_count(e.count);
+                to.set_errored(e.errored), to.set_span_us(e.span.count());
+            },
+            [&](const ev::Probed& e) {
+                auto& to = *out.mutable_probed();
+                to.set_server(server(e.server)),
+                    to.set_outcome(static_cast<std::uint32_t>(e.outcome)),
+                    to.set_took_us(e.took.count());
+            },
+            [&](const ev::Applied& e) {
+                auto& to = *out.mutable_applied();
+                to.set_forwarder(forwarder(e.proxy)), to.set_mark(e.mark.v),
+                    to.set_took_us(e.took.count());
+            },
+            [](const auto&) {},
+        },
+        event);
 }
 
-void Recorder::decided(Micros now, const governor::Service& service, const std::vector<Action>& actions) {
-    const auto beat = [](const Action& a) { return std::holds_alternative<act::Timer>(a); };
-    if (std::all_of(actions.begin(), actions.end(), beat)) return;
+void Recorder::decided(Micros now, const governor::Service& service,
+                       const std::vector<Action>& actions) {
+    const auto beat = [](const Action& a) {
+        return std::holds_alternative<act::Timer>(a);
+    };
+    if (std::all_of(actions.begin(), actions.end(), beat)) {
+        return;
+    }
     auto& out = *writer_.add(now).mutable_decided();
     out.set_governor(writer_.name(service.id()));
-    const auto table = [](TableId t) { return static_cast<std::uint32_t>(t.v); };
+    const auto table = [](TableId t) {
+        return static_cast<std::uint32_t>(t.v);
+    };
     for (const Action& action : actions) {
-        if (beat(action)) continue;
+        if (beat(action)) {
+            continue;
+        }
         auto& to = *out.add_actions();
-        std::visit(Cases{
-                       [&](const act::Line& a) {
-                           to.mutable_line()->set_table(table(a.table)), to.mutable_line()->set_weight(a.weight);
-                           to.mutable_line()->set_server(writer_.name(service.server_name(a.server)));
-                       },
-                       [&](const act::Bind& a) {
-                           to.mutable_bind()->set_table(table(a.table)), to.mutable_bind()->set_operations(a.ops);
-                           to.mutable_bind()->set_forwarder(writer_.name(service.forwarder_name(a.proxy)));
-                       },
-                       [&](const act::Level& a) {
-                           to.mutable_level()->set_table(table(a.table)), to.mutable_level()->set_operations(a.ops);
-                           to.mutable_level()->set_let_in(a.let_in), to.mutable_level()->set_again(static_cast<std::uint32_t>(a.again));
-                       },
-                       [&](const act::Mark& a) { to.set_mark(a.mark.v); },
-                       [&](const act::Log& a) { to.set_says(a.text); },
-                       [&](const act::Clear& a) { to.set_clear(table(a.table)); },
-                       [&](const act::Withdraw& a) {
-                           to.mutable_withdraw()->set_server(writer_.name(service.server_name(a.server))), to.mutable_withdraw()->set_out(a.out);
-                       },
-                       [&](const act::Probe& a) { to.set_probe(writer_.name(service.server_name(a.server))); },
-                       [&](const act::Watch& a) { to.set_watch(a.on); },
-                       [&](const auto&) { to.set_other(to_text(service, action)); },
-                   },
-                   action);
+        std::visit(
+            Cases{
+                [&](const act::Line& a) {
+                    to.mutable_line()->set_table(table(a.table)),
+                        to.mutable_line()->set_weight(a.weight);
+                    to.mutable_line()->set_server(writer_.name(service.server_name(a.server)));
+                },
+                [&](const act::Bind& a) {
+                    to.mutable_bind()->set_table(table(a.table)),
+                        to.mutable_bind()->set_operations(a.ops);
+                    to.mutable_bind()->set_forwarder(writer_.name(service.forwarder_name(a.proxy)));
+                },
+                [&](const act::Level& a) {
+                    to.mutable_level()->set_table(table(a.table)),
+                        to.mutable_level()->set_operations(a.ops);
+                    to.mutable_level()->set_let_in(a.let_in),
+                        to.mutable_level()->set_again(static_cast<std::uint32_t>(a.again));
+                },
+                [&](const act::Mark& a) { to.set_mark(a.mark.v); },
+                [&](const act::Log& a) { to.set_says(a.text); },
+                [&](const act::Clear& a) { to.set_clear(table(a.table)); },
+                [&](const act::Withdraw& a) {
+                    to.mutable_withdraw()->set_server(writer_.name(service.server_name(a.server))),
+                        to.mutable_withdraw()->set_out(a.out);
+                },
+                [&](const act::Probe& a) {
+                    to.set_probe(writer_.name(service.server_name(a.server)));
+                },
+                [&](const act::Watch& a) { to.set_watch(a.on); },
+                [&](const auto&) { to.set_other(to_text(service, action)); },
+            },
+            action);
     }
 }
 
 // ---- a whole day
 
-day::DayRun record_day(const day::DayScript& script, day::DayOptions options, const std::string& path, record::WriterOptions how,
+day::DayRun record_day(const day::DayScript& script, day::DayOptions options,
+                       const std::string& path, record::WriterOptions how,
                        record::WriterFigures& figures) {
     std::optional<record::Writer> writer;
     std::optional<Recorder> recorder;
@@ -267,7 +333,9 @@
         recorder.emplace(*writer);
         return std::vector<standin::Observer*>{&*recorder};
     };
-    options.before = [&](day::World& world) { recorder->follow(world); };
+    options.before = [&](day::World& world) {
+        recorder->follow(world);
+    };
     auto out = day::run_day(script, options);
     writer->finish();
     figures = writer->figures();
@@ -283,13 +351,17 @@
     std::tm parts{};
     gmtime_r(&seconds, &parts);
     std::ostringstream out;
-    out << std::put_time(&parts, "%Y-%m-%dT%H:%M:%S") << "." << std::setw(6) << std::setfill('0') << t.count() % 1000000 << "Z";
+    out << std::put_time(&parts, "%Y-%m-%dT%H:%M:%S") << "." << std::setw(6) << std::setfill('0')
+        << t.count() % 1000000 << "Z";
     return out.str();
 }
 }  // namespace
 
-GovernorFiles::GovernorFiles(std::string folder, const day::DayScript& script, std::map<std::string, Micros> ahead)
-    : folder_(std::move(folder)), script_(script), ahead_(std::move(ahead)) {}
+GovernorFiles::GovernorFiles(std::string folder, const day::DayScript& script,
+                             std::map<std::string, Micros> ahead)
+    : folder_(std::move(folder)),
+      script_(script),
+      ahead_(std::move(ahead)) {}
 
 void GovernorFiles::started(Micros now, const governor::Service& service) {
     auto settings = script_.settings;
@@ -297,77 +369,109 @@
     settings.set("governor", "ordinal", std::to_string(service.ordinal()));
     auto config = script_.governor;
     config.id = service.id();
-    paths_.push_back((std::filesystem::path(folder_) / (service.id() + "-" + std::to_string(paths_.size()) + ".rec")).string());
+    paths_.push_back((std::filesystem::path(folder_) /
+                      (service.id() + "-" + std::to_string(paths_.size()) + ".rec"))
+                         .string());
     const auto it = ahead_.find(service.id());
     const Micros begin = it == ahead_.end() ? now : now - it->second;
     Open& open = open_[service.id()];
-    open.writer = std::make_unique<record::Writer>(record::file_sink(paths_.back()), header_of(config, settings.to_text(), begin, wall_text(begin)),
-                                                   record::WriterOptions{.when_full = record::WhenFull::Wait});
+    open.writer = std::make_unique<record::Writer>(
+        record::file_sink(paths_.back()),
+        header_of(config, settings.to_text(), begin, wall_text(begin)),
+        record::WriterOptions{.when_full = record::WhenFull::Wait});
     open.recorder = std::make_unique<Recorder>(*open.writer);
     open.recorder->started(now, service);
 }
 
 void GovernorFiles::stopped(Micros now, const governor::Service& service) {
     const auto it = open_.find(service.id());
-    if (it == open_.end()) return;
+    if (it == open_.end()) {
+        return;
+    }
     it->second.recorder->stopped(now, service);
     open_.erase(it);
 }
 
 void GovernorFiles::told(Micros now, const governor::Service& service, const Event& event) {
-    if (const auto it = open_.find(service.id()); it != open_.end()) it->second.recorder->told(now, service, event);
+    if (const auto it = open_.find(service.id()); it != open_.end()) {
+        it->second.recorder->told(now, service, event);
+    }
 }
 
-void GovernorFiles::decided(Micros now, const governor::Service& service, const std::vector<Action>& actions) {
-    if (const auto it = open_.find(service.id()); it != open_.end()) it->second.recorder->decided(now, service, actions);
+void GovernorFiles::decided(Micros now, const governor::Service& service,
+                            const std::vector<Action>& actions) {
+    if (const auto it = open_.find(service.id()); it != open_.end()) {
+        it->second.recorder->decided(now, service, actions);
+    }
 }
 
 // ---- in words
 
 std::string to_text(const governor::Service& service, const Event& event) {
-    const auto forwarder = [&](ProxyId proxy) { return service.forwarder_name(proxy); };
-    return std::visit(Cases{
-                          [&](const ev::List& e) {
-                              std::string out = "list:";
-                              for (const auto& row : e.rows)
-                                  out += " " + service.server_name(row.server) + (row.state == ServerState::Ready ? "" : " (drains)");
-                              return out;
-                          },
-                          [&](const ev::Timer& e) { return "timer " + e.token; },
-                          [&](const ev::Joined& e) { return forwarder(e.proxy) + " joined"; },
-                          [&](const ev::Left& e) { return forwarder(e.proxy) + " left"; },
-                          [&](const ev::Heard& e) {
-                              return service.server_name(e.server) + " met by zone " + std::to_string(e.zone.v) + ": " + std::to_string(e.tries) +
-                                     " tries, " + std::to_string(e.errored) + " errored, " + std::to_string(e.mean.count() / 1000) + " ms";
-                          },
-                          [&](const ev::Demand& e) {
-                              return forwarder(e.proxy) + " asked for operation " + std::to_string(e.op.v) + ": " + std::to_string(e.count) + " times in " +
-                                     std::to_string(e.span.count() / 1000) + " ms";
-                          },
-                          [&](const ev::Probed& e) { return "probe of " + service.server_name(e.server); },
-                          [&](const ev::Applied& e) { return forwarder(e.proxy) + " applied mark " + std::to_string(e.mark.v); },
-                          [](const auto&) { return std::string("another event"); },
-                      },
-                      event);
+    const auto forwarder = [&](ProxyId proxy) {
+        return service.forwarder_name(proxy);
+    };
+    return std::visit(
+        Cases{
+            [&](const ev::List& e) {
+                std::string out = "list:";
+                for (const auto& row : e.rows) {
+                    out += " " + service.server_name(row.server) +
+                           (row.state == ServerState::Ready ? "" : " (drains)");
+                }
+                return out;
+            },
+            [&](const ev::Timer& e) { return "timer " + e.token; },
+            [&](const ev::Joined& e) { return forwarder(e.proxy) + " joined"; },
+            [&](const ev::Left& e) { return forwarder(e.proxy) + " left"; },
+            [&](const ev::Heard& e) {
+                return service.server_name(e.server) + " met by zone " + std::to_string(e.zone.v) +
+                       ": " + std::to_string(e.tries) + " tries, " + std::to_string(e.errored) +
+                       " errored, " + std::to_string(e.mean.count() / 1000) + " ms";
+            },
+            [&](const ev::Demand& e) {
+                return forwarder(e.proxy) + " asked for operation " + std::to_string(e.op.v) +
+                       ": " + std::to_string(e.count) + " times in " +
+                       std::to_string(e.span.count() / 1000) + " ms";
+            },
+            [&](const ev::Probed& e) { return "probe of " + service.server_name(e.server); },
+            [&](const ev::Applied& e) {
+                return forwarder(e.proxy) + " applied mark " + std::to_string(e.mark.v);
+            },
+            [](const auto&) { return std::string("another event"); },
+        },
+        event);
 }
 
 std::string to_text(const governor::Service& service, const Action& action) {
-    const auto table = [](TableId t) { return "table " + std::to_string(t.v); };
+    const auto table = [](TableId t) {
+        return "table " + std::to_string(t.v);
+    };
     return std::visit(
         Cases{
             [](const act::Timer& a) { return "timer " + a.token; },
             [](const act::Log& a) { return "says: " + a.text; },
-            [](const act::Watch& a) { return std::string(a.on ? "watches the list" : "stops watching the list"); },
+            [](const act::Watch& a) {
+                return std::string(a.on ? "watches the list" : "stops watching the list");
+            },
             [](const act::Fetch&) { return std::string("fetches the list"); },
             [&](const act::Probe& a) { return "probes " + service.server_name(a.server); },
             [](const act::Tell&) { return std::string("tells another governor"); },
             [&](const act::Line& a) {
-                return table(a.table) + ": " + service.server_name(a.server) + (a.weight > 0 ? " at " + text_of(a.weight) : " leaves");
+                return table(a.table) + ": " + service.server_name(a.server) +
+                       (a.weight > 0 ? " at " + text_of(a.weight) : " leaves");
             },
             [&](const act::Clear& a) { return table(a.table) + " emptied"; },
-            [&](const act::Bind& a) { return service.forwarder_name(a.proxy) + " to " + table(a.table); },
-            [&](const act::Withdraw& a) { return service.server_name(a.server) + (a.out ? " withdrawn" : " back"); },
-            [&](const act::Level& a) { return table(a.table) + ": level " + text_of(a.let_in) + " for operations " + std::to_string(a.ops); },
+            [&](const act::Bind& a) {
+                return service.forwarder_name(a.proxy) + " to " + table(a.table);
+            },
+            [&](const act::Withdraw& a) {
+                return service.server_name(a.server) + (a.out ? " withdrawn" : " back");
+            },
+            [&](const act::Level& a) {
+                return table(a.table) + ": level " + text_of(a.let_in) + " for operations " +
+                       std::to_string(a.ops);
+            },
             [](const act::Mark& a) { return "mark " + std::to_string(a.mark.v); },
         },
         action);
--- a/src/replay/report.cpp
+++ b/src/replay/report.cpp
@@ -13,28 +13,41 @@
 
 namespace {
 
-double in_seconds(Micros t) { return static_cast<double>(t.count()) / 1e6; }
+double in_seconds(Micros t) {
+    return static_cast<double>(t.count()) / 1e6;
+}
 
 // For gnuplot's quotes and its page.
 std::string plain(const std::string& text) {
     std::string out;
-    for (const char c : text) out += c == '"' || c == '\'' || c == '\\' || c == '`' || static_cast<unsigned char>(c) < 32 ? ' ' : c;
+    for (const char c : text) {
+        out += c == '"' || c == '\'' || c == '\\' || c == '`' || static_cast<unsigned char>(c) < 32
+                   ? ' '
+                   : c;
+    }
     return out;
 }
 
 std::string escaped(const std::string& text) {
     std::string out;
     for (const char c : text) {
-        if (c == '<') out += "&lt;";
-        else if (c == '>') out += "&gt;";
-        else if (c == '&') out += "&amp;";
-        else if (c == '"') out += "&quot;";
-        else out += c;
+        if (c == '<') {
+            out += "&lt;";
+        } else if (c == '>') {
+            out += "&gt;";
+        } else if (c == '&') {
+            out += "&amp;";
+        } else if (c == '"') {
+            out += "&quot;";
+        } else {
+            out += c;
+        }
     }
     return out;
 }
 
-// Second by second: the time, service smoothed over five seconds, lines applied, most lines waiting.
+// Second by second: the time, service smoothed over five seconds, lines applied, most lines
+// waiting.
 void data(std::ostream& out, const char* name, const SettingResult& setting) {
     const auto& by_second = setting.first.run.result["figures"]["by_second"];
     const auto& seconds = setting.first.seconds;
@@ -48,10 +61,15 @@
             sum += weight * by_second[j].get<double>(), count += weight;
         }
         const std::size_t at = from + k;
-        if (at >= seconds.size()) break;
+        if (at >= seconds.size()) {
+            break;
+        }
         out << at << " ";
-        if (count > 0) out << sum / count;
-        else out << "NaN";
+        if (count > 0) {
+            out << sum / count;
+        } else {
+            out << "NaN";
+        }
         out << " " << seconds[at].lines << " " << seconds[at].waiting << "\n";
     }
     out << "EOD\n";
@@ -63,37 +81,55 @@
     const double width = in_seconds(to - from);
     for (const auto& trouble : day.troubles) {
         const double begin = std::max(in_seconds(from), in_seconds(trouble.at));
-        const double end = trouble.lasts.count() > 0 ? std::min(in_seconds(to), in_seconds(trouble.at + trouble.lasts)) : begin + width / 200;
-        if (end <= begin) continue;
-        out << "set object rectangle from first " << begin << ", graph 0 to first " << end << ", graph 1 behind fillcolor rgb '#d9822b' fillstyle solid 0.13 noborder\n";
-        if (!names) continue;
+        const double end = trouble.lasts.count() > 0
+                               ? std::min(in_seconds(to), in_seconds(trouble.at + trouble.lasts))
+                               : begin + width / 200;
+        if (end <= begin) {
+            continue;
+        }
+        out << "set object rectangle from first " << begin << ", graph 0 to first " << end
+            << ", graph 1 behind fillcolor rgb '#d9822b' fillstyle solid 0.13 noborder\n";
+        if (!names) {
+            continue;
+        }
         const std::string text = plain(trouble.text);
         int row = 0;
-        while (row < 3 && row_end[row] > begin) ++row;
+        while (row < 3 && row_end[row] > begin) {
+            ++row;
+        }
         row_end[row] = begin + static_cast<double>(text.size() + 2) * width / 115;
-        out << "set label '" << text << "' at first " << begin << ", graph " << 1.05 + 0.085 * row << " font ',10' textcolor rgb '#8a4b08'\n";
+        out << "set label '" << text << "' at first " << begin << ", graph " << 1.05 + 0.085 * row
+            << " font ',10' textcolor rgb '#8a4b08'\n";
     }
 }
 
 }  // namespace
 
-std::string plot_script(const RecordedDay& day, const Comparison& comparison, const std::string& output) {
+std::string plot_script(const RecordedDay& day, const Comparison& comparison,
+                        const std::string& output) {
     const Micros from = comparison.a.first.from, to = comparison.a.first.to;
     std::ostringstream out;
-    out << "set terminal svg size 1000,760 dynamic noenhanced font 'sans-serif,12' background rgb 'white'\n";
+    out << "set terminal svg size 1000,760 dynamic noenhanced font 'sans-serif,12' background rgb "
+           "'white'\n";
     out << "set output '" << output << "'\n";
     data(out, "$A", comparison.a);
     data(out, "$B", comparison.b);
-    out << "set multiplot\nset xrange [" << in_seconds(from) << ":" << in_seconds(to) << "]\nset lmargin 10\nset rmargin 3\nset grid ytics lc rgb '#dddddd'\n"
-        << "set style line 1 lc rgb '#1f5fa8' lw 2\nset style line 2 lc rgb '#c0392b' lw 2 dt 2\nset border 3\nset tics nomirror\n";
-    const auto panel = [&](double bottom, double top, const char* label, int column, const char* style, bool last) {
+    out << "set multiplot\nset xrange [" << in_seconds(from) << ":" << in_seconds(to)
+        << "]\nset lmargin 10\nset rmargin 3\nset grid ytics lc rgb '#dddddd'\n"
+        << "set style line 1 lc rgb '#1f5fa8' lw 2\nset style line 2 lc rgb '#c0392b' lw 2 dt "
+           "2\nset border 3\nset tics nomirror\n";
+    const auto panel = [&](double bottom, double top, const char* label, int column,
+                           const char* style, bool last) {
         out << "unset object\nunset label\n";
         shades(out, day, from, to, column == 2);
         out << "set bmargin at screen " << bottom << "\nset tmargin at screen " << top << "\n";
-        out << "set ylabel '" << label << "'\n" << (column == 2 ? "set yrange [*:1.005]\n" : "set yrange [0:*]\n");
-        out << (last ? "set xlabel 'seconds of the day'\nset format x '%g'\n" : "unset xlabel\nset format x ''\n");
+        out << "set ylabel '" << label << "'\n"
+            << (column == 2 ? "set yrange [*:1.005]\n" : "set yrange [0:*]\n");
+        out << (last ? "set xlabel 'seconds of the day'\nset format x '%g'\n"
+                     : "unset xlabel\nset format x ''\n");
         out << (column == 2 ? "set key bottom right\n" : "unset key\n");
-        out << "plot $A using 1:" << column << " with " << style << " ls 1 title 'A: " << plain(comparison.a.trial.name) << "', $B using 1:" << column
+        out << "plot $A using 1:" << column << " with " << style
+            << " ls 1 title 'A: " << plain(comparison.a.trial.name) << "', $B using 1:" << column
             << " with " << style << " ls 2 title 'B: " << plain(comparison.b.trial.name) << "'\n";
     };
     panel(0.52, 0.84, "service, over 5 s", 2, "lines", false);
@@ -106,26 +142,37 @@
 std::string draw_svg(const RecordedDay& day, const Comparison& comparison) {
     std::string path = (std::filesystem::temp_directory_path() / "badgergrade-XXXXXX").string();
     const int made = mkstemp(path.data());
-    if (made < 0) throw std::runtime_error("no temporary file can be made for the picture");
+    if (made < 0) {
+        throw std::runtime_error("no temporary file can be made for the picture");
+    }
     close(made);
+
     struct Remove {
         const std::string& path;
+
         ~Remove() { std::remove(path.c_str()); }
     } remove{path};
+
     std::FILE* gnuplot = popen("gnuplot", "w");
-    if (!gnuplot) throw std::runtime_error("gnuplot can't be run; it draws the pictures (package gnuplot-nox)");
+    if (!gnuplot) {
+        throw std::runtime_error(
+            "gnuplot can't be run; it draws the pictures (package gnuplot-nox)");
+    }
     const std::string script = plot_script(day, comparison, path);
     std::fwrite(script.data(), 1, script.size(), gnuplot);
     const int code = pclose(gnuplot);
     std::ifstream in(path, std::ios::binary);
     std::ostringstream svg;
     svg << in.rdbuf();
-    if (code != 0 || svg.str().find("</svg>") == std::string::npos)
-        throw std::runtime_error("gnuplot drew no picture; it must be installed (package gnuplot-nox)");
+    if (code != 0 || svg.str().find("</svg>") == std::string::npos) {
+        throw std::runtime_error(
+            "gnuplot drew no picture; it must be installed (package gnuplot-nox)");
+    }
     return svg.str();
 }
 
-std::string html_page(const RecordedDay& day, const Comparison& comparison, const std::string& svg) {
+std::string html_page(const RecordedDay& day, const Comparison& comparison,
+                      const std::string& svg) {
     std::ostringstream out;
     out << std::fixed;
     const auto digits = [](double v, bool part) {
@@ -134,51 +181,83 @@
         text << std::fixed << v;
         return text.str();
     };
-    out << "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><meta name=\"viewport\" content=\"width=device-width\">\n<title>"
-        << escaped(day.header.made_by()) << ": two settings</title>\n<style>\n"
-           "body{font:16px/1.5 system-ui,sans-serif;color:#222;max-width:64rem;margin:2rem auto;padding:0 1rem}\n"
+    out << "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><meta "
+           "name=\"viewport\" content=\"width=device-width\">\n<title>"
+        << escaped(day.header.made_by())
+        << ": two settings</title>\n<style>\n"
+           "body{font:16px/1.5 system-ui,sans-serif;color:#222;max-width:64rem;margin:2rem "
+           "auto;padding:0 1rem}\n"
            "h1{font-size:1.5rem}h2{font-size:1.15rem;margin-top:2rem}\n"
-           "table{border-collapse:collapse;width:100%}td,th{padding:.25rem .6rem;text-align:right;border-bottom:1px solid #e4e4e4}\n"
-           "td:first-child,th:first-child{text-align:left}.better{color:#1a7f37}.worse{color:#b42318}\n"
+           "table{border-collapse:collapse;width:100%}td,th{padding:.25rem "
+           ".6rem;text-align:right;border-bottom:1px solid #e4e4e4}\n"
+           "td:first-child,th:first-child{text-align:left}.better{color:#1a7f37}.worse{color:#"
+           "b42318}\n"
            ".a{color:#1f5fa8;font-weight:600}.b{color:#c0392b;font-weight:600}.note{color:#555}\n"
-           "svg{width:100%;height:auto}code{background:#f4f4f4;padding:0 .25rem}pre{background:#f7f7f7;padding:.8rem;white-space:pre-wrap}\n"
+           "svg{width:100%;height:auto}code{background:#f4f4f4;padding:0 "
+           ".25rem}pre{background:#f7f7f7;padding:.8rem;white-space:pre-wrap}\n"
            "</style></head><body>\n";
-    out << "<h1>" << escaped(day.header.made_by()) << " under two settings</h1>\n<p>" << day.invocations << " invocations recorded, "
-        << digits(in_seconds(day.length), false) << " s, seed " << day.header.seed() << ". Service is the billed value answered within the latency objective, "
+    out << "<h1>" << escaped(day.header.made_by()) << " under two settings</h1>\n<p>"
+        << day.invocations << " invocations recorded, " << digits(in_seconds(day.length), false)
+        << " s, seed " << day.header.seed()
+        << ". Service is the billed value answered within the latency objective, "
            "by part of that asked for; a retry counts with its first try.";
-    if (day.kinds.contains("results")) out << " As recorded: <b>" << digits(day.figures["whole_day"]["service"].get<double>(), true) << "</b>.";
-    for (const auto& note : day.header.notes()) out << " (" << escaped(note) << ")";
-    out << " The workers, forwarders and clients of this replay are stand-ins; the governors are the program's own.</p>\n";
+    if (day.kinds.contains("results")) {
+        out << " As recorded: <b>"
+            << digits(day.figures["whole_day"]["service"].get<double>(), true) << "</b>.";
+    }
+    for (const auto& note : day.header.notes()) {
+        out << " (" << escaped(note) << ")";
+    }
+    out << " The workers, forwarders and clients of this replay are stand-ins; the governors are "
+           "the program's own.</p>\n";
     const auto setting = [&](const char* which, const SettingResult& s) {
-        out << "<p><span class=\"" << which << "\">" << (which[0] == 'a' ? "A" : "B") << "</span>: <code>" << escaped(s.trial.name) << "</code>, " << s.runs
-            << " runs: " << (s.same ? "the same to the byte" : "<b class=\"worse\">they differ</b>") << ".</p>\n";
+        out << "<p><span class=\"" << which << "\">" << (which[0] == 'a' ? "A" : "B")
+            << "</span>: <code>" << escaped(s.trial.name) << "</code>, " << s.runs
+            << " runs: " << (s.same ? "the same to the byte" : "<b class=\"worse\">they differ</b>")
+            << ".</p>\n";
     };
     setting("a", comparison.a);
     setting("b", comparison.b);
     const auto changed = changed_settings(comparison);
     if (!changed.empty()) {
         out << "<h2>What was changed</h2>\n<ul>\n";
-        for (const auto& text : changed) out << "<li><code>" << escaped(text) << "</code></li>\n";
+        for (const auto& text : changed) {
+            out << "<li><code>" << escaped(text) << "</code></li>\n";
+        }
         out << "</ul>\n";
     }
-    out << "<h2>Over the day</h2>\n" << svg.substr(std::min(svg.size(), svg.find("<svg"))) << "\n<p class=\"note\">Troubles are shaded. Lines are what governors order; "
+    out << "<h2>Over the day</h2>\n"
+        << svg.substr(std::min(svg.size(), svg.find("<svg")))
+        << "\n<p class=\"note\">Troubles are shaded. Lines are what governors order; "
            "those that wait have not left the channel yet.</p>\n";
-    out << "<h2>Difference</h2>\n<table><tr><th></th><th class=\"a\">A</th><th class=\"b\">B</th><th>B - A</th></tr>\n";
+    out << "<h2>Difference</h2>\n<table><tr><th></th><th class=\"a\">A</th><th "
+           "class=\"b\">B</th><th>B - A</th></tr>\n";
     for (const auto& one : differences(comparison)) {
-        if (!one.part && one.a == 0 && one.b == 0 && one.name.find("rule") == std::string::npos) continue;
+        if (!one.part && one.a == 0 && one.b == 0 && one.name.find("rule") == std::string::npos) {
+            continue;
+        }
         const double by = one.b - one.a;
-        const bool says = one.part ? std::abs(by) >= 0.0005 : one.name.find("rule") != std::string::npos && by != 0;
-        const char* mood = !says ? "" : (one.part ? by > 0 : by < 0) ? " class=\"better\"" : " class=\"worse\"";
-        out << "<tr><td>" << escaped(one.name) << "</td><td>" << digits(one.a, one.part) << "</td><td>" << digits(one.b, one.part) << "</td><td" << mood << ">"
+        const bool says = one.part ? std::abs(by) >= 0.0005
+                                   : one.name.find("rule") != std::string::npos && by != 0;
+        const char* mood = !says                          ? ""
+                           : (one.part ? by > 0 : by < 0) ? " class=\"better\""
+                                                          : " class=\"worse\"";
+        out << "<tr><td>" << escaped(one.name) << "</td><td>" << digits(one.a, one.part)
+            << "</td><td>" << digits(one.b, one.part) << "</td><td" << mood << ">"
             << (by > 0 ? "+" : "") << digits(by, one.part) << "</td></tr>\n";
     }
     out << "</table>\n<h2>Where they part</h2>\n<pre>";
-    for (const auto& text : parting_text(comparison)) out << escaped(text) << "\n";
+    for (const auto& text : parting_text(comparison)) {
+        out << escaped(text) << "\n";
+    }
     out << "</pre>\n";
-    for (const auto* s : {&comparison.a, &comparison.b})
-        for (const auto& b : s->first.run.breaks)
-            out << "<p class=\"worse\">Rule <b>" << escaped(b.rule) << "</b> broken under " << (s == &comparison.a ? "A" : "B") << ": " << escaped(b.parties) << ": "
+    for (const auto* s : {&comparison.a, &comparison.b}) {
+        for (const auto& b : s->first.run.breaks) {
+            out << "<p class=\"worse\">Rule <b>" << escaped(b.rule) << "</b> broken under "
+                << (s == &comparison.a ? "A" : "B") << ": " << escaped(b.parties) << ": "
                 << escaped(b.what) << "</p>\n";
+        }
+    }
     out << "</body></html>\n";
     return out.str();
 }
--- a/src/replay/report.h
+++ b/src/replay/report.h
@@ -1,4 +1,5 @@
-// A comparison as pictures and as one page: SVG drawn by gnuplot, HTML that holds it and needs nothing else.
+// A comparison as pictures and as one page: SVG drawn by gnuplot, HTML that holds it and needs
+// nothing else.
 #pragma once
 
 #include <string>
@@ -7,8 +8,10 @@
 
 namespace badgergrade::replay {
 
-// The input for gnuplot: three panels over the day (service, lines applied, lines waiting), troubles shaded.
-std::string plot_script(const RecordedDay& day, const Comparison& comparison, const std::string& output);
+// The input for gnuplot: three panels over the day (service, lines applied, lines waiting),
+// troubles shaded.
+std::string plot_script(const RecordedDay& day, const Comparison& comparison,
+                        const std::string& output);
 // Throws std::runtime_error where gnuplot can't be run or draws nothing.
 std::string draw_svg(const RecordedDay& day, const Comparison& comparison);
 std::string html_page(const RecordedDay& day, const Comparison& comparison, const std::string& svg);
--- a/src/replay/trial.cpp
+++ b/src/replay/trial.cpp
@@ -16,27 +16,36 @@
 
 enum class Whose { User, Place, Day };
 
-// A place's own (where it listens, how it logs) says nothing in a replay and is passed over; a fact of the day can't
-// be changed after it.
+// A place's own (where it listens, how it logs) says nothing in a replay and is passed over; a fact
+// of the day can't be changed after it.
 Whose whose(const std::string& section, const std::string& key) {
-    static const std::set<std::string> places{"governor.id", "governor.zone", "governor.ordinal", "xds.listen", "registry.address",
-                                              "log.level", "log.form", "forwarders.count"};
+    static const std::set<std::string> places{"governor.id", "governor.zone",    "governor.ordinal",
+                                              "xds.listen",  "registry.address", "log.level",
+                                              "log.form",    "forwarders.count"};
     static const std::set<std::string> facts{"governor.zones", "governor.governors"};
     const std::string name = section + "." + key;
-    if (places.contains(name)) return Whose::Place;
+    if (places.contains(name)) {
+        return Whose::Place;
+    }
     return facts.contains(name) || section.rfind("operation.", 0) == 0 ? Whose::Day : Whose::User;
 }
 
 std::string squeezed(const std::string& text) {
     std::string out;
-    for (const char c : text)
-        if (c != ' ' && c != '\t') out += c;
+    for (const char c : text) {
+        if (c != ' ' && c != '\t') {
+            out += c;
+        }
+    }
     return out;
 }
 
-const config::IniEntry* find(const config::IniFile& file, const std::string& section, const std::string& key) {
+const config::IniEntry* find(const config::IniFile& file, const std::string& section,
+                             const std::string& key) {
     const auto& all = file.entries();
-    const auto it = std::find_if(all.begin(), all.end(), [&](const auto& e) { return e.section == section && e.key == key; });
+    const auto it = std::find_if(all.begin(), all.end(), [&](const auto& e) {
+        return e.section == section && e.key == key;
+    });
     return it == all.end() ? nullptr : &*it;
 }
 
@@ -44,31 +53,47 @@
     double out = 0;
     const char* from = text.data() + (!text.empty() && text.front() == '+' ? 1 : 0);
     const auto [end, bad] = std::from_chars(from, text.data() + text.size(), out);
-    if (bad != std::errc{} || end != text.data() + text.size() || !std::isfinite(out)) return std::nullopt;
+    if (bad != std::errc{} || end != text.data() + text.size() || !std::isfinite(out)) {
+        return std::nullopt;
+    }
     return out;
 }
 
 std::size_t workers_of(const RecordedDay& day) {
-    return static_cast<std::size_t>(std::count_if(day.world.moves.begin(), day.world.moves.end(), [](const day::TimedMove& m) {
-        return m.opening && m.what.kind == day::MoveKind::AddWorker;
-    }));
+    return static_cast<std::size_t>(
+        std::count_if(day.world.moves.begin(), day.world.moves.end(), [](const day::TimedMove& m) {
+            return m.opening && m.what.kind == day::MoveKind::AddWorker;
+        }));
 }
 
 class TrialReader {
 public:
-    TrialReader(const RecordedDay& day, Trial& trial, std::vector<Mistake>& mistakes) : day_(day), trial_(trial), mistakes_(mistakes) {}
+    TrialReader(const RecordedDay& day, Trial& trial, std::vector<Mistake>& mistakes)
+        : day_(day),
+          trial_(trial),
+          mistakes_(mistakes) {}
 
-    void set(const std::string& file, int line, const std::string& section, const std::string& key, const std::string& value) {
-        const auto wrong = [&](const std::string& text) { mistakes_.push_back({file, line, "[" + section + "] " + key, text}); };
-        if (section == "replay") return ready_made(key, value, wrong);
+    void set(const std::string& file, int line, const std::string& section, const std::string& key,
+             const std::string& value) {
+        const auto wrong = [&](const std::string& text) {
+            mistakes_.push_back({file, line, "[" + section + "] " + key, text});
+        };
+        if (section == "replay") {
+            return ready_made(key, value, wrong);
+        }
         const config::IniEntry* now = find(day_.settings, section, key);
         switch (whose(section, key)) {
-            case Whose::Place: return;
+            case Whose::Place:
+                return;
             case Whose::Day:
-                if (!now || squeezed(now->value) != squeezed(value))
-                    wrong("is a fact of the recorded day" + (now ? " (" + now->value + ")" : std::string()) + " and can't be tried after it");
+                if (!now || squeezed(now->value) != squeezed(value)) {
+                    wrong("is a fact of the recorded day" +
+                          (now ? " (" + now->value + ")" : std::string()) +
+                          " and can't be tried after it");
+                }
                 return;
-            case Whose::User: trial_.settings.set(section, key, value);
+            case Whose::User:
+                trial_.settings.set(section, key, value);
         }
     }
 
@@ -76,29 +101,48 @@
     template <class Wrong>
     void ready_made(const std::string& key, const std::string& value, const Wrong& wrong) {
         const std::string text = squeezed(value);
-        if (key == "workers") return workers(text, wrong);
+        if (key == "workers") {
+            return workers(text, wrong);
+        }
         const auto n = number(text);
         if (key == "traffic") {
-            if (!n || *n < 0.01 || *n > 10) return wrong("is a factor from 0.01 to 10; for example: traffic = 1.2");
+            if (!n || *n < 0.01 || *n > 10) {
+                return wrong("is a factor from 0.01 to 10; for example: traffic = 1.2");
+            }
             trial_.traffic = *n;
         } else if (key == "startup") {
-            if (!n || *n < 1 || *n > 1000 || *n != std::floor(*n)) return wrong("is a whole number from 1 to 1000; for example: startup = 5");
+            if (!n || *n < 1 || *n > 1000 || *n != std::floor(*n)) {
+                return wrong("is a whole number from 1 to 1000; for example: startup = 5");
+            }
             trial_.startup = static_cast<int>(*n);
         } else {
             wrong("is none of: workers, traffic, startup");
         }
     }
+
     template <class Wrong>
     void workers(std::string text, const Wrong& wrong) {
         const bool percent = !text.empty() && text.back() == '%';
-        if (percent) text.pop_back();
+        if (percent) {
+            text.pop_back();
+        }
         const auto n = number(text);
         const auto now = static_cast<double>(workers_of(day_));
-        if (!n || text.empty() || (text.front() != '+' && text.front() != '-')) return wrong("is a change; for example: workers = +10% or workers = -2");
-        const double more = percent ? std::copysign(std::ceil(std::abs(*n) / 100 * now - 1e-9), *n) : *n;
-        if (more != std::floor(more)) return wrong("is a whole number of workers or a part in %");
-        if (now + more < 1) return wrong("leaves no worker of " + std::to_string(std::llround(now)));
-        if (now + more > 10 * now) return wrong("is more than ten times the recorded " + std::to_string(std::llround(now)));
+        if (!n || text.empty() || (text.front() != '+' && text.front() != '-')) {
+            return wrong("is a change; for example: workers = +10% or workers = -2");
+        }
+        const double more =
+            percent ? std::copysign(std::ceil(std::abs(*n) / 100 * now - 1e-9), *n) : *n;
+        if (more != std::floor(more)) {
+            return wrong("is a whole number of workers or a part in %");
+        }
+        if (now + more < 1) {
+            return wrong("leaves no worker of " + std::to_string(std::llround(now)));
+        }
+        if (now + more > 10 * now) {
+            return wrong("is more than ten times the recorded " +
+                         std::to_string(std::llround(now)));
+        }
         trial_.more_workers = static_cast<int>(more);
     }
 
@@ -115,11 +159,15 @@
     day::Move add{.kind = AddWorker, .who = id, .worker = like};
     add.worker.id = id;
     std::vector<day::TimedMove> moves;
-    for (const auto kind : {StartWorker, ListWorker}) moves.push_back({0us, true, true, {.kind = kind, .who = id}});
+    for (const auto kind : {StartWorker, ListWorker}) {
+        moves.push_back({0us, true, true, {.kind = kind, .who = id}});
+    }
     moves.insert(moves.begin(), {0us, true, true, std::move(add)});
     // Among the workers, before governors and forwarders start.
-    const auto at = std::find_if(world.moves.begin(), world.moves.end(),
-                                 [](const day::TimedMove& m) { return !m.opening || m.what.kind == StartGovernor || m.what.kind == AddForwarder; });
+    const auto at =
+        std::find_if(world.moves.begin(), world.moves.end(), [](const day::TimedMove& m) {
+            return !m.opening || m.what.kind == StartGovernor || m.what.kind == AddForwarder;
+        });
     world.moves.insert(at, moves.begin(), moves.end());
 }
 
@@ -127,9 +175,13 @@
     std::vector<standin::WorkerSettings> opening;
     std::size_t all = 0;
     for (const auto& move : world.moves) {
-        if (move.what.kind != day::MoveKind::AddWorker) continue;
+        if (move.what.kind != day::MoveKind::AddWorker) {
+            continue;
+        }
         ++all;
-        if (move.opening) opening.push_back(move.what.worker);
+        if (move.opening) {
+            opening.push_back(move.what.worker);
+        }
     }
     for (int n = 0; n < more; ++n) {
         base::Luck luck(base::seed_for(seed, "more workers"), static_cast<std::uint64_t>(n));
@@ -140,16 +192,22 @@
         add_like(world, like, day::numbered("worker", all + static_cast<std::size_t>(n)));
     }
     std::set<std::string> dropped;
-    for (int n = 0; n < -more; ++n) dropped.insert(opening[opening.size() - 1 - static_cast<std::size_t>(n)].id);
-    std::erase_if(world.moves, [&](const day::TimedMove& m) { return dropped.contains(m.what.who); });
+    for (int n = 0; n < -more; ++n) {
+        dropped.insert(opening[opening.size() - 1 - static_cast<std::size_t>(n)].id);
+    }
+    std::erase_if(world.moves,
+                  [&](const day::TimedMove& m) { return dropped.contains(m.what.who); });
 }
 
 // Whole times are copies, the rest is drawn by id; copies come within half a second of their first.
 void change_traffic(day::GivenWorld& world, double times, std::uint64_t seed, Micros length) {
     const std::uint64_t drawn = base::seed_for(seed, "traffic");
     std::uint64_t next = 1;
-    for (const auto& [forwarder, list] : world.traffic)
-        for (const auto& one : list) next = std::max(next, one.id + 1);
+    for (const auto& [forwarder, list] : world.traffic) {
+        for (const auto& one : list) {
+            next = std::max(next, one.id + 1);
+        }
+    }
     for (auto& [forwarder, list] : world.traffic) {
         std::vector<standin::Invocation> out;
         for (const auto& one : list) {
@@ -158,13 +216,18 @@
             const int copies = static_cast<int>(whole) + (luck.part() < times - whole);
             for (int n = 0; n < copies; ++n) {
                 out.push_back(one);
-                if (n == 0) continue;
-                // Ids of copies follow from the first one's, so that the same luck falls to them every time.
+                if (n == 0) {
+                    continue;
+                }
+                // Ids of copies follow from the first one's, so that the same luck falls to them
+                // every time.
                 out.back().id = next * static_cast<std::uint64_t>(n) + one.id;
-                out.back().came = std::clamp(one.came + Micros(std::llround(luck.between(-5e5, 5e5))), 0us, length - 1us);
+                out.back().came = std::clamp(
+                    one.came + Micros(std::llround(luck.between(-5e5, 5e5))), 0us, length - 1us);
             }
         }
-        std::stable_sort(out.begin(), out.end(), [](const auto& a, const auto& b) { return a.came < b.came; });
+        std::stable_sort(out.begin(), out.end(),
+                         [](const auto& a, const auto& b) { return a.came < b.came; });
         list = std::move(out);
     }
 }
@@ -173,55 +236,78 @@
 
 std::optional<std::pair<std::string, std::string>> read_set(const std::string& text) {
     const auto equals = text.find('=');
-    if (equals == std::string::npos) return std::nullopt;
+    if (equals == std::string::npos) {
+        return std::nullopt;
+    }
     const std::string name = squeezed(text.substr(0, equals));
     const auto dot = name.rfind('.');
     std::string value = text.substr(equals + 1);
     value.erase(0, value.find_first_not_of(' '));
-    if (dot == std::string::npos || dot == 0 || dot + 1 == name.size() || value.empty()) return std::nullopt;
+    if (dot == std::string::npos || dot == 0 || dot + 1 == name.size() || value.empty()) {
+        return std::nullopt;
+    }
     return std::pair{name, value};
 }
 
-Trial read_trial(const RecordedDay& day, const std::optional<config::IniFile>& file, const Sets& sets, std::vector<Mistake>& mistakes) {
+Trial read_trial(const RecordedDay& day, const std::optional<config::IniFile>& file,
+                 const Sets& sets, std::vector<Mistake>& mistakes) {
     Trial out;
     out.settings = day.settings;
     TrialReader reader(day, out, mistakes);
     if (file) {
         out.name = file->name();
-        for (const auto& entry : file->entries()) reader.set(file->name(), entry.line, entry.section, entry.key, entry.value);
+        for (const auto& entry : file->entries()) {
+            reader.set(file->name(), entry.line, entry.section, entry.key, entry.value);
+        }
     }
     for (const auto& [name, value] : sets) {
         const auto dot = name.rfind('.');
         reader.set("--set", 0, name.substr(0, dot), name.substr(dot + 1), value);
         out.name += (out.name.empty() ? "" : ", ") + name + " = " + value;
     }
-    if (out.name.empty()) out.name = "as recorded";
+    if (out.name.empty()) {
+        out.name = "as recorded";
+    }
     // The settings as a whole, before the run.
-    if (mistakes.empty()) make_script(day, out, mistakes);
+    if (mistakes.empty()) {
+        make_script(day, out, mistakes);
+    }
     return out;
 }
 
-day::DayScript make_script(const RecordedDay& day, const Trial& trial, std::vector<Mistake>& mistakes) {
+day::DayScript make_script(const RecordedDay& day, const Trial& trial,
+                           std::vector<Mistake>& mistakes) {
     auto out = day::parse_script(day.header.made_by(), day.script, trial.settings, mistakes);
-    if (!mistakes.empty()) return out;
+    if (!mistakes.empty()) {
+        return out;
+    }
     out.name = day.header.made_by();
     out.seed = day.header.seed(), out.length = day.length;
     out.startup = trial.startup.value_or(out.startup);
     out.workers += trial.more_workers;
     out.rate *= trial.traffic;
     const auto& columns = out.governor.told.load_columns;
-    const bool told = std::any_of(day.world.moves.begin(), day.world.moves.end(), [](const auto& m) { return m.what.worker.reports_load; });
-    if (!columns.empty() && !told)
-        mistakes.push_back({trial.name, 0, "[reports] load_columns", "asks for what no worker of the recorded day reported"});
+    const bool told = std::any_of(day.world.moves.begin(), day.world.moves.end(),
+                                  [](const auto& m) { return m.what.worker.reports_load; });
+    if (!columns.empty() && !told) {
+        mistakes.push_back({trial.name, 0, "[reports] load_columns",
+                            "asks for what no worker of the recorded day reported"});
+    }
     return out;
 }
 
 Playable make_playable(const RecordedDay& day, const Trial& trial, std::vector<Mistake>& mistakes) {
     Playable out{make_script(day, trial, mistakes), {}};
-    if (!mistakes.empty()) return out;
+    if (!mistakes.empty()) {
+        return out;
+    }
     out.world = day.world;
-    if (trial.more_workers != 0) change_workers(out.world, trial.more_workers, out.script.seed);
-    if (trial.traffic != 1) change_traffic(out.world, trial.traffic, out.script.seed, day.length);
+    if (trial.more_workers != 0) {
+        change_workers(out.world, trial.more_workers, out.script.seed);
+    }
+    if (trial.traffic != 1) {
+        change_traffic(out.world, trial.traffic, out.script.seed, day.length);
+    }
     return out;
 }
 
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -7,13 +7,16 @@
 namespace badgergrade::resp {
 
 namespace {
-// A kind, a sign, 19 digits, CR and LF; simple strings and errors inside a message may be a little longer.
+// A kind, a sign, 19 digits, CR and LF; simple strings and errors inside a message may be a little
+// longer.
 constexpr std::size_t kHeadMost = 128;
 
 std::optional<long long> whole(std::string_view text) {
     long long value = 0;
     const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (wrong != std::errc{} || end != text.data() + text.size() || text.empty()) return std::nullopt;
+    if (wrong != std::errc{} || end != text.data() + text.size() || text.empty()) {
+        return std::nullopt;
+    }
     return value;
 }
 }  // namespace
@@ -28,7 +31,9 @@
 std::optional<Message> Reader::next(std::string_view& bytes) {
     while (error_.empty() && !bytes.empty()) {
         const bool good = at_ == At::Head ? take_head(bytes) : take_body(bytes);
-        if (!good) return std::nullopt;
+        if (!good) {
+            return std::nullopt;
+        }
         if (in_message_ && at_ == At::Head && head_.empty() && elements_left_ == 0) {
             in_message_ = false, message_bytes_ = 0;
             return std::exchange(now_, {});
@@ -38,26 +43,39 @@
 }
 
 bool Reader::take_head(std::string_view& bytes) {
-    if (head_.empty() && !in_message_ && bytes.front() != '*')
-        return fail("a message begins with '*', this one with byte " + std::to_string(static_cast<unsigned char>(bytes.front())));
+    if (head_.empty() && !in_message_ && bytes.front() != '*') {
+        return fail("a message begins with '*', this one with byte " +
+                    std::to_string(static_cast<unsigned char>(bytes.front())));
+    }
     const std::size_t end = bytes.find('\n');
     const std::size_t part = end == std::string_view::npos ? bytes.size() : end + 1;
-    if (head_.size() + part > kHeadMost) return fail("a head has no end");
+    if (head_.size() + part > kHeadMost) {
+        return fail("a head has no end");
+    }
     head_.append(bytes.substr(0, part));
     bytes.remove_prefix(part);
     message_bytes_ += part;
-    if (message_bytes_ > limits_.message_bytes) return fail("the message is too long");
-    if (end == std::string_view::npos) return true;
-    if (head_.size() < 3 || head_[head_.size() - 2] != '\r') return fail("a head ends without CR LF");
+    if (message_bytes_ > limits_.message_bytes) {
+        return fail("the message is too long");
+    }
+    if (end == std::string_view::npos) {
+        return true;
+    }
+    if (head_.size() < 3 || head_[head_.size() - 2] != '\r') {
+        return fail("a head ends without CR LF");
+    }
     head_.resize(head_.size() - 2);
     const bool good = read_head();
-    if (good) head_.clear();
+    if (good) {
+        head_.clear();
+    }
     return good;
 }
 
 bool Reader::open_array(long long count) {
-    if (count < 0 || static_cast<unsigned long long>(count) > limits_.elements - elements_)
+    if (count < 0 || static_cast<unsigned long long>(count) > limits_.elements - elements_) {
         return fail("an array of " + std::to_string(count) + " elements");
+    }
     elements_ += static_cast<std::size_t>(count), elements_left_ += static_cast<std::size_t>(count);
     return true;
 }
@@ -72,18 +90,29 @@
     --elements_left_;
     switch (kind) {
         case '$':
-            if (!number || *number < -1) return fail("a string's length is no number");
-            if (*number == -1) return now_.plain = false, true;
-            if (static_cast<unsigned long long>(*number) + 2 > limits_.message_bytes - message_bytes_)
-                return fail("the message is too long: a string of " + std::to_string(*number) + " bytes");
+            if (!number || *number < -1) {
+                return fail("a string's length is no number");
+            }
+            if (*number == -1) {
+                return now_.plain = false, true;
+            }
+            if (static_cast<unsigned long long>(*number) + 2 >
+                limits_.message_bytes - message_bytes_) {
+                return fail("the message is too long: a string of " + std::to_string(*number) +
+                            " bytes");
+            }
             body_left_ = static_cast<std::size_t>(*number);
             at_ = body_left_ > 0 ? At::Body : At::BodyCr;
             return true;
         case '*':
             now_.plain = false;
-            if (!number) return fail("an array's length is no number");
+            if (!number) {
+                return fail("an array's length is no number");
+            }
             return *number == -1 || open_array(*number);
-        case ':': case '+': case '-':
+        case ':':
+        case '+':
+        case '-':
             now_.plain = false;
             return true;
         default:
@@ -97,15 +126,21 @@
         body_.append(bytes.substr(0, part));
         bytes.remove_prefix(part);
         message_bytes_ += part, body_left_ -= part;
-        if (body_left_ == 0) at_ = At::BodyCr;
+        if (body_left_ == 0) {
+            at_ = At::BodyCr;
+        }
         return true;
     }
     // CR and LF may come in two pieces.
     const bool cr = at_ == At::BodyCr;
-    if (bytes.front() != (cr ? '\r' : '\n')) return fail("a string ends without CR LF");
+    if (bytes.front() != (cr ? '\r' : '\n')) {
+        return fail("a string ends without CR LF");
+    }
     bytes.remove_prefix(1);
     ++message_bytes_;
-    if (cr) return at_ = At::BodyLf, true;
+    if (cr) {
+        return at_ = At::BodyLf, true;
+    }
     now_.words.push_back(std::exchange(body_, {}));
     at_ = At::Head;
     return true;
--- a/src/resp/resp.h
+++ b/src/resp/resp.h
@@ -1,8 +1,8 @@
 // RESP2 messages without sockets: bytes in, whole messages out, and words back into bytes.
 //
-// A server's side of RESP that owns no socket loop is in no library; so this is ours, small and fuzzed. What is
-// refused is refused from a head alone, before what it announces is taken in: memory is bounded by the limits, never
-// by what a peer claims.
+// A server's side of RESP that owns no socket loop is in no library; so this is ours, small and
+// fuzzed. What is refused is refused from a head alone, before what it announces is taken in:
+// memory is bounded by the limits, never by what a peer claims.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +20,8 @@
 
 struct Message {
     std::vector<std::string> words;
-    // False where the frame could be read but holds something other than bulk strings (numbers, nulls, nested arrays).
+    // False where the frame could be read but holds something other than bulk strings (numbers,
+    // nulls, nested arrays).
     bool plain = true;
 };
 
@@ -28,12 +29,15 @@
 public:
     explicit Reader(Limits limits = {}) : limits_(limits) {}
 
-    // Takes bytes off the front of `bytes` until a message is whole; nothing where they are used up first, or where
-    // they can't be read: then error() says why, and no more may be fed.
+    // Takes bytes off the front of `bytes` until a message is whole; nothing where they are used up
+    // first, or where they can't be read: then error() says why, and no more may be fed.
     std::optional<Message> next(std::string_view& bytes);
+
     const std::string& error() const { return error_; }
+
     // Bytes of an unfinished message that are kept.
     std::size_t held() const { return message_bytes_; }
+
     void set_limits(Limits limits) { limits_ = limits; }
 
 private:
--- a/src/standin/client.h
+++ b/src/standin/client.h
@@ -1,5 +1,6 @@
-// A stand-in for the clients of one forwarder: sends each invocation at its time, tries again as clients do, and
-// gives up at the integration timeout. Retries count with the first try: one invocation, one result.
+// A stand-in for the clients of one forwarder: sends each invocation at its time, tries again as
+// clients do, and gives up at the integration timeout. Retries count with the first try: one
+// invocation, one result.
 #pragma once
 
 #include <map>
@@ -14,21 +15,23 @@
 
 struct ClientSettings {
     int retries = 1;
-    Micros wait{};              // before a retry, doubled each time
-    double try_share = 1;       // a try is given up after this part of the integration timeout
+    Micros wait{};         // before a retry, doubled each time
+    double try_share = 1;  // a try is given up after this part of the integration timeout
     std::vector<Operation> operations;
+
     // While a window lasts, tries are given up after its part instead.
     struct GivesUp {
         Micros from{}, to{};
         double share = 1;
     };
+
     std::vector<GivesUp> gives_up;
 };
 
 class Client {
 public:
-    Client(net::Loop& loop, base::ActorId actor, std::string id, ClientSettings settings, net::Address forwarder,
-           std::vector<Invocation> schedule, Observer* observer);
+    Client(net::Loop& loop, base::ActorId actor, std::string id, ClientSettings settings,
+           net::Address forwarder, std::vector<Invocation> schedule, Observer* observer);
 
     std::size_t open() const { return open_.size(); }
 
@@ -39,6 +42,7 @@
         std::unique_ptr<base::Timer> timer;
         net::HttpPool::TryId now = 0;
     };
+
     void next();
     void send(std::uint64_t id);
     void came(std::uint64_t id, net::HttpOutcome outcome);
--- a/src/standin/forwarder.cpp
+++ b/src/standin/forwarder.cpp
@@ -13,29 +13,54 @@
 constexpr std::uint64_t kShareLuck = 0x5348415245;  // sets this draw apart from the picks
 }
 
-Forwarder::Forwarder(net::Loop& loop, base::ActorId actor, ForwarderSettings settings, std::uint64_t seed,
-                     Observer* observer, std::map<net::Address, std::string> const* server_names)
-    : loop_(loop), actor_(actor), settings_(std::move(settings)), observer_(observer), server_names_(server_names),
-      chance_(seed, settings_.id), luck_(base::seed_for(seed, settings_.id + "/luck")), ads_(node()),
-      redial_(loop.clock(), actor), report_(loop.clock(), actor), go_back_(loop.clock(), actor) {
+Forwarder::Forwarder(net::Loop& loop, base::ActorId actor, ForwarderSettings settings,
+                     std::uint64_t seed, Observer* observer,
+                     std::map<net::Address, std::string> const* server_names)
+    : loop_(loop),
+      actor_(actor),
+      settings_(std::move(settings)),
+      observer_(observer),
+      server_names_(server_names),
+      chance_(seed, settings_.id),
+      luck_(base::seed_for(seed, settings_.id + "/luck")),
+      ads_(node()),
+      redial_(loop.clock(), actor),
+      report_(loop.clock(), actor),
+      go_back_(loop.clock(), actor) {
     startup_.pick = settings_.pick;
     startup_.ejects_after = settings_.ejects_after;
     startup_.eject_time = settings_.eject_time;
     startup_.lines = settings_.startup;
-    server_ = std::make_unique<net::HttpServer>(loop, actor, settings_.id, settings_.listen, net::HttpLimits{}, 10000);
-    server_->on_request = [this](net::HttpExchangePtr exchange) { take(exchange); };
-    if (observer_) observer_->forwarder_up(loop.clock().now(), settings_.id);
+    server_ = std::make_unique<net::HttpServer>(loop, actor, settings_.id, settings_.listen,
+                                                net::HttpLimits{}, 10000);
+    server_->on_request = [this](net::HttpExchangePtr exchange) {
+        take(exchange);
+    };
+    if (observer_) {
+        observer_->forwarder_up(loop.clock().now(), settings_.id);
+    }
     tell_pickable();
     redial_.after(Micros(static_cast<std::int64_t>(chance_.between(0, 50e3))), [this] { dial(); });
 }
 
 Forwarder::~Forwarder() {
-    if (observer_) observer_->forwarder_down(loop_.clock().now(), settings_.id);
-    if (call_ && observer_) observer_->left(loop_.clock().now(), settings_.id, settings_.governor_names[governor_]);
-    for (const auto& call : {call_, reports_})
-        if (call) call->on_closed = {}, call->on_message = {};
-    if (connection_) connection_->on_closed = {}, connection_->abort("the forwarder ends");
-    for (auto& [id, work] : works_) work.exchange->on_gone = {};
+    if (observer_) {
+        observer_->forwarder_down(loop_.clock().now(), settings_.id);
+    }
+    if (call_ && observer_) {
+        observer_->left(loop_.clock().now(), settings_.id, settings_.governor_names[governor_]);
+    }
+    for (const auto& call : {call_, reports_}) {
+        if (call) {
+            call->on_closed = {}, call->on_message = {};
+        }
+    }
+    if (connection_) {
+        connection_->on_closed = {}, connection_->abort("the forwarder ends");
+    }
+    for (auto& [id, work] : works_) {
+        work.exchange->on_gone = {};
+    }
 }
 
 envoy::config::core::v3::Node Forwarder::node() const {
@@ -52,14 +77,21 @@
 // ---- its governor
 
 void Forwarder::dial() {
-    if (isolated_ || settings_.governors.empty()) return redial();
-    dial_ = std::make_unique<net::Dial>(loop_, actor_, settings_.id, settings_.governors[governor_], settings_.dial_timeout,
-                                        [this](net::StreamPtr stream, const std::string&) {
-                                            if (stream && !isolated_) return connected(std::move(stream), governor_);
-                                            if (stream) stream->close(true);
-                                            governor_ = (governor_ + 1) % settings_.governors.size();
-                                            redial();
-                                        });
+    if (isolated_ || settings_.governors.empty()) {
+        return redial();
+    }
+    dial_ = std::make_unique<net::Dial>(
+        loop_, actor_, settings_.id, settings_.governors[governor_], settings_.dial_timeout,
+        [this](net::StreamPtr stream, const std::string&) {
+            if (stream && !isolated_) {
+                return connected(std::move(stream), governor_);
+            }
+            if (stream) {
+                stream->close(true);
+            }
+            governor_ = (governor_ + 1) % settings_.governors.size();
+            redial();
+        });
 }
 
 void Forwarder::redial() {
@@ -72,14 +104,21 @@
     stream_ = stream;
     net::GrpcLimits limits;
     limits.keepalive = settings_.keepalive;
-    connection_ = std::make_shared<net::GrpcConnection>(loop_, actor_, net::Http2Session::Role::Client, stream, limits);
-    connection_->on_closed = [this](std::string why) { stream_over(why); };
+    connection_ = std::make_shared<net::GrpcConnection>(
+        loop_, actor_, net::Http2Session::Role::Client, stream, limits);
+    connection_->on_closed = [this](std::string why) {
+        stream_over(why);
+    };
     connection_->start();
     call_ = connection_->call(std::string(xds::kAdsMethod));
-    call_->on_message = [this](std::string_view bytes) { on_response(bytes); };
+    call_->on_message = [this](std::string_view bytes) {
+        on_response(bytes);
+    };
     call_->on_closed = [this](std::string why) {
         // The governor ended the stream: the connection is of no use without it.
-        if (connection_) connection_->abort(why.empty() ? "the stream ended" : why);
+        if (connection_) {
+            connection_->abort(why.empty() ? "the stream ended" : why);
+        }
     };
     ads_ = [&] {
         xds::AdsClient next(node());
@@ -88,7 +127,9 @@
         return next;
     }();
     call_->cork();
-    for (const auto& request : ads_.start()) call_->send(request.SerializeAsString());
+    for (const auto& request : ads_.start()) {
+        call_->send(request.SerializeAsString());
+    }
     reports_ = connection_->call(std::string(xds::kLrsMethod));
     envoy::service::load_stats::v3::LoadStatsRequest hello;
     *hello.mutable_node() = node();
@@ -96,87 +137,133 @@
     call_->uncork();
     reports_->on_message = [this](std::string_view bytes) {
         envoy::service::load_stats::v3::LoadStatsResponse told;
-        if (!told.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return;
-        report_every_ = Micros(told.load_reporting_interval().seconds() * 1000000 + told.load_reporting_interval().nanos() / 1000);
-        if (report_every_ <= 0us || report_.set()) return;
+        if (!told.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
+            return;
+        }
+        report_every_ = Micros(told.load_reporting_interval().seconds() * 1000000 +
+                               told.load_reporting_interval().nanos() / 1000);
+        if (report_every_ <= 0us || report_.set()) {
+            return;
+        }
         reported_ = loop_.clock().now();
         // Forwarders report spread over the period, not all at once.
-        report_.after(Micros(std::llround(chance_.part() * static_cast<double>(report_every_.count()))) + 1ms, [this] { report(); });
+        report_.after(
+            Micros(std::llround(chance_.part() * static_cast<double>(report_every_.count()))) + 1ms,
+            [this] { report(); });
     };
-    if (observer_) observer_->joined(loop_.clock().now(), settings_.id, settings_.governor_names[governor]);
-    if (stalled_) stream_->pause_reading();
-    if (governor != 0 && settings_.go_back > 0us)
+    if (observer_) {
+        observer_->joined(loop_.clock().now(), settings_.id, settings_.governor_names[governor]);
+    }
+    if (stalled_) {
+        stream_->pause_reading();
+    }
+    if (governor != 0 && settings_.go_back > 0us) {
         go_back_.after(settings_.go_back, [this] {
             governor_ = 0;
             break_stream();
         });
+    }
 }
 
 void Forwarder::stream_over(const std::string&) {
     const auto governor = settings_.governor_names[governor_];
     const bool was = call_ != nullptr;
-    for (const auto& call : {call_, reports_})
-        if (call) call->on_closed = {}, call->on_message = {};
+    for (const auto& call : {call_, reports_}) {
+        if (call) {
+            call->on_closed = {}, call->on_message = {};
+        }
+    }
     call_.reset(), reports_.reset();
     connection_.reset(), stream_.reset();
     report_.stop(), go_back_.stop();
-    if (was && observer_) observer_->left(loop_.clock().now(), settings_.id, governor);
+    if (was && observer_) {
+        observer_->left(loop_.clock().now(), settings_.id, governor);
+    }
     redial();
 }
 
 void Forwarder::break_stream() {
-    if (!connection_) return;
+    if (!connection_) {
+        return;
+    }
     const auto connection = connection_;
     connection->abort("broken off");
 }
 
 void Forwarder::isolate(bool on) {
     isolated_ = on;
-    if (on) break_stream();
+    if (on) {
+        break_stream();
+    }
 }
 
 void Forwarder::stall(bool on) {
     stalled_ = on;
-    if (!stream_) return;
-    if (on) stream_->pause_reading();
-    else stream_->resume_reading();
+    if (!stream_) {
+        return;
+    }
+    if (on) {
+        stream_->pause_reading();
+    } else {
+        stream_->resume_reading();
+    }
 }
 
 void Forwarder::on_response(std::string_view bytes) {
     xds::AdsClient::Response response;
     const Micros now = loop_.clock().now();
-    if (!response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return break_stream();
+    if (!response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
+        return break_stream();
+    }
     const auto outcome = ads_.on_response(response);
     const auto& governor = settings_.governor_names[governor_];
-    if (observer_)
-        observer_->response_read(now, settings_.id, governor, response.control_plane().identifier(), bytes.size(), outcome.rejected);
+    if (observer_) {
+        observer_->response_read(now, settings_.id, governor, response.control_plane().identifier(),
+                                 bytes.size(), outcome.rejected);
+    }
     if (outcome.changed) {
         fresh_ = false;
         // Connections to servers that no table names any more are closed.
         std::set<net::Address> named;
-        for (const auto& [name, table] : ads_.tables().clusters)
-            for (const auto& line : table.lines)
-                if (!line.draining) named.insert(line.address);
-        if (!ads_.tables().routes.empty())
-            for (auto& [address, pool] : pools_)
-                if (!named.contains(address)) pool->retire();
+        for (const auto& [name, table] : ads_.tables().clusters) {
+            for (const auto& line : table.lines) {
+                if (!line.draining) {
+                    named.insert(line.address);
+                }
+            }
+        }
+        if (!ads_.tables().routes.empty()) {
+            for (auto& [address, pool] : pools_) {
+                if (!named.contains(address)) {
+                    pool->retire();
+                }
+            }
+        }
         tell_pickable();
     }
     const auto call = call_;
-    if (!call) return;
+    if (!call) {
+        return;
+    }
     call->cork();
-    for (const auto& request : outcome.requests) call->send(request.SerializeAsString());
+    for (const auto& request : outcome.requests) {
+        call->send(request.SerializeAsString());
+    }
     call->uncork();
 }
 
 void Forwarder::report() {
-    if (!reports_) return;
+    if (!reports_) {
+        return;
+    }
     const Micros now = loop_.clock().now();
     xds::LoadReport sums;
     sums.span = now - std::exchange(reported_, now);
     sums.endpoints = std::exchange(met_, {});
     sums.operations = std::exchange(asked_, {});
-    for (const Operation& op : settings_.operations) sums.operations[op.name];
+    for (const Operation& op : settings_.operations) {
+        sums.operations[op.name];
+    }
     reports_->send(xds::to_message(sums).SerializeAsString());
     report_.after(report_every_, [this] { report(); });
 }
@@ -190,38 +277,59 @@
 
 net::HttpPool& Forwarder::pool(const net::Address& to) {
     auto& known = pools_[to];
-    if (!known)
-        known = std::make_unique<net::HttpPool>(loop_, actor_, settings_.id, to, settings_.connect_timeout, settings_.connection_idle);
+    if (!known) {
+        known = std::make_unique<net::HttpPool>(
+            loop_, actor_, settings_.id, to, settings_.connect_timeout, settings_.connection_idle);
+    }
     return *known;
 }
 
 const xds::ClientTable* Forwarder::table_for(const Work& work) const {
-    if (work.cluster.empty()) return &startup_;
+    if (work.cluster.empty()) {
+        return &startup_;
+    }
     const auto it = ads_.tables().clusters.find(work.cluster);
     return it == ads_.tables().clusters.end() ? nullptr : &it->second;
 }
 
-bool Forwarder::let_in(const std::string& path, const xds::ClientRoute& route, std::uint64_t invocation) {
-    if (route.share < 1 && base::Luck(luck_ ^ kShareLuck, invocation).part() >= route.share) return false;
-    if (route.rate <= 0) return true;
+bool Forwarder::let_in(const std::string& path, const xds::ClientRoute& route,
+                       std::uint64_t invocation) {
+    if (route.share < 1 && base::Luck(luck_ ^ kShareLuck, invocation).part() >= route.share) {
+        return false;
+    }
+    if (route.rate <= 0) {
+        return true;
+    }
     Bucket& bucket = buckets_[path];
     const Micros now = loop_.clock().now();
-    if (bucket.filled == 0us) bucket.tokens = route.burst;
-    bucket.tokens = std::min(route.burst, bucket.tokens + static_cast<double>((now - bucket.filled).count()) / 1e6 * route.rate);
+    if (bucket.filled == 0us) {
+        bucket.tokens = route.burst;
+    }
+    bucket.tokens =
+        std::min(route.burst, bucket.tokens + static_cast<double>((now - bucket.filled).count()) /
+                                                  1e6 * route.rate);
     bucket.filled = now;
-    if (bucket.tokens < 1) return false;
+    if (bucket.tokens < 1) {
+        return false;
+    }
     bucket.tokens -= 1;
     return true;
 }
 
 void Forwarder::take(const net::HttpExchangePtr& exchange) {
-    const auto id = exchange->request.number("x-invocation"), timeout = exchange->request.number("x-timeout-us");
+    const auto id = exchange->request.number("x-invocation"),
+               timeout = exchange->request.number("x-timeout-us");
     net::HttpMessage no;
     no.status = 400;
     int operation = -1;
-    for (std::size_t k = 0; k < settings_.operations.size(); ++k)
-        if (xds::path_of(settings_.operations[k].name) == exchange->request.target) operation = static_cast<int>(k);
-    if (!id || !timeout || *timeout <= 0 || operation < 0) return exchange->answer(std::move(no));
+    for (std::size_t k = 0; k < settings_.operations.size(); ++k) {
+        if (xds::path_of(settings_.operations[k].name) == exchange->request.target) {
+            operation = static_cast<int>(k);
+        }
+    }
+    if (!id || !timeout || *timeout <= 0 || operation < 0) {
+        return exchange->answer(std::move(no));
+    }
     const std::string& path = exchange->request.target;
     const std::uint64_t key = ++ids_;
     Work& work = works_[key];
@@ -231,7 +339,8 @@
     work.again = settings_.again;
     ++asked_[settings_.operations[static_cast<std::size_t>(operation)].name].count;
     if (const auto route = ads_.tables().routes.find(path); route != ads_.tables().routes.end()) {
-        work.cluster = route->second.cluster, work.again = route->second.again, work.per_try = route->second.per_try;
+        work.cluster = route->second.cluster, work.again = route->second.again,
+        work.per_try = route->second.per_try;
         if (!let_in(path, route->second, work.invocation)) {
             no.status = 429;
             no.headers.emplace_back("x-not-begun", "1");
@@ -240,7 +349,9 @@
     }
     exchange->on_gone = [this, key] {
         const auto it = works_.find(key);
-        if (it == works_.end()) return;
+        if (it == works_.end()) {
+            return;
+        }
         if (it->second.attempt) {
             pool(it->second.now).cancel(it->second.attempt);
             --standings_[it->second.now].open;
@@ -252,26 +363,41 @@
     attempt(key);
 }
 
-const xds::TableLine* Forwarder::pick(const xds::ClientTable& table, const std::set<net::Address>& not_these, base::Luck luck) {
+const xds::TableLine* Forwarder::pick(const xds::ClientTable& table,
+                                      const std::set<net::Address>& not_these, base::Luck luck) {
     const Micros now = loop_.clock().now();
     std::vector<const xds::TableLine*> open, good;
     for (const auto& line : table.lines) {
-        if (line.draining || ads_.tables().withdrawn.contains(line.address) || not_these.contains(line.address)) continue;
+        if (line.draining || ads_.tables().withdrawn.contains(line.address) ||
+            not_these.contains(line.address)) {
+            continue;
+        }
         open.push_back(&line);
-        if (standings_[line.address].ejected_until <= now) good.push_back(&line);
+        if (standings_[line.address].ejected_until <= now) {
+            good.push_back(&line);
+        }
     }
     // With all of them ejected the tables stand as they are.
     const auto& from = good.empty() ? open : good;
-    if (from.empty()) return nullptr;
+    if (from.empty()) {
+        return nullptr;
+    }
     double sum = 0;
-    for (const auto* line : from) sum += line->weight;
+    for (const auto* line : from) {
+        sum += line->weight;
+    }
     const auto draw = [&] {
         double at = luck.part() * sum;
-        for (const auto* line : from)
-            if ((at -= line->weight) < 0) return line;
+        for (const auto* line : from) {
+            if ((at -= line->weight) < 0) {
+                return line;
+            }
+        }
         return from.back();
     };
-    if (table.pick == Pick::Weighted) return draw();
+    if (table.pick == Pick::Weighted) {
+        return draw();
+    }
     if (table.pick == Pick::Two) {
         const auto *a = draw(), *b = draw();
         return standings_[b->address].open < standings_[a->address].open ? b : a;
@@ -280,7 +406,9 @@
     for (const auto* line : from) {
         auto& turn = standings_[line->address].turn;
         turn += line->weight;
-        if (!best || turn > standings_[best->address].turn) best = line;
+        if (!best || turn > standings_[best->address].turn) {
+            best = line;
+        }
     }
     standings_[best->address].turn -= sum;
     return best;
@@ -290,7 +418,10 @@
     Work& work = works_.at(id);
     const Micros now = loop_.clock().now();
     const xds::ClientTable* table = table_for(work);
-    const xds::TableLine* line = table ? pick(*table, work.tried, base::Luck(luck_ + static_cast<std::uint64_t>(work.tries), work.invocation)) : nullptr;
+    const xds::TableLine* line =
+        table ? pick(*table, work.tried,
+                     base::Luck(luck_ + static_cast<std::uint64_t>(work.tries), work.invocation))
+              : nullptr;
     if (!line) {
         net::HttpMessage none;
         none.status = 503;
@@ -305,24 +436,31 @@
     ++met_[work.now].tries;
     net::HttpMessage request = work.exchange->request;
     std::erase_if(request.headers, [](const auto& h) {
-        return h.first == "host" || h.first == "content-length" || h.first == "x-timeout-us" || h.first == "connection";
+        return h.first == "host" || h.first == "content-length" || h.first == "x-timeout-us" ||
+               h.first == "connection";
     });
     Micros limit = work.expires - now;
     const int more = work.again == Again::Once ? 1 : work.again == Again::Twice ? 2 : 0;
-    if (more >= work.tries && work.per_try > 0us) limit = std::min(limit, work.per_try);
+    if (more >= work.tries && work.per_try > 0us) {
+        limit = std::min(limit, work.per_try);
+    }
     request.headers.emplace_back("x-timeout-us", std::to_string(limit.count()));
     request.headers.emplace_back("x-forwarder", settings_.id);
     request.keep_alive = true;
-    if (observer_)
-        observer_->try_sent(now, settings_.id, name_of(work.now), work.invocation, work.operation, work.tries, work.before);
-    work.attempt = pool(work.now).send(std::move(request), limit, [this, id, now](net::HttpOutcome outcome) {
-        attempted(id, std::move(outcome), now);
-    });
+    if (observer_) {
+        observer_->try_sent(now, settings_.id, name_of(work.now), work.invocation, work.operation,
+                            work.tries, work.before);
+    }
+    work.attempt = pool(work.now).send(
+        std::move(request), limit,
+        [this, id, now](net::HttpOutcome outcome) { attempted(id, std::move(outcome), now); });
 }
 
 void Forwarder::attempted(std::uint64_t id, net::HttpOutcome outcome, Micros sent) {
     const auto it = works_.find(id);
-    if (it == works_.end()) return;
+    if (it == works_.end()) {
+        return;
+    }
     Work& work = it->second;
     work.attempt = 0;
     const Micros now = loop_.clock().now();
@@ -331,13 +469,15 @@
     auto& sums = met_[work.now];
     const auto proof = outcome.response.header("x-not-begun");
     const bool good = outcome.how == How::Answered && outcome.response.status == 200;
-    const TryEnd end = good                               ? TryEnd::Answered
-                       : outcome.how == How::NeverSent    ? TryEnd::NeverSent
-                       : outcome.how == How::Broken       ? TryEnd::Broken
-                       : outcome.how == How::TimedOut     ? TryEnd::TimedOut
-                       : proof                            ? TryEnd::Refused
-                                                          : TryEnd::Errored;
-    if (observer_) observer_->try_ended(now, settings_.id, name_of(work.now), work.invocation, end);
+    const TryEnd end = good                            ? TryEnd::Answered
+                       : outcome.how == How::NeverSent ? TryEnd::NeverSent
+                       : outcome.how == How::Broken    ? TryEnd::Broken
+                       : outcome.how == How::TimedOut  ? TryEnd::TimedOut
+                       : proof                         ? TryEnd::Refused
+                                                       : TryEnd::Errored;
+    if (observer_) {
+        observer_->try_ended(now, settings_.id, name_of(work.now), work.invocation, end);
+    }
     if (good) {
         ++sums.succeeded;
         sums.answer_us += static_cast<double>((now - sent).count());
@@ -350,8 +490,10 @@
                 const auto equals = part.find('=');
                 double value = 0;
                 if (equals != std::string_view::npos &&
-                    std::from_chars(part.data() + equals + 1, part.data() + part.size(), value).ec == std::errc{})
+                    std::from_chars(part.data() + equals + 1, part.data() + part.size(), value)
+                            .ec == std::errc{}) {
                     sums.load[std::string(part.substr(0, equals))] = value;
+                }
                 at = stop + 1;
             }
         }
@@ -374,15 +516,24 @@
     }
     ++asked_[settings_.operations[static_cast<std::size_t>(work.operation)].name].errored;
     net::HttpMessage response;
-    if (outcome.how == How::Answered) response = std::move(outcome.response);
-    else response.status = outcome.how == How::TimedOut ? 504 : outcome.how == How::NeverSent ? 503 : 502;
-    if (outcome.how == How::NeverSent) response.headers.emplace_back("x-not-begun", "1");
+    if (outcome.how == How::Answered) {
+        response = std::move(outcome.response);
+    } else {
+        response.status = outcome.how == How::TimedOut    ? 504
+                          : outcome.how == How::NeverSent ? 503
+                                                          : 502;
+    }
+    if (outcome.how == How::NeverSent) {
+        response.headers.emplace_back("x-not-begun", "1");
+    }
     finish(id, std::move(response));
 }
 
 void Forwarder::finish(std::uint64_t id, net::HttpMessage response) {
     const auto it = works_.find(id);
-    if (it == works_.end()) return;
+    if (it == works_.end()) {
+        return;
+    }
     const auto exchange = it->second.exchange;
     works_.erase(it);
     exchange->on_gone = {};
@@ -394,7 +545,9 @@
 }
 
 void Forwarder::tell_pickable() {
-    if (!observer_) return;
+    if (!observer_) {
+        return;
+    }
     for (std::size_t k = 0; k < settings_.operations.size(); ++k) {
         const auto route = ads_.tables().routes.find(xds::path_of(settings_.operations[k].name));
         const xds::ClientTable* table = &startup_;
@@ -402,11 +555,15 @@
             const auto cluster = ads_.tables().clusters.find(route->second.cluster);
             table = cluster == ads_.tables().clusters.end() ? nullptr : &cluster->second;
         }
-        const bool any = table && std::any_of(table->lines.begin(), table->lines.end(), [&](const xds::TableLine& line) {
-                             return !line.draining && !ads_.tables().withdrawn.contains(line.address);
-                         });
+        const bool any =
+            table &&
+            std::any_of(table->lines.begin(), table->lines.end(), [&](const xds::TableLine& line) {
+                return !line.draining && !ads_.tables().withdrawn.contains(line.address);
+            });
         const auto [it, first] = pickable_.try_emplace(static_cast<int>(k), any);
-        if (first || it->second != any) observer_->pickable(loop_.clock().now(), settings_.id, static_cast<int>(k), any);
+        if (first || it->second != any) {
+            observer_->pickable(loop_.clock().now(), settings_.id, static_cast<int>(k), any);
+        }
         it->second = any;
     }
 }
--- a/src/standin/forwarder.h
+++ b/src/standin/forwarder.h
@@ -1,5 +1,6 @@
-// A stand-in for a plain forwarder: does as its tables say, and nothing else of its own than what the settings
-// give it: a start-up table, ejection after failures, a further try as ordered or after proof.
+// A stand-in for a plain forwarder: does as its tables say, and nothing else of its own than what
+// the settings give it: a start-up table, ejection after failures, a further try as ordered or
+// after proof.
 #pragma once
 
 #include <map>
@@ -19,16 +20,17 @@
 
 struct ForwarderSettings {
     std::string id, zone;
-    net::Address listen;                     // port 0: a free one
-    double rate = 1;                         // invocations a second, as told on joining
+    net::Address listen;  // port 0: a free one
+    double rate = 1;      // invocations a second, as told on joining
     std::vector<Operation> operations;
-    std::vector<net::Address> governors;     // the preferred one first
+    std::vector<net::Address> governors;  // the preferred one first
     std::vector<std::string> governor_names;
-    std::vector<xds::TableLine> startup;     // its standing table
-    Pick pick = Pick::Two;                   // for the start-up table
+    std::vector<xds::TableLine> startup;  // its standing table
+    Pick pick = Pick::Two;                // for the start-up table
     Again again = Again::AfterProof;
     int ejects_after = 5;
-    Micros eject_time{}, connect_timeout{}, connection_idle{}, dial_timeout{}, redial_least{}, redial_most{};
+    Micros eject_time{}, connect_timeout{}, connection_idle{}, dial_timeout{}, redial_least{},
+        redial_most{};
     // Waits this long before it looks for its preferred governor again; 0: stays where it is.
     Micros go_back{};
     Micros keepalive{};
@@ -36,23 +38,32 @@
 
 class Forwarder {
 public:
-    Forwarder(net::Loop& loop, base::ActorId actor, ForwarderSettings settings, std::uint64_t seed, Observer* observer,
-              std::map<net::Address, std::string> const* server_names);
+    Forwarder(net::Loop& loop, base::ActorId actor, ForwarderSettings settings, std::uint64_t seed,
+              Observer* observer, std::map<net::Address, std::string> const* server_names);
     ~Forwarder();
 
     net::Address address() const { return server_->address(); }
+
     const ForwarderSettings& settings() const { return settings_; }
+
     const xds::ClientTables& tables() const { return ads_.tables(); }
+
     bool joined() const { return call_ != nullptr; }
+
     // Breaks the stream, as a cut on the way would; it dials again by itself.
     void break_stream();
     // Reaches no governor while this holds.
     void isolate(bool on);
     // Stops reading from its governor (back pressure).
     void stall(bool on);
+
     // Refuses what this finds wrong.
-    void doubt(std::function<std::string(const xds::AdsClient::Response&)> why) { ads_.doubt = std::move(why); }
-    // Sends side-effecting invocations again after any failure: a forwarder that breaks the rules, for tests alone.
+    void doubt(std::function<std::string(const xds::AdsClient::Response&)> why) {
+        ads_.doubt = std::move(why);
+    }
+
+    // Sends side-effecting invocations again after any failure: a forwarder that breaks the rules,
+    // for tests alone.
     bool repeats_all = false;
 
 private:
@@ -70,15 +81,18 @@
         std::string cluster;
         TryEnd before = TryEnd::NeverSent;  // how the try before this one ended
     };
+
     struct Standing {
         int failures = 0, open = 0;
         Micros ejected_until{};
         double turn = 0;  // for picking by turns
     };
+
     struct Bucket {
         double tokens = 0;
         Micros filled{};
     };
+
     void dial();
     void redial();
     void connected(net::StreamPtr stream, std::size_t governor);
@@ -88,7 +102,8 @@
     void take(const net::HttpExchangePtr& exchange);
     bool let_in(const std::string& path, const xds::ClientRoute& route, std::uint64_t invocation);
     const xds::ClientTable* table_for(const Work& work) const;
-    const xds::TableLine* pick(const xds::ClientTable& table, const std::set<net::Address>& not_these, base::Luck luck);
+    const xds::TableLine* pick(const xds::ClientTable& table,
+                               const std::set<net::Address>& not_these, base::Luck luck);
     void attempt(std::uint64_t id);
     void attempted(std::uint64_t id, net::HttpOutcome outcome, Micros sent);
     void finish(std::uint64_t id, net::HttpMessage response);
@@ -104,7 +119,8 @@
     const std::map<net::Address, std::string>* server_names_;
     base::Chance chance_;
     std::uint64_t luck_;
-    bool fresh_ = true, isolated_ = false, stalled_ = false;  // before ads_, whose node tells of the first
+    bool fresh_ = true, isolated_ = false,
+         stalled_ = false;  // before ads_, whose node tells of the first
     xds::AdsClient ads_;
     xds::ClientTable startup_;
     std::unique_ptr<net::HttpServer> server_;
--- a/src/standin/registry.cpp
+++ b/src/standin/registry.cpp
@@ -10,20 +10,27 @@
 std::uint64_t parameter(const std::string& target, const std::string& name) {
     const auto at = target.find(name + "=");
     std::uint64_t out = 0;
-    if (at != std::string::npos)
+    if (at != std::string::npos) {
         std::from_chars(target.data() + at + name.size() + 1, target.data() + target.size(), out);
+    }
     return out;
 }
 }  // namespace
 
-Registry::Registry(net::Loop& loop, base::ActorId actor, std::string host, const net::Address& at, Observer* observer)
-    : loop_(loop), actor_(actor), host_(std::move(host)), observer_(observer) {
+Registry::Registry(net::Loop& loop, base::ActorId actor, std::string host, const net::Address& at,
+                   Observer* observer)
+    : loop_(loop),
+      actor_(actor),
+      host_(std::move(host)),
+      observer_(observer) {
     listen(at);
 }
 
 void Registry::listen(const net::Address& at) {
     server_ = std::make_unique<net::HttpServer>(loop_, actor_, host_, at, net::HttpLimits{}, 10000);
-    server_->on_request = [this](net::HttpExchangePtr exchange) { asked(exchange); };
+    server_->on_request = [this](net::HttpExchangePtr exchange) {
+        asked(exchange);
+    };
 }
 
 void Registry::put(const Row& row) {
@@ -32,7 +39,9 @@
 }
 
 void Registry::remove(const std::string& id) {
-    if (rows_.erase(id) > 0) changed();
+    if (rows_.erase(id) > 0) {
+        changed();
+    }
 }
 
 void Registry::changed() {
@@ -42,14 +51,18 @@
 
 void Registry::hang(bool on) {
     hung_ = on;
-    if (!on) answer_waiting();
+    if (!on) {
+        answer_waiting();
+    }
 }
 
 void Registry::restart(bool keep_rows) {
     waiting_.clear();
     const net::Address at = server_->address();
     server_.reset();
-    if (!keep_rows) rows_.clear();
+    if (!keep_rows) {
+        rows_.clear();
+    }
     ++lives_, index_ = 1;
     listen(at);
 }
@@ -62,12 +75,18 @@
         return exchange->answer(std::move(no));
     }
     const std::uint64_t after = parameter(request.target, "index");
-    if (!hung_ && index_ > after) return answer(exchange);
-    if (!hung_ && after > index_) return answer(exchange);  // a client of another life: told at once
+    if (!hung_ && index_ > after) {
+        return answer(exchange);
+    }
+    if (!hung_ && after > index_) {
+        return answer(exchange);  // a client of another life: told at once
+    }
     Waiting waiting{exchange, after, std::make_unique<base::Timer>(loop_.clock(), actor_)};
     const Micros wait(static_cast<std::int64_t>(parameter(request.target, "wait_ms")) * 1000);
     waiting.limit->after(wait, [this, exchange] {
-        if (hung_) return;
+        if (hung_) {
+            return;
+        }
         answer(exchange);
         std::erase_if(waiting_, [](const Waiting& w) { return !w.exchange->open(); });
     });
@@ -75,12 +94,19 @@
 }
 
 void Registry::answer_waiting() {
-    if (hung_) return;
+    if (hung_) {
+        return;
+    }
     std::vector<Waiting> rest;
     for (Waiting& waiting : waiting_) {
-        if (!waiting.exchange->open()) continue;
-        if (index_ != waiting.after) answer(waiting.exchange);
-        else rest.push_back(std::move(waiting));
+        if (!waiting.exchange->open()) {
+            continue;
+        }
+        if (index_ != waiting.after) {
+            answer(waiting.exchange);
+        } else {
+            rest.push_back(std::move(waiting));
+        }
     }
     waiting_ = std::move(rest);
 }
@@ -93,14 +119,17 @@
     json["servers"] = nlohmann::json::array();
     for (const auto& [id, row] : instead_ ? *instead_ : rows_) {
         governor::ListedServer listed = row.server;
-        listed.age = row.started > Micros{0} ? std::max(Micros{1000}, loop_.clock().now() - row.started) : Micros{0};
-        json["servers"].push_back({{"id", id},
-                                   {"zone", listed.zone},
-                                   {"address", net::to_text(listed.address)},
-                                   {"state", listed.state == ServerState::Draining ? "draining" : "ready"},
-                                   {"weight", listed.weight},
-                                   {"incarnation", listed.incarnation},
-                                   {"age_ms", static_cast<double>(listed.age.count()) / 1000}});
+        listed.age = row.started > Micros{0}
+                         ? std::max(Micros{1000}, loop_.clock().now() - row.started)
+                         : Micros{0};
+        json["servers"].push_back(
+            {{"id", id},
+             {"zone", listed.zone},
+             {"address", net::to_text(listed.address)},
+             {"state", listed.state == ServerState::Draining ? "draining" : "ready"},
+             {"weight", listed.weight},
+             {"incarnation", listed.incarnation},
+             {"age_ms", static_cast<double>(listed.age.count()) / 1000}});
         told.servers.push_back(std::move(listed));
     }
     told.about.servers = told.servers.size();
@@ -110,7 +139,9 @@
     response.body = garbage.empty() ? json.dump() : garbage;
     const std::string governor{exchange->request.header("x-governor").value_or("")};
     exchange->answer(std::move(response));
-    if (observer_ && garbage.empty()) observer_->list_told(loop_.clock().now(), governor, told);
+    if (observer_ && garbage.empty()) {
+        observer_->list_told(loop_.clock().now(), governor, told);
+    }
 }
 
 }  // namespace badgergrade::standin
--- a/src/standin/registry.h
+++ b/src/standin/registry.h
@@ -15,26 +15,38 @@
 
 class Registry {
 public:
-    Registry(net::Loop& loop, base::ActorId actor, std::string host, const net::Address& at, Observer* observer);
+    Registry(net::Loop& loop, base::ActorId actor, std::string host, const net::Address& at,
+             Observer* observer);
 
     net::Address address() const { return server_->address(); }
+
     struct Row {
         governor::ListedServer server;  // `age` is not used
         Micros started{};               // 0: long ago
     };
+
     // Lists or changes a server, or removes it; seen by the next answer.
     void put(const Row& row);
     void remove(const std::string& id);
+
     const std::map<std::string, Row>& rows() const { return rows_; }
 
-    // While hung it reads requests and answers none; restarted it is another registry that counts from 1.
+    // While hung it reads requests and answers none; restarted it is another registry that counts
+    // from 1.
     void hang(bool on);
     void restart(bool keep_rows);
     // Answers with fewer servers, older indexes or garbage, as a day wants; empty: none of it.
     std::string garbage;
-    void go_back(std::uint64_t indexes) { index_ = index_ > indexes ? index_ - indexes : 1, answer_waiting(); }
-    // Shows these rows in place of its own, as a copy that fell behind would; nothing: its own again.
-    void show_instead(std::optional<std::map<std::string, Row>> rows) { instead_ = std::move(rows), changed(); }
+
+    void go_back(std::uint64_t indexes) {
+        index_ = index_ > indexes ? index_ - indexes : 1, answer_waiting();
+    }
+
+    // Shows these rows in place of its own, as a copy that fell behind would; nothing: its own
+    // again.
+    void show_instead(std::optional<std::map<std::string, Row>> rows) {
+        instead_ = std::move(rows), changed();
+    }
 
 private:
     struct Waiting {
@@ -42,6 +54,7 @@
         std::uint64_t after = 0;
         std::unique_ptr<base::Timer> limit;
     };
+
     void listen(const net::Address& at);
     void asked(const net::HttpExchangePtr& exchange);
     void answer(const net::HttpExchangePtr& exchange);
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -9,21 +9,34 @@
 
 using namespace std::chrono_literals;
 
-Worker::Worker(net::Loop& loop, base::ActorId actor, WorkerSettings settings, std::uint64_t seed, Observer* observer,
-               bool cold, std::vector<std::string> operations)
-    : loop_(loop), actor_(actor), settings_(std::move(settings)), observer_(observer),
-      operations_(std::move(operations)), luck_(seed), started_(loop.clock().now()), cold_(cold) {
-    server_ = std::make_unique<net::HttpServer>(loop, actor, settings_.id, settings_.listen, net::HttpLimits{}, SIZE_MAX);
-    server_->on_request = [this](net::HttpExchangePtr exchange) { asked(exchange); };
+Worker::Worker(net::Loop& loop, base::ActorId actor, WorkerSettings settings, std::uint64_t seed,
+               Observer* observer, bool cold, std::vector<std::string> operations)
+    : loop_(loop),
+      actor_(actor),
+      settings_(std::move(settings)),
+      observer_(observer),
+      operations_(std::move(operations)),
+      luck_(seed),
+      started_(loop.clock().now()),
+      cold_(cold) {
+    server_ = std::make_unique<net::HttpServer>(loop, actor, settings_.id, settings_.listen,
+                                                net::HttpLimits{}, SIZE_MAX);
+    server_->on_request = [this](net::HttpExchangePtr exchange) {
+        asked(exchange);
+    };
     server_->on_connection = [this](std::size_t) {
         debt_us_ += static_cast<double>(settings_.handshake_work.count());
         server_->limit_connections(std::min(settings_.connections_most, trouble.connections_most));
     };
-    if (observer_) observer_->server_up(started_, settings_.id, cold_);
+    if (observer_) {
+        observer_->server_up(started_, settings_.id, cold_);
+    }
 }
 
 Worker::~Worker() {
-    if (observer_) observer_->server_down(loop_.clock().now(), settings_.id);
+    if (observer_) {
+        observer_->server_down(loop_.clock().now(), settings_.id);
+    }
     running_timers_.clear();
     queue_.clear();
     server_->on_request = {};
@@ -31,7 +44,9 @@
 
 // What a cold server can do rises evenly to the whole.
 double Worker::capacity() const {
-    if (!cold_ || settings_.cold_time <= Micros{0}) return 1;
+    if (!cold_ || settings_.cold_time <= Micros{0}) {
+        return 1;
+    }
     const double age = static_cast<double>((loop_.clock().now() - started_).count()) /
                        static_cast<double>(settings_.cold_time.count());
     return std::min(1.0, settings_.cold_from + (1 - settings_.cold_from) * age);
@@ -40,11 +55,19 @@
 void Worker::asked(const net::HttpExchangePtr& exchange) {
     server_->limit_connections(std::min(settings_.connections_most, trouble.connections_most));
     const std::string& target = exchange->request.target;
-    if (trouble.hangs || fallen_) return;  // read, and never answered
-    if (target.rfind("/invoke/", 0) == 0) return invoke(exchange);
-    if (target == "/probe/shallow") return answer(exchange, 200, nullptr);
+    if (trouble.hangs || fallen_) {
+        return;  // read, and never answered
+    }
+    if (target.rfind("/invoke/", 0) == 0) {
+        return invoke(exchange);
+    }
+    if (target == "/probe/shallow") {
+        return answer(exchange, 200, nullptr);
+    }
     if (target == "/probe/deep") {
-        if (probing_ >= settings_.probes_most) return answer(exchange, 503, "1");
+        if (probing_ >= settings_.probes_most) {
+            return answer(exchange, 503, "1");
+        }
         ++probing_;
         Job job{exchange, 0, -1, {}, 5000, Micros::max()};
         queue_.push_back(std::move(job));
@@ -55,16 +78,26 @@
 
 void Worker::invoke(const net::HttpExchangePtr& exchange) {
     const net::HttpMessage& request = exchange->request;
-    const auto id = request.number("x-invocation"), work = request.number("x-work-us"), limit = request.number("x-timeout-us");
-    if (!id || !work || *work < 0 || *work > 3600000000LL) return answer(exchange, 400, "1");
+    const auto id = request.number("x-invocation"), work = request.number("x-work-us"),
+               limit = request.number("x-timeout-us");
+    if (!id || !work || *work < 0 || *work > 3600000000LL) {
+        return answer(exchange, 400, "1");
+    }
     const std::string forwarder{request.header("x-forwarder").value_or("")};
     push(forwarder, static_cast<double>(*work));
-    if (fallen_) return;
-    // Luck goes by the invocation, not by the order of events, so that two days under other settings meet the same.
+    if (fallen_) {
+        return;
+    }
+    // Luck goes by the invocation, not by the order of events, so that two days under other
+    // settings meet the same.
     const double luck = base::Chance(luck_, "errors/" + std::to_string(*id)).part();
-    if (luck < std::max(trouble.errors, settings_.error_rate)) return answer(exchange, 500, nullptr);
-    if (queue_.size() >= settings_.queue_per_core * static_cast<std::size_t>(settings_.cores) && running_ >= settings_.cores)
+    if (luck < std::max(trouble.errors, settings_.error_rate)) {
+        return answer(exchange, 500, nullptr);
+    }
+    if (queue_.size() >= settings_.queue_per_core * static_cast<std::size_t>(settings_.cores) &&
+        running_ >= settings_.cores) {
         return answer(exchange, 503, "1");
+    }
     Job job;
     job.exchange = exchange;
     job.invocation = static_cast<std::uint64_t>(*id);
@@ -81,8 +114,12 @@
 void Worker::answer(const net::HttpExchangePtr& exchange, int status, const char* not_begun) {
     net::HttpMessage response;
     response.status = status;
-    if (not_begun) response.headers.emplace_back("x-not-begun", not_begun);
-    if (settings_.reports_load) response.headers.emplace_back("x-load", load_report());
+    if (not_begun) {
+        response.headers.emplace_back("x-not-begun", not_begun);
+    }
+    if (settings_.reports_load) {
+        response.headers.emplace_back("x-load", load_report());
+    }
     exchange->answer(std::move(response));
 }
 
@@ -93,7 +130,9 @@
         queue_.pop_front();
         // Nobody waits for it any more: dropped before it begins.
         if (!job.exchange->open() || job.expires <= now) {
-            if (job.operation < 0 && probing_ > 0) --probing_;
+            if (job.operation < 0 && probing_ > 0) {
+                --probing_;
+            }
             continue;
         }
         run(std::move(job));
@@ -102,9 +141,12 @@
 
 void Worker::run(Job job) {
     const Micros now = loop_.clock().now();
-    if (job.operation >= 0 && observer_) observer_->took_effect(now, settings_.id, job.invocation, job.operation);
+    if (job.operation >= 0 && observer_) {
+        observer_->took_effect(now, settings_.id, job.invocation, job.operation);
+    }
     const double work = job.work_us * remembered(job.key) + std::exchange(debt_us_, 0.0);
-    const double pace = settings_.speed * capacity() * std::max(0.01, 1 - trouble.taken) / std::max(0.01, trouble.slower);
+    const double pace = settings_.speed * capacity() * std::max(0.01, 1 - trouble.taken) /
+                        std::max(0.01, trouble.slower);
     const Micros takes(std::max<std::int64_t>(1, std::llround(work / pace)));
     ++running_;
     busy_us_ += static_cast<double>(takes.count());
@@ -120,58 +162,84 @@
 }
 
 void Worker::finish(Job job) {
-    if (job.operation < 0 && job.invocation == 0 && probing_ > 0) --probing_;
-    if (trouble.hangs || fallen_ || !job.exchange->open()) return;
+    if (job.operation < 0 && job.invocation == 0 && probing_ > 0) {
+        --probing_;
+    }
+    if (trouble.hangs || fallen_ || !job.exchange->open()) {
+        return;
+    }
     const double luck = base::Chance(luck_, "lost/" + std::to_string(job.invocation)).part();
-    if (luck < trouble.answers_lost) return job.exchange->break_off();
+    if (luck < trouble.answers_lost) {
+        return job.exchange->break_off();
+    }
     answer(job.exchange, 200, nullptr);
 }
 
 // Part of the work left where the key was met lately.
 double Worker::remembered(const std::string& key) {
-    if (settings_.key_gain <= 0 || key.empty()) return 1;
+    if (settings_.key_gain <= 0 || key.empty()) {
+        return 1;
+    }
     const Micros now = loop_.clock().now();
     const auto it = keys_.find(key);
     const bool known = it != keys_.end() && it->second + settings_.key_time >= now;
     keys_[key] = now;
     key_order_.emplace_back(now, key);
-    while (keys_.size() > settings_.keys_most || (!key_order_.empty() && key_order_.front().first + settings_.key_time < now)) {
+    while (keys_.size() > settings_.keys_most ||
+           (!key_order_.empty() && key_order_.front().first + settings_.key_time < now)) {
         const auto [when, old] = key_order_.front();
         key_order_.pop_front();
-        if (const auto o = keys_.find(old); o != keys_.end() && o->second == when) keys_.erase(o);
+        if (const auto o = keys_.find(old); o != keys_.end() && o->second == when) {
+            keys_.erase(o);
+        }
     }
     return known ? 1 - settings_.key_gain : 1;
 }
 
-// A cold server that is sent more than the multiple of what it can do, over the fall time, falls and stays down.
+// A cold server that is sent more than the multiple of what it can do, over the fall time, falls
+// and stays down.
 void Worker::push(const std::string& forwarder, double work_us) {
-    if (!cold_ || settings_.fall_multiple <= 0 || settings_.fall_time <= Micros{0}) return;
+    if (!cold_ || settings_.fall_multiple <= 0 || settings_.fall_time <= Micros{0}) {
+        return;
+    }
     const Micros now = loop_.clock().now();
-    if (now >= started_ + settings_.cold_time) return;
+    if (now >= started_ + settings_.cold_time) {
+        return;
+    }
     pushes_.push_back({forwarder, now, work_us});
     pushed_us_ += work_us;
     while (!pushes_.empty() && pushes_.front().when + settings_.fall_time < now) {
         pushed_us_ -= pushes_.front().work;
         pushes_.pop_front();
     }
-    const double can = capacity() * settings_.cores * settings_.speed * static_cast<double>(settings_.fall_time.count());
+    const double can = capacity() * settings_.cores * settings_.speed *
+                       static_cast<double>(settings_.fall_time.count());
     // A little slack for chance: two invocations of this size are no rush.
-    if (pushed_us_ <= settings_.fall_multiple * can + 2 * work_us) return;
+    if (pushed_us_ <= settings_.fall_multiple * can + 2 * work_us) {
+        return;
+    }
     fallen_ = true;
     running_timers_.clear();
     running_ = 0;
     queue_.clear();
-    if (observer_) observer_->server_fell(now, settings_.id, {pushes_.begin(), pushes_.end()});
+    if (observer_) {
+        observer_->server_fell(now, settings_.id, {pushes_.begin(), pushes_.end()});
+    }
 }
 
 std::string Worker::load_report() {
     const Micros now = loop_.clock().now();
-    if (!report_.empty() && now < report_at_ + settings_.report_every) return report_;
-    const double span = std::max(1.0, static_cast<double>((now - busy_since_).count()) * settings_.cores);
+    if (!report_.empty() && now < report_at_ + settings_.report_every) {
+        return report_;
+    }
+    const double span =
+        std::max(1.0, static_cast<double>((now - busy_since_).count()) * settings_.cores);
     const double cpu = std::min(1.0, busy_us_ / span) * trouble.counters;
-    const auto two = [](double v) { return std::to_string(std::llround(v * 100) / 100.0).substr(0, 4); };
-    report_ = "cpu=" + two(cpu) + ",active=" + std::to_string(running_) +
-              ",waiting=" + std::to_string(std::llround(static_cast<double>(queue_.size()) * trouble.counters));
+    const auto two = [](double v) {
+        return std::to_string(std::llround(v * 100) / 100.0).substr(0, 4);
+    };
+    report_ = "cpu=" + two(cpu) + ",active=" + std::to_string(running_) + ",waiting=" +
+              std::to_string(std::llround(static_cast<double>(queue_.size()) * trouble.counters));
     report_at_ = now, busy_us_ = 0, busy_since_ = now;
     return report_;
 }
--- a/src/standin/worker.h
+++ b/src/standin/worker.h
@@ -1,9 +1,10 @@
-// A stand-in for a render worker: cores and a queue, a cold start, connections, keys it remembers, load reports,
-// probes, and the ways in which it fails. Counts what took effect by invocation id.
+// A stand-in for a render worker: cores and a queue, a cold start, connections, keys it remembers,
+// load reports, probes, and the ways in which it fails. Counts what took effect by invocation id.
 //
-//   POST /invoke/OPERATION   x-invocation, x-key, x-work-us (of a yardstick core), x-forwarder, x-timeout-us
-//   200 done | 500 errored | 503 + x-not-begun: 1 refused before it began;  x-load: cpu=..,waiting=.. where told
-//   GET /probe/shallow  200 while the process runs;  GET /probe/deep  200 after a small piece of work
+//   POST /invoke/OPERATION   x-invocation, x-key, x-work-us (of a yardstick core), x-forwarder,
+//   x-timeout-us 200 done | 500 errored | 503 + x-not-begun: 1 refused before it began;  x-load:
+//   cpu=..,waiting=.. where told GET /probe/shallow  200 while the process runs;  GET /probe/deep
+//   200 after a small piece of work
 #pragma once
 
 #include <deque>
@@ -19,16 +20,16 @@
 
 struct WorkerSettings {
     std::string id, zone;
-    net::Address listen;            // port 0: a free one
+    net::Address listen;  // port 0: a free one
     int cores = 2;
-    double speed = 1;               // of a yardstick core
+    double speed = 1;  // of a yardstick core
     std::size_t queue_per_core = 10;
     double cold_from = 0.2;
     Micros cold_time{}, fall_time{};
-    double fall_multiple = 0;       // 0: never falls
+    double fall_multiple = 0;  // 0: never falls
     std::size_t connections_most = 200;
     Micros handshake_work{};
-    double key_gain = 0;            // part of the work that a remembered key saves
+    double key_gain = 0;  // part of the work that a remembered key saves
     Micros key_time{};
     std::size_t keys_most = 1000;
     bool reports_load = false;
@@ -39,26 +40,31 @@
 
 // What a day does to a worker. All of it can be changed while it runs.
 struct WorkerTrouble {
-    bool hangs = false;              // takes invocations, answers none
-    double errors = 0;               // part that fails at once
-    double slower = 1;               // this many times slower
-    double taken = 0;                // part of the machine that a neighbour takes
-    double answers_lost = 0;         // part of the answers that break off after the work
-    double counters = 1;             // load reports show this part of the truth
+    bool hangs = false;       // takes invocations, answers none
+    double errors = 0;        // part that fails at once
+    double slower = 1;        // this many times slower
+    double taken = 0;         // part of the machine that a neighbour takes
+    double answers_lost = 0;  // part of the answers that break off after the work
+    double counters = 1;      // load reports show this part of the truth
     std::size_t connections_most = SIZE_MAX;
 };
 
 class Worker {
 public:
-    Worker(net::Loop& loop, base::ActorId actor, WorkerSettings settings, std::uint64_t seed, Observer* observer,
-           bool cold, std::vector<std::string> operations);
+    Worker(net::Loop& loop, base::ActorId actor, WorkerSettings settings, std::uint64_t seed,
+           Observer* observer, bool cold, std::vector<std::string> operations);
     ~Worker();
 
     const WorkerSettings& settings() const { return settings_; }
+
     net::Address address() const { return server_->address(); }
+
     Micros started() const { return started_; }
+
     bool cold_start() const { return cold_; }
+
     bool fallen() const { return fallen_; }
+
     WorkerTrouble trouble;
 
 private:
@@ -70,6 +76,7 @@
         double work_us = 0;
         Micros expires{};
     };
+
     void asked(const net::HttpExchangePtr& exchange);
     void invoke(const net::HttpExchangePtr& exchange);
     void run_next();
--- a/src/types.h
+++ b/src/types.h
@@ -101,42 +101,146 @@
 };
 
 namespace ev {
-struct List { ListForm form; std::vector<ServerRow> rows; };
-struct Timer { std::string token; };
-struct Probed { ServerId server; ProbeOutcome outcome; Micros took; std::vector<double> load; };
-struct Peer { PeerId from; std::string bytes; };
-struct Joined { ProxyId proxy; bool fresh; ZoneId zone; double rate; };
-struct Left { ProxyId proxy; };
+struct List {
+    ListForm form;
+    std::vector<ServerRow> rows;
+};
+
+struct Timer {
+    std::string token;
+};
+
+struct Probed {
+    ServerId server;
+    ProbeOutcome outcome;
+    Micros took;
+    std::vector<double> load;
+};
+
+struct Peer {
+    PeerId from;
+    std::string bytes;
+};
+
+struct Joined {
+    ProxyId proxy;
+    bool fresh;
+    ZoneId zone;
+    double rate;
+};
+
+struct Left {
+    ProxyId proxy;
+};
+
 struct Heard {
-    ZoneId zone; ServerId server; std::int64_t tries; std::int64_t errored; Micros mean; Micros span;
+    ZoneId zone;
+    ServerId server;
+    std::int64_t tries;
+    std::int64_t errored;
+    Micros mean;
+    Micros span;
     std::vector<double> load;
 };
-struct Demand { ProxyId proxy; OpId op; std::int64_t count; std::int64_t errored; Micros span; };
-struct SliceDemand { TableId slice; OpId op; std::int64_t count; std::int64_t errored; Micros span; };
-struct SliceGiven { TableId slice; bool given; };
-struct SliceLine { TableId slice; ServerId server; double weight; };
-struct Applied { ProxyId proxy; MarkId mark; Micros took; };
+
+struct Demand {
+    ProxyId proxy;
+    OpId op;
+    std::int64_t count;
+    std::int64_t errored;
+    Micros span;
+};
+
+struct SliceDemand {
+    TableId slice;
+    OpId op;
+    std::int64_t count;
+    std::int64_t errored;
+    Micros span;
+};
+
+struct SliceGiven {
+    TableId slice;
+    bool given;
+};
+
+struct SliceLine {
+    TableId slice;
+    ServerId server;
+    double weight;
+};
+
+struct Applied {
+    ProxyId proxy;
+    MarkId mark;
+    Micros took;
+};
 }  // namespace ev
 
-using Event = std::variant<ev::List, ev::Timer, ev::Probed, ev::Peer, ev::Joined, ev::Left, ev::Heard,
-                           ev::Demand, ev::SliceDemand, ev::SliceGiven, ev::SliceLine, ev::Applied>;
+using Event =
+    std::variant<ev::List, ev::Timer, ev::Probed, ev::Peer, ev::Joined, ev::Left, ev::Heard,
+                 ev::Demand, ev::SliceDemand, ev::SliceGiven, ev::SliceLine, ev::Applied>;
 
 namespace act {
-struct Timer { std::string token; Micros delay; };
-struct Log { std::string text; };
-struct Watch { bool on; };
+struct Timer {
+    std::string token;
+    Micros delay;
+};
+
+struct Log {
+    std::string text;
+};
+
+struct Watch {
+    bool on;
+};
+
 struct Fetch {};
-struct Probe { ServerId server; };
-struct Tell { std::optional<PeerId> to; std::string bytes; };
-struct Line { TableId table; ServerId server; double weight; };
-struct Clear { TableId table; };
-struct Bind { TableId table; OpMask ops; ProxyId proxy; };
-struct Withdraw { ServerId server; bool out; };
-struct Level { TableId table; OpMask ops; double let_in; Again again; };
-struct Mark { MarkId mark; bool everyone; };
+
+struct Probe {
+    ServerId server;
+};
+
+struct Tell {
+    std::optional<PeerId> to;
+    std::string bytes;
+};
+
+struct Line {
+    TableId table;
+    ServerId server;
+    double weight;
+};
+
+struct Clear {
+    TableId table;
+};
+
+struct Bind {
+    TableId table;
+    OpMask ops;
+    ProxyId proxy;
+};
+
+struct Withdraw {
+    ServerId server;
+    bool out;
+};
+
+struct Level {
+    TableId table;
+    OpMask ops;
+    double let_in;
+    Again again;
+};
+
+struct Mark {
+    MarkId mark;
+    bool everyone;
+};
 }  // namespace act
 
-using Action = std::variant<act::Timer, act::Log, act::Watch, act::Fetch, act::Probe, act::Tell, act::Line,
-                            act::Clear, act::Bind, act::Withdraw, act::Level, act::Mark>;
+using Action = std::variant<act::Timer, act::Log, act::Watch, act::Fetch, act::Probe, act::Tell,
+                            act::Line, act::Clear, act::Bind, act::Withdraw, act::Level, act::Mark>;
 
 }  // namespace badgergrade
--- a/src/xds/ads_client.h
+++ b/src/xds/ads_client.h
@@ -1,5 +1,5 @@
-// The forwarder's side of an aggregated discovery stream, state of the world, without a socket: responses in,
-// requests (subscriptions, ACK, NACK) and tables out.
+// The forwarder's side of an aggregated discovery stream, state of the world, without a socket:
+// responses in, requests (subscriptions, ACK, NACK) and tables out.
 #pragma once
 
 #include <array>
@@ -39,16 +39,17 @@
     Micros timeout{};
     Again again = Again::Never;
     Micros per_try{};
-    double share = 1;            // let in
-    double rate = 0;             // tokens a second; 0: no limit
+    double share = 1;  // let in
+    double rate = 0;   // tokens a second; 0: no limit
     double burst = 0;
 };
 
-// What the forwarder acts on. Replaced whole at each accepted response: no half of one is ever seen.
+// What the forwarder acts on. Replaced whole at each accepted response: no half of one is ever
+// seen.
 struct ClientTables {
-    std::map<std::string, ClientRoute> routes;   // by path
+    std::map<std::string, ClientRoute> routes;  // by path
     std::map<std::string, ClientTable> clusters;
-    std::set<net::Address> withdrawn;            // not to be sent to, whatever a table says
+    std::set<net::Address> withdrawn;  // not to be sent to, whatever a table says
 };
 
 class AdsClient {
@@ -60,16 +61,20 @@
 
     // A new stream: what to send first. What is held stays in force.
     std::vector<Request> start();
+
     struct Outcome {
         std::vector<Request> requests;
         bool changed = false;
         std::string rejected;  // why the response was not taken
     };
+
     Outcome on_response(const Response& response);
 
     // Goes on with what an earlier stream left in force.
     void keep(ClientTables held) { tables_ = std::move(held); }
+
     const ClientTables& tables() const { return tables_; }
+
     // Refuses what this says is wrong (tests, trials of rejected versions); empty: nothing.
     std::function<std::string(const Response&)> doubt;
 
@@ -78,10 +83,14 @@
         std::string version, nonce;
         std::set<std::string> names;
     };
+
     Request request(Type type, bool with_node) const;
-    std::string take(Type type, const Response& response, ClientTables& next, std::set<std::string>& routes_wanted);
-    std::string take_cluster(const std::string& bytes, ClientTables& next, std::set<std::string>& kept);
-    std::string take_assignment(const std::string& bytes, const std::string& version, ClientTables& next);
+    std::string take(Type type, const Response& response, ClientTables& next,
+                     std::set<std::string>& routes_wanted);
+    std::string take_cluster(const std::string& bytes, ClientTables& next,
+                             std::set<std::string>& kept);
+    std::string take_assignment(const std::string& bytes, const std::string& version,
+                                ClientTables& next);
     std::string take_listener(const std::string& bytes, std::set<std::string>& routes_wanted);
     std::string take_routes(const std::string& bytes, ClientTables& next);
 
--- a/src/xds/ads_server.h
+++ b/src/xds/ads_server.h
@@ -1,10 +1,11 @@
-// One forwarder's aggregated discovery stream, state of the world, without a socket: requests in, responses and
-// what they prove out.
+// One forwarder's aggregated discovery stream, state of the world, without a socket: requests in,
+// responses and what they prove out.
 //
-// Per type the stream knows which resources are wanted there (as the channel released them), which were sent and
-// which were acknowledged. Several responses of a type may be under way; each nonce is answered on its own, so
-// that an ACK of the second never counts for a first that was rejected. An order is applied when all that it
-// changed has been acknowledged, or superseded by something acknowledged.
+// Per type the stream knows which resources are wanted there (as the channel released them), which
+// were sent and which were acknowledged. Several responses of a type may be under way; each nonce
+// is answered on its own, so that an ACK of the second never counts for a first that was rejected.
+// An order is applied when all that it changed has been acknowledged, or superseded by something
+// acknowledged.
 #pragma once
 
 #include <array>
@@ -22,7 +23,8 @@
 
 namespace badgergrade::xds {
 
-// The bytes of responses that many streams are sent alike: all but the nonce, which is each stream's own.
+// The bytes of responses that many streams are sent alike: all but the nonce, which is each
+// stream's own.
 class ResponseCache {
 public:
     std::shared_ptr<const std::string>& at(const std::string& key);
@@ -44,29 +46,35 @@
         std::string version, why;
         std::vector<std::string> names;
     };
+
     struct Applied {
         std::uint64_t order = 0;
         std::optional<MarkId> mark;
         Micros ordered{};
     };
+
     struct Outcome {
         std::vector<Applied> applied;
         std::optional<Rejection> rejected;
-        // The request was left aside, and why (a stale nonce, a type that we do not serve); the stream goes on.
+        // The request was left aside, and why (a stale nonce, a type that we do not serve); the
+        // stream goes on.
         std::string ignored;
         // The request breaks the protocol: the stream is to be ended with this text.
         std::string wrong;
     };
+
     Outcome on_request(const Request& request);
     // The channel released this message: its changes may be sent.
     void give(Micros now, const Message& message);
     // What is to be written now, in order; each is handed out once.
     std::vector<Response> take_responses();
+
     // The same as bytes: what is common comes from the cache.
     struct Encoded {
         std::shared_ptr<const std::string> common;
         std::string own;
     };
+
     std::vector<Encoded> take_encoded(ResponseCache& cache);
 
     // Orders given and not yet proven applied.
@@ -79,32 +87,40 @@
         bool retiring = false;  // removed, but routes may still name it
         bool refused = false;   // what was sent last was rejected
     };
+
     struct Flight {
         std::string nonce, version;
         std::vector<std::pair<std::string, std::uint64_t>> items;
         bool answered = false;
     };
+
     struct Lane {
         bool asked = false, wildcard = false, dirty = false, refused = false, again = false;
         std::set<std::string> names;
         std::map<std::string, Item> items;
         std::deque<Flight> flights;
     };
+
     struct Pending {
         Applied what;
         std::vector<std::tuple<Type, std::string, std::uint64_t>> items;
     };
+
     static bool whole_state(Type type) { return type == Type::Cluster || type == Type::Listener; }
+
     Lane& lane(Type type) { return lanes_[index(type)]; }
+
     void subscribe(Type type, Lane& lane, const Request& request);
     void answer(Type type, Lane& lane, const Request& request, Outcome& out);
     void acknowledged(Type type, Lane& lane, const Flight& flight);
+
     // A response before it is put into bytes.
     struct Draft {
         Type type = Type::Cluster;
         std::vector<ResourcePtr> resources;
         std::string version, nonce, orders;
     };
+
     std::optional<Draft> next(Type type, Lane& lane, bool refused);
     std::vector<Draft> drafts();
     static Response to_response(const Draft& draft);
--- a/src/xds/board.h
+++ b/src/xds/board.h
@@ -1,5 +1,5 @@
-// What a governor has ordered, put into xDS resources, and the message that each order is for each forwarder.
-// No socket and no decision in here.
+// What a governor has ordered, put into xDS resources, and the message that each order is for each
+// forwarder. No socket and no decision in here.
 #pragma once
 
 #include <cstdint>
@@ -23,6 +23,7 @@
     std::uint64_t version = 0;  // the order that made it
     std::string bytes;          // the message, without its Any
 };
+
 using ResourcePtr = std::shared_ptr<const Resource>;
 
 struct Change {
@@ -57,10 +58,11 @@
     void joined(ProxyId proxy);
     void left(ProxyId proxy);
 
-    // Carries out the table orders among `actions` (lines, clears, bindings, withdrawals, levels, mark) and gives
-    // a message for each joined proxy concerned, in the order of their ids. Orders that name what is not known are
-    // left out and told in `refused`.
-    std::vector<Message> order(Micros now, std::vector<Action> actions, std::vector<std::string>& refused);
+    // Carries out the table orders among `actions` (lines, clears, bindings, withdrawals, levels,
+    // mark) and gives a message for each joined proxy concerned, in the order of their ids. Orders
+    // that name what is not known are left out and told in `refused`.
+    std::vector<Message> order(Micros now, std::vector<Action> actions,
+                               std::vector<std::string>& refused);
 
     std::uint64_t orders() const { return orders_; }
 
@@ -69,7 +71,7 @@
     struct Held {
         std::set<TableId> laid;  // tables whose cluster this proxy has been given
         bool listener = false;
-        std::string routes;      // what its routes were made from
+        std::string routes;  // what its routes were made from
     };
 
     std::vector<Change> changes_for(const drive::Order& order);
--- a/src/xds/load_sums.cpp
+++ b/src/xds/load_sums.cpp
@@ -17,7 +17,9 @@
 
 EndpointSums& EndpointSums::operator+=(const EndpointSums& o) {
     tries += o.tries, errored += o.errored, succeeded += o.succeeded, answer_us += o.answer_us;
-    for (const auto& [name, value] : o.load) load[name] = value;
+    for (const auto& [name, value] : o.load) {
+        load[name] = value;
+    }
     return *this;
 }
 
@@ -61,16 +63,19 @@
 }
 
 namespace {
-bool plausible(std::uint64_t count) { return count <= kMost; }
+bool plausible(std::uint64_t count) {
+    return count <= kMost;
+}
 
 void read_endpoint(const envoy::config::endpoint::v3::UpstreamEndpointStats& from, LoadReport& out,
                    std::vector<std::string>& refused) {
     const auto& socket = from.address().socket_address();
     const net::Address address{socket.address(), static_cast<std::uint16_t>(socket.port_value())};
-    if (socket.port_value() == 0 || socket.port_value() > 65535 || !plausible(from.total_issued_requests()) ||
-        !plausible(from.total_error_requests()) || !plausible(from.total_successful_requests())) {
-        refused.push_back("sums for '" + socket.address() + ":" + std::to_string(socket.port_value()) +
-                          "' are out of range");
+    if (socket.port_value() == 0 || socket.port_value() > 65535 ||
+        !plausible(from.total_issued_requests()) || !plausible(from.total_error_requests()) ||
+        !plausible(from.total_successful_requests())) {
+        refused.push_back("sums for '" + socket.address() + ":" +
+                          std::to_string(socket.port_value()) + "' are out of range");
         return;
     }
     EndpointSums sums;
@@ -80,12 +85,15 @@
     // Clients of other makers may count issued ones only as they end.
     sums.tries = std::max(sums.tries, sums.errored + sums.succeeded);
     for (const auto& metric : from.load_metric_stats()) {
-        if (!std::isfinite(metric.total_metric_value())) continue;
+        if (!std::isfinite(metric.total_metric_value())) {
+            continue;
+        }
         if (metric.metric_name() == kAnswerTime) {
             sums.answer_us += std::max(0.0, metric.total_metric_value());
         } else if (metric.num_requests_finished_with_metric() > 0) {
             sums.load[metric.metric_name()] =
-                metric.total_metric_value() / static_cast<double>(metric.num_requests_finished_with_metric());
+                metric.total_metric_value() /
+                static_cast<double>(metric.num_requests_finished_with_metric());
         }
     }
     out.endpoints[address] += sums;
@@ -105,7 +113,8 @@
         const bool operation = cluster.cluster_name().rfind(kOperationPrefix, 0) == 0;
         for (const auto& locality : cluster.upstream_locality_stats()) {
             if (operation) {
-                if (!plausible(locality.total_issued_requests()) || !plausible(locality.total_error_requests())) {
+                if (!plausible(locality.total_issued_requests()) ||
+                    !plausible(locality.total_error_requests())) {
                     refused.push_back("sums for '" + cluster.cluster_name() + "' are out of range");
                     continue;
                 }
@@ -113,7 +122,9 @@
                 sums.count += static_cast<std::int64_t>(locality.total_issued_requests());
                 sums.errored += static_cast<std::int64_t>(locality.total_error_requests());
             } else {
-                for (const auto& endpoint : locality.upstream_endpoint_stats()) read_endpoint(endpoint, out, refused);
+                for (const auto& endpoint : locality.upstream_endpoint_stats()) {
+                    read_endpoint(endpoint, out, refused);
+                }
             }
         }
     }
--- a/src/xds/load_sums.h
+++ b/src/xds/load_sums.h
@@ -1,4 +1,5 @@
-// What a forwarder met and was asked for, as LRS carries it: one side builds reports, the other reads them.
+// What a forwarder met and was asked for, as LRS carries it: one side builds reports, the other
+// reads them.
 #pragma once
 
 #include <map>
@@ -13,8 +14,8 @@
 
 struct EndpointSums {
     std::int64_t tries = 0, errored = 0, succeeded = 0;
-    double answer_us = 0;                       // sum over the succeeded ones
-    std::map<std::string, double> load;         // last load report in an answer, by column
+    double answer_us = 0;                // sum over the succeeded ones
+    std::map<std::string, double> load;  // last load report in an answer, by column
     EndpointSums& operator+=(const EndpointSums& o);
 };
 
--- a/src/xds/order_text.h
+++ b/src/xds/order_text.h
@@ -1,6 +1,7 @@
 // How a response names the orders that it is the first to carry, in its control plane's identifier:
 //   ORIGIN ORDER@ORDERED-LEFT+LINES ...
-// Times are microseconds of the governor's clock. Whoever audits the channel can tell from here what was waiting.
+// Times are microseconds of the governor's clock. Whoever audits the channel can tell from here
+// what was waiting.
 #pragma once
 
 #include <cstdint>
--- a/tests/folder.h
+++ b/tests/folder.h
@@ -9,11 +9,17 @@
 
 struct Folder {
     Folder() {
-        std::string name = (std::filesystem::temp_directory_path() / "badgergrade-test-XXXXXX").string();
+        std::string name =
+            (std::filesystem::temp_directory_path() / "badgergrade-test-XXXXXX").string();
         path = mkdtemp(name.data());
     }
+
     ~Folder() { std::filesystem::remove_all(path); }
-    std::string file(const std::string& name) const { return (std::filesystem::path(path) / name).string(); }
+
+    std::string file(const std::string& name) const {
+        return (std::filesystem::path(path) / name).string();
+    }
+
     std::string path;
 };
 
--- a/tests/fuzz/messages_fuzz.cpp
+++ b/tests/fuzz/messages_fuzz.cpp
@@ -1,4 +1,5 @@
-// Protobuf messages in any order on a stream that has something to say, the list of servers, and settings.
+// Protobuf messages in any order on a stream that has something to say, the list of servers, and
+// settings.
 #include <cstdint>
 
 #include "config/governor_config.h"
@@ -16,7 +17,8 @@
 std::vector<std::string> pieces(std::string_view bytes) {
     std::vector<std::string> out;
     while (bytes.size() > 1) {
-        const std::size_t n = std::min<std::size_t>(static_cast<unsigned char>(bytes[0]) * 4, bytes.size() - 1);
+        const std::size_t n =
+            std::min<std::size_t>(static_cast<unsigned char>(bytes[0]) * 4, bytes.size() - 1);
         out.emplace_back(bytes.substr(1, n));
         bytes.remove_prefix(1 + n);
     }
@@ -37,10 +39,16 @@
     int mark = 0;
     for (const auto& piece : pieces(bytes)) {
         ++mark;
-        for (const auto& message : board.order(Micros{mark}, {act::Line{{0}, {1}, 1.0 + mark % 3}, act::Bind{{0}, 0, {0}}, act::Mark{{mark}, false}}, refused))
+        for (const auto& message : board.order(Micros{mark},
+                                               {act::Line{{0}, {1}, 1.0 + mark % 3},
+                                                act::Bind{{0}, 0, {0}}, act::Mark{{mark}, false}},
+                                               refused)) {
             stream.give(Micros{mark}, message);
+        }
         xds::AdsServer::Request request;
-        if (request.ParseFromString(piece)) stream.on_request(request);
+        if (request.ParseFromString(piece)) {
+            stream.on_request(request);
+        }
         stream.take_responses();
     }
 }
@@ -50,32 +58,43 @@
     stream.start();
     for (const auto& piece : pieces(bytes)) {
         xds::AdsClient::Response response;
-        if (response.ParseFromString(piece)) stream.on_response(response);
+        if (response.ParseFromString(piece)) {
+            stream.on_response(response);
+        }
     }
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    if (size < 1) return 0;
+    if (size < 1) {
+        return 0;
+    }
     const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
     std::vector<std::string> refused;
     std::vector<config::Mistake> mistakes;
     switch (data[0] % 5) {
-        case 0: server(bytes); break;
-        case 1: client(bytes); break;
+        case 0:
+            server(bytes);
+            break;
+        case 1:
+            client(bytes);
+            break;
         case 2: {
             envoy::service::load_stats::v3::LoadStatsRequest report;
-            if (report.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) xds::read_report(report, refused);
+            if (report.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
+                xds::read_report(report, refused);
+            }
             break;
         }
         case 3:
             try {
                 governor::parse_list(std::string(bytes));
-            } catch (const std::runtime_error&) {
-            }
+            } catch (const std::runtime_error&) {}
             break;
-        default: config::read_governor(config::IniFile::parse("fuzz.ini", std::string(bytes), mistakes), mistakes);
+        default:
+            config::read_governor(config::IniFile::parse("fuzz.ini", std::string(bytes), mistakes),
+                                  mistakes);
     }
     return 0;
 }
--- a/tests/peer/grpc_peer_test.cpp
+++ b/tests/peer/grpc_peer_test.cpp
@@ -1,4 +1,5 @@
-// The protocol proved by a client that others wrote: grpc++ opens ADS and LRS streams against the governor.
+// The protocol proved by a client that others wrote: grpc++ opens ADS and LRS streams against the
+// governor.
 #include <grpcpp/grpcpp.h>
 
 #include "../program/child.h"
@@ -20,14 +21,18 @@
 class Peer : public testing::Test {
 protected:
     void SetUp() override {
-        registry = std::make_unique<Child>(std::vector<std::string>{
-            "standin", "registry", "--listen", "127.0.0.1:0", "--servers",
-            temporary("peer-servers", "w1 bang-na 127.0.0.1:9001\nw2 samrong 127.0.0.1:9002\nw3 samrong 127.0.0.1:9003\n")});
-        const std::string ini = temporary("peer.ini", settings_file("127.0.0.1:0", registry->after("ready on ")));
+        registry = std::make_unique<Child>(
+            std::vector<std::string>{"standin", "registry", "--listen", "127.0.0.1:0", "--servers",
+                                     temporary("peer-servers",
+                                               "w1 bang-na 127.0.0.1:9001\nw2 samrong "
+                                               "127.0.0.1:9002\nw3 samrong 127.0.0.1:9003\n")});
+        const std::string ini =
+            temporary("peer.ini", settings_file("127.0.0.1:0", registry->after("ready on ")));
         governor = std::make_unique<Child>(std::vector<std::string>{"governor", "--config", ini});
         channel = grpc::CreateChannel(governor->after("xds="), grpc::InsecureChannelCredentials());
         context.set_deadline(std::chrono::system_clock::now() + std::chrono::seconds(30));
     }
+
     static void fill(envoy::config::core::v3::Node* node) {
         node->set_id("peer");
         node->mutable_locality()->set_zone("samrong");
@@ -42,12 +47,19 @@
 TEST_F(Peer, IsServedByAds) {
     const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
     const auto stream = stub->StreamAggregatedResources(&context);
-    const auto ask = [&](const std::string& type, const std::vector<std::string>& names, const discovery::DiscoveryResponse* ack) {
+    const auto ask = [&](const std::string& type, const std::vector<std::string>& names,
+                         const discovery::DiscoveryResponse* ack) {
         discovery::DiscoveryRequest request;
-        if (!ack) fill(request.mutable_node());
+        if (!ack) {
+            fill(request.mutable_node());
+        }
         request.set_type_url(kPrefix + type);
-        for (const auto& name : names) request.add_resource_names(name);
-        if (ack) request.set_version_info(ack->version_info()), request.set_response_nonce(ack->nonce());
+        for (const auto& name : names) {
+            request.add_resource_names(name);
+        }
+        if (ack) {
+            request.set_version_info(ack->version_info()), request.set_response_nonce(ack->nonce());
+        }
         ASSERT_TRUE(stream->Write(request));
     };
     ask("cluster.v3.Cluster", {}, nullptr);
@@ -61,28 +73,44 @@
             envoy::config::endpoint::v3::ClusterLoadAssignment assignment;
             envoy::config::listener::v3::Listener listener;
             envoy::config::route::v3::RouteConfiguration routes;
-            envoy::extensions::filters::network::http_connection_manager::v3::HttpConnectionManager manager;
+            envoy::extensions::filters::network::http_connection_manager::v3::HttpConnectionManager
+                manager;
             if (any.UnpackTo(&assignment)) {
-                for (const auto& locality : assignment.endpoints())
-                    for (const auto& endpoint : locality.lb_endpoints())
-                        ports.insert(static_cast<int>(endpoint.endpoint().address().socket_address().port_value()));
+                for (const auto& locality : assignment.endpoints()) {
+                    for (const auto& endpoint : locality.lb_endpoints()) {
+                        ports.insert(static_cast<int>(
+                            endpoint.endpoint().address().socket_address().port_value()));
+                    }
+                }
             } else if (any.UnpackTo(&listener)) {
                 ASSERT_TRUE(listener.api_listener().api_listener().UnpackTo(&manager));
                 routes_name = manager.rds().route_config_name();
             } else if (any.UnpackTo(&routes)) {
-                for (const auto& route : routes.virtual_hosts(0).routes())
-                    if (route.match().path() == "/invoke/place-job") routed_to = route.route().cluster();
+                for (const auto& route : routes.virtual_hosts(0).routes()) {
+                    if (route.match().path() == "/invoke/place-job") {
+                        routed_to = route.route().cluster();
+                    }
+                }
             } else if (any.type_url() == std::string(kPrefix) + "cluster.v3.Cluster") {
-                cluster = any.value().substr(2, static_cast<std::size_t>(any.value()[1]));  // field 1: the name
+                cluster = any.value().substr(
+                    2, static_cast<std::size_t>(any.value()[1]));  // field 1: the name
             }
         }
         const std::string type = response.type_url().substr(std::string(kPrefix).size());
         std::vector<std::string> names;
-        if (type == "endpoint.v3.ClusterLoadAssignment") names = {cluster};
-        if (type == "route.v3.RouteConfiguration") names = {routes_name};
+        if (type == "endpoint.v3.ClusterLoadAssignment") {
+            names = {cluster};
+        }
+        if (type == "route.v3.RouteConfiguration") {
+            names = {routes_name};
+        }
         ask(type, names, &response);
-        if (!cluster.empty() && !std::exchange(asked_endpoints, true)) ask("endpoint.v3.ClusterLoadAssignment", {cluster}, nullptr);
-        if (!routes_name.empty() && !std::exchange(asked_routes, true)) ask("route.v3.RouteConfiguration", {routes_name}, nullptr);
+        if (!cluster.empty() && !std::exchange(asked_endpoints, true)) {
+            ask("endpoint.v3.ClusterLoadAssignment", {cluster}, nullptr);
+        }
+        if (!routes_name.empty() && !std::exchange(asked_routes, true)) {
+            ask("route.v3.RouteConfiguration", {routes_name}, nullptr);
+        }
     }
     EXPECT_FALSE(ports.empty());
     EXPECT_FALSE(cluster.empty());
--- a/tests/program/child.h
+++ b/tests/program/child.h
@@ -1,9 +1,8 @@
 // A process of the program whose output is read, and files for it.
 #pragma once
 
-#include <gtest/gtest.h>
-
 #include <fcntl.h>
+#include <gtest/gtest.h>
 #include <poll.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -24,7 +23,9 @@
 public:
     explicit Child(std::vector<std::string> args, rlim_t descriptors = 0) {
         int ends[2];
-        if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe");
+        if (pipe2(ends, O_CLOEXEC) != 0) {
+            throw std::runtime_error("pipe");
+        }
         pid_ = fork();
         if (pid_ == 0) {
             dup2(ends[1], 1), dup2(ends[1], 2);
@@ -35,7 +36,9 @@
             }
             args.insert(args.begin(), BADGERGRADE_PROGRAM_PATH);
             std::vector<char*> argv;
-            for (auto& arg : args) argv.push_back(arg.data());
+            for (auto& arg : args) {
+                argv.push_back(arg.data());
+            }
             argv.push_back(nullptr);
             execv(argv[0], argv.data());
             _exit(127);
@@ -43,35 +46,50 @@
         close(ends[1]);
         out_ = ends[0];
     }
+
     ~Child() {
-        if (pid_ > 0) kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
+        if (pid_ > 0) {
+            kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
+        }
         close(out_);
     }
+
     // Reads until the text shows or the child's output ends.
     bool shows(const std::string& what) {
         while (text_.find(what) == std::string::npos) {
             pollfd one{out_, POLLIN, 0};
             char buffer[4096];
-            if (poll(&one, 1, 20000) <= 0) return false;
+            if (poll(&one, 1, 20000) <= 0) {
+                return false;
+            }
             const ssize_t got = read(out_, buffer, sizeof buffer);
-            if (got <= 0) return text_.find(what) != std::string::npos;
+            if (got <= 0) {
+                return text_.find(what) != std::string::npos;
+            }
             text_.append(buffer, static_cast<std::size_t>(got));
         }
         return true;
     }
+
     int wait() {
         shows("\x01 never");
         int status = 0;
         waitpid(std::exchange(pid_, 0), &status, 0);
         return WIFEXITED(status) ? WEXITSTATUS(status) : 1000 + WTERMSIG(status);
     }
+
     void signal(int which) { kill(pid_, which); }
+
     const std::string& text() const { return text_; }
+
     pid_t id() const { return pid_; }
+
     std::string after(const std::string& mark) {
         EXPECT_TRUE(shows(mark)) << text_;
         const auto at = text_.find(mark);
-        if (at == std::string::npos) return {};
+        if (at == std::string::npos) {
+            return {};
+        }
         shows("\n");
         const auto begin = at + mark.size();
         return text_.substr(begin, text_.find_first_of(" \n", begin) - begin);
@@ -84,7 +102,8 @@
 };
 
 inline std::string temporary(const std::string& name, const std::string& text) {
-    const std::string path = testing::TempDir() + "badgergrade-" + std::to_string(getpid()) + "-" + name;
+    const std::string path =
+        testing::TempDir() + "badgergrade-" + std::to_string(getpid()) + "-" + name;
     std::ofstream(path) << text;
     return path;
 }
--- a/tests/program/cli_test.cpp
+++ b/tests/program/cli_test.cpp
@@ -1,4 +1,5 @@
-// The program as processes: exit codes by kind, SIGTERM, stand-ins that run alone and serve one another.
+// The program as processes: exit codes by kind, SIGTERM, stand-ins that run alone and serve one
+// another.
 #include "child.h"
 
 namespace badgergrade::test {
@@ -10,14 +11,19 @@
     EXPECT_EQ(Child({"no-such-command"}).wait(), 2);
     EXPECT_EQ(Child({"replay", "info", "/no/such/file"}).wait(), 4);
     EXPECT_EQ(Child({"replay", "verify", temporary("no.rec", "no recording")}).wait(), 4);
-    EXPECT_EQ(Child({"governor", "--config", temporary("r.ini", settings_file("127.0.0.1:0", "127.0.0.1:1")), "--record", "/no/such/dir/x"}).wait(), 4);
+    EXPECT_EQ(Child({"governor", "--config",
+                     temporary("r.ini", settings_file("127.0.0.1:0", "127.0.0.1:1")), "--record",
+                     "/no/such/dir/x"})
+                  .wait(),
+              4);
     EXPECT_EQ(Child({"--help"}).wait(), 0);
     EXPECT_EQ(Child({"day", "run", temporary("bad.day", "length 60\n")}).wait(), 2);
     EXPECT_EQ(Child({"check-config", BADGERGRADE_SOURCE "/examples/governor.ini"}).wait(), 0);
 }
 
 TEST(Program, OneLineForAPortInUseAndForNoDescriptors) {
-    Child first({"governor", "--config", temporary("a.ini", settings_file("127.0.0.1:0", "127.0.0.1:1"))});
+    Child first(
+        {"governor", "--config", temporary("a.ini", settings_file("127.0.0.1:0", "127.0.0.1:1"))});
     const std::string at = first.after("xds=");
     ASSERT_FALSE(at.empty());
     Child second({"governor", "--config", temporary("b.ini", settings_file(at, "127.0.0.1:1"))});
@@ -26,7 +32,9 @@
     EXPECT_EQ(std::count(second.text().begin(), second.text().end(), '\n'), 1) << second.text();
 #ifndef __SANITIZE_ADDRESS__
     // The sanitizers' own checks need descriptors, too, and report nonsense without any.
-    Child third({"governor", "--config", temporary("c.ini", settings_file("127.0.0.1:0", "127.0.0.1:1"))}, 5);
+    Child third(
+        {"governor", "--config", temporary("c.ini", settings_file("127.0.0.1:0", "127.0.0.1:1"))},
+        5);
     EXPECT_EQ(third.wait(), 5) << third.text();
 #endif
     first.signal(SIGTERM);
@@ -34,7 +42,8 @@
     EXPECT_NE(first.text().find("governor.stopping"), std::string::npos);
 }
 
-// Every stand-in as a process of its own, with the governor between them: an invocation goes through.
+// Every stand-in as a process of its own, with the governor between them: an invocation goes
+// through.
 TEST(Program, ServesInvocationsAcrossProcesses) {
     Child one({"standin", "worker", "--id", "w1", "--operations", "preview,print-file,place-job"});
     Child two({"standin", "worker", "--id", "w2", "--operations", "preview,print-file,place-job"});
@@ -46,11 +55,12 @@
     const std::string ini = temporary("g.ini", settings);
     const std::string recording = temporary("met.rec", "");
     Child governor({"governor", "--config", ini, "--record", recording});
-    Child forwarder({"standin", "forwarder", "--id", "f1", "--zone", "bang-na", "--settings", ini, "--governor", governor.after("xds="),
-                     "--startup", a});
+    Child forwarder({"standin", "forwarder", "--id", "f1", "--zone", "bang-na", "--settings", ini,
+                     "--governor", governor.after("xds="), "--startup", a});
     const std::string at = forwarder.after("ready on ");
     EXPECT_TRUE(governor.shows("forwarder.joined")) << governor.text();
-    Child client({"standin", "client", "--settings", ini, "--forwarder", at, "--rate", "30", "--seconds", "1.5", "--work-ms", "2"});
+    Child client({"standin", "client", "--settings", ini, "--forwarder", at, "--rate", "30",
+                  "--seconds", "1.5", "--work-ms", "2"});
     EXPECT_EQ(client.wait(), 0);
     EXPECT_NE(client.text().find(" 0 errored, 0 timed out"), std::string::npos) << client.text();
     EXPECT_EQ(client.text().find(" 0 succeeded"), std::string::npos) << client.text();
--- a/tests/program/config_test.cpp
+++ b/tests/program/config_test.cpp
@@ -23,7 +23,9 @@
     const auto file = config::IniFile::parse("g.ini", text, mistakes);
     config::read_governor(file, mistakes);
     std::vector<std::string> out;
-    for (const auto& mistake : mistakes) out.push_back(config::to_text(mistake));
+    for (const auto& mistake : mistakes) {
+        out.push_back(config::to_text(mistake));
+    }
     return out;
 }
 
@@ -59,7 +61,8 @@
         {"zones = bang-na, lat-krabang", "zones = bang-na, bang-na", "stands twice"},
         {"listen = 127.0.0.1:18000", "listen = 18000", "host:port"},
         {"[channel]", "[chanel]", "did you mean channel?"},
-        {"latency_objective = 800 ms", "latency_objective = 8 s", "longer than integration_timeout"},
+        {"latency_objective = 800 ms", "latency_objective = 8 s",
+         "longer than integration_timeout"},
         {"further_tries = after-proof", "further_tries = once", "side-effecting"},
         {"way_mean = 200 ms", "way_mean = 2 s", "longer than way_most"},
         {"effect = idempotent", "effect = harmless", "not one of"},
@@ -72,13 +75,16 @@
         const auto told = mistakes_in(replaced(one.from, one.to));
         ASSERT_FALSE(told.empty()) << one.to;
         bool found = false;
-        for (const auto& text : told) found = found || text.find(one.says) != std::string::npos;
+        for (const auto& text : told) {
+            found = found || text.find(one.says) != std::string::npos;
+        }
         EXPECT_TRUE(found) << one.to << " -> " << told.front();
         EXPECT_EQ(told.front().rfind("g.ini", 0), 0u) << told.front();
     }
 }
 
-// With 6 messages in 10 s removals are merged over 3.3 s: past a grace of 3 s (found by replaying cold-return.day).
+// With 6 messages in 10 s removals are merged over 3.3 s: past a grace of 3 s (found by replaying
+// cold-return.day).
 TEST(Settings, RefuseMessagesTooFewForTheGrace) {
     for (const char* few : {"messages_most = 6 ", "messages_most = 9 "}) {
         const auto mistakes = mistakes_in(replaced("messages_most = 20", few));
@@ -86,13 +92,19 @@
         EXPECT_NE(mistakes[0].find("at least 10 messages"), std::string::npos) << mistakes[0];
     }
     EXPECT_TRUE(mistakes_in(replaced("messages_most = 20", "messages_most = 10 ")).empty());
-    EXPECT_TRUE(mistakes_in(replaced("messages_most = 20", "messages_most = 0 ")).size() <= 1);  // no limit: its window says nothing
-    EXPECT_NE(mistakes_in(replaced("drain_grace = 3 s", "drain_grace = 800 ms")).at(0).find("a grace longer than way_most"), std::string::npos);
+    EXPECT_TRUE(mistakes_in(replaced("messages_most = 20", "messages_most = 0 ")).size() <=
+                1);  // no limit: its window says nothing
+    EXPECT_NE(mistakes_in(replaced("drain_grace = 3 s", "drain_grace = 800 ms"))
+                  .at(0)
+                  .find("a grace longer than way_most"),
+              std::string::npos);
 }
 
 TEST(Settings, TellTheLine) {
-    const auto told = mistakes_in("[governor]\nzones = a\n\n[operation.x]\nlatency_objective = 1 s\nintegration_timeout = 2 s\n"
-                                  "effect = idempotent\n[forwarders]\ncount = 0\n");
+    const auto told = mistakes_in(
+        "[governor]\nzones = a\n\n[operation.x]\nlatency_objective = 1 s\nintegration_timeout = 2 "
+        "s\n"
+        "effect = idempotent\n[forwarders]\ncount = 0\n");
     ASSERT_EQ(told.size(), 1u) << told.front();
     EXPECT_EQ(told.front(), "g.ini:9: [forwarders] count: 0 is out of range: 1 to 65535");
 }
