--- a/tests/program/core_test.cpp
+++ b/tests/program/core_test.cpp
@@ -1,4 +1,5 @@
-// The parts without sockets: clock, channel, reports, HTTP/1.1, gRPC framing, the board and the stream's states.
+// The parts without sockets: clock, channel, reports, HTTP/1.1, gRPC framing, the board and the
+// stream's states.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -23,7 +24,10 @@
     a.after(5us, [&] { order += "a"; });
     b.after(5us, [&] { order += "b"; });
     c.after(5us, [&] { order += "c"; });
-    d.after(4us, [&] { order += "d"; d.after(0us, [&] { order += "D"; }); });
+    d.after(4us, [&] {
+        order += "d";
+        d.after(0us, [&] { order += "D"; });
+    });
     while (clock.step(1s)) {}
     EXPECT_EQ(order, "dDbca");
     EXPECT_EQ(clock.now(), 5us);
@@ -101,10 +105,14 @@
     governor::Reports reports(told());
     std::vector<std::string> unknown;
     std::map<net::Address, ServerId> servers;
-    for (int k = 0; k < 30; ++k) servers[{"127.0.0.1", static_cast<std::uint16_t>(k + 1)}] = {static_cast<std::uint32_t>(k)};
+    for (int k = 0; k < 30; ++k) {
+        servers[{"127.0.0.1", static_cast<std::uint16_t>(k + 1)}] = {static_cast<std::uint32_t>(k)};
+    }
     xds::LoadReport one;
     one.span = 1s;
-    for (const auto& [address, id] : servers) one.endpoints[address] = {4, 1, 3, 3000.0, {}};
+    for (const auto& [address, id] : servers) {
+        one.endpoints[address] = {4, 1, 3, 3000.0, {}};
+    }
     one.operations["look"] = {9, 1};
     reports.add({{1}, {0}}, one, servers, unknown);
     reports.add({{2}, {0}}, one, servers, unknown);
@@ -164,11 +172,16 @@
 // ---- HTTP/1.1
 
 TEST(Http1, ReadsMessagesInAnyPieces) {
-    const std::string text = "POST /invoke/x HTTP/1.1\r\nHost: a\r\nX-Key: b\r\nContent-Length: 5\r\n\r\nhelloGET / HTTP/1.1\r\n\r\n";
+    const std::string text =
+        "POST /invoke/x HTTP/1.1\r\nHost: a\r\nX-Key: b\r\nContent-Length: 5\r\n\r\nhelloGET / "
+        "HTTP/1.1\r\n\r\n";
     for (std::size_t piece = 1; piece < text.size(); ++piece) {
         std::vector<net::HttpMessage> got;
-        net::Http1Parser parser(net::Http1Parser::Kind::Requests, {}, [&](net::HttpMessage m) { got.push_back(std::move(m)); });
-        for (std::size_t at = 0; at < text.size(); at += piece) ASSERT_TRUE(parser.feed(text.substr(at, piece))) << parser.error();
+        net::Http1Parser parser(net::Http1Parser::Kind::Requests, {},
+                                [&](net::HttpMessage m) { got.push_back(std::move(m)); });
+        for (std::size_t at = 0; at < text.size(); at += piece) {
+            ASSERT_TRUE(parser.feed(text.substr(at, piece))) << parser.error();
+        }
         ASSERT_EQ(got.size(), 2u) << piece;
         EXPECT_EQ(got[0].body, "hello");
         EXPECT_EQ(got[0].header("x-key"), "b");
@@ -195,12 +208,15 @@
 }
 
 TEST(Grpc, FramesMessagesInAnyPieces) {
-    const std::string all = net::grpc_frame("one") + net::grpc_frame("") + net::grpc_frame(std::string(1000, 'x'));
+    const std::string all =
+        net::grpc_frame("one") + net::grpc_frame("") + net::grpc_frame(std::string(1000, 'x'));
     for (std::size_t piece : {1u, 3u, 7u, 2000u}) {
         net::GrpcFramer framer(1000);
         std::vector<std::string> got;
-        for (std::size_t at = 0; at < all.size(); at += piece)
-            ASSERT_TRUE(framer.feed(all.substr(at, piece), [&](std::string_view m) { got.emplace_back(m); }));
+        for (std::size_t at = 0; at < all.size(); at += piece) {
+            ASSERT_TRUE(framer.feed(all.substr(at, piece),
+                                    [&](std::string_view m) { got.emplace_back(m); }));
+        }
         ASSERT_EQ(got.size(), 3u);
         EXPECT_EQ(got[2].size(), 1000u);
         EXPECT_FALSE(framer.midway());
@@ -214,30 +230,52 @@
 // ---- the board and the stream
 
 struct Wire {
-    explicit Wire(const Settings& settings = told()) : board(settings, {"north", "south"}, 4s), server("g.1"), client([] {
-        envoy::config::core::v3::Node node;
-        node.set_id("f");
-        return node;
-    }()) {
-        for (std::uint32_t k = 1; k <= 4; ++k) board.place({k}, {{"127.0.0.1", static_cast<std::uint16_t>(9000 + k)}, k < 3 ? "north" : "south"});
+    explicit Wire(const Settings& settings = told())
+        : board(settings, {"north", "south"}, 4s),
+          server("g.1"),
+          client([] {
+              envoy::config::core::v3::Node node;
+              node.set_id("f");
+              return node;
+          }()) {
+        for (std::uint32_t k = 1; k <= 4; ++k) {
+            board.place({k}, {{"127.0.0.1", static_cast<std::uint16_t>(9000 + k)},
+                              k < 3 ? "north" : "south"});
+        }
         board.joined({0});
     }
+
     std::vector<xds::Message> order(const std::vector<Action>& actions) {
         auto out = board.order(now, actions, refused);
-        for (const auto& m : out) server.give(now, m);
+        for (const auto& m : out) {
+            server.give(now, m);
+        }
         return out;
     }
+
     // Client and server talk until neither has anything to say; what was proven is kept.
     void talk() {
-        if (!std::exchange(begun, true)) for (const auto& r : client.start()) requests.push_back(r);
+        if (!std::exchange(begun, true)) {
+            for (const auto& r : client.start()) {
+                requests.push_back(r);
+            }
+        }
         for (int turns = 0; turns < 50; ++turns) {
             for (const auto& r : std::exchange(requests, {})) {
                 auto out = server.on_request(r);
-                for (const auto& a : out.applied) if (a.mark) marks.push_back(a.mark->v);
-                if (out.rejected) rejected.push_back(out.rejected->why);
+                for (const auto& a : out.applied) {
+                    if (a.mark) {
+                        marks.push_back(a.mark->v);
+                    }
+                }
+                if (out.rejected) {
+                    rejected.push_back(out.rejected->why);
+                }
             }
             const auto responses = server.take_responses();
-            if (responses.empty()) return;
+            if (responses.empty()) {
+                return;
+            }
             for (const auto& r : responses) {
                 const auto out = client.on_response(r);
                 requests.insert(requests.end(), out.requests.begin(), out.requests.end());
@@ -245,12 +283,18 @@
         }
         FAIL() << "they never stop talking";
     }
+
     std::vector<int> ports(const char* operation) const {
         std::vector<int> out;
         const auto route = client.tables().routes.find(xds::path_of(operation));
-        if (route == client.tables().routes.end()) return out;
-        for (const auto& line : client.tables().clusters.at(route->second.cluster).lines)
-            if (!line.draining) out.push_back(line.address.port);
+        if (route == client.tables().routes.end()) {
+            return out;
+        }
+        for (const auto& line : client.tables().clusters.at(route->second.cluster).lines) {
+            if (!line.draining) {
+                out.push_back(line.address.port);
+            }
+        }
         return out;
     }
 
@@ -266,7 +310,8 @@
 
 TEST(Stream, LaysBeforeItBindsAndProvesTheMark) {
     Wire wire;
-    const auto sent = wire.order({act::Line{{0}, {1}, 1}, act::Line{{0}, {2}, 0.5}, act::Bind{{0}, 0, {0}}, act::Mark{{5}, false}});
+    const auto sent = wire.order({act::Line{{0}, {1}, 1}, act::Line{{0}, {2}, 0.5},
+                                  act::Bind{{0}, 0, {0}}, act::Mark{{5}, false}});
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[0].lines, 3 + 1 + 1 + 2);
     wire.talk();
@@ -283,12 +328,14 @@
     wire.talk();
     EXPECT_EQ(wire.ports("look"), std::vector<int>{9003});
     EXPECT_EQ(wire.marks, (std::vector<int>{1, 2}));
-    EXPECT_FALSE(wire.client.tables().clusters.contains("table-0")) << "the old cluster stays for ever";
+    EXPECT_FALSE(wire.client.tables().clusters.contains("table-0"))
+        << "the old cluster stays for ever";
 }
 
 TEST(Stream, WithdrawsWhateverTheTableSays) {
     Wire wire;
-    wire.order({act::Line{{0}, {1}, 1}, act::Line{{0}, {2}, 1}, act::Bind{{0}, 0, {0}}, act::Mark{{1}, false}});
+    wire.order({act::Line{{0}, {1}, 1}, act::Line{{0}, {2}, 1}, act::Bind{{0}, 0, {0}},
+                act::Mark{{1}, false}});
     wire.talk();
     wire.order({act::Withdraw{{1}, true}, act::Mark{{2}, false}});
     wire.talk();
@@ -302,7 +349,8 @@
 
 TEST(Stream, NeverOrdersASecondTryOfWhatHasEffects) {
     Wire wire;
-    wire.order({act::Line{{0}, {1}, 1}, act::Bind{{0}, 0, {0}}, act::Level{{0}, 0, 1, Again::Twice}, act::Mark{{1}, false}});
+    wire.order({act::Line{{0}, {1}, 1}, act::Bind{{0}, 0, {0}}, act::Level{{0}, 0, 1, Again::Twice},
+                act::Mark{{1}, false}});
     wire.talk();
     EXPECT_EQ(wire.client.tables().routes.at("/invoke/look").again, Again::Twice);
     EXPECT_EQ(wire.client.tables().routes.at("/invoke/order").again, Again::AfterProof);
@@ -311,16 +359,20 @@
 // An ACK of the second response says nothing of a first that was rejected.
 TEST(Stream, ALaterAckDoesNotCoverARejection) {
     Wire wire;
-    wire.order({act::Line{{0}, {1}, 1}, act::Line{{1}, {3}, 1}, act::Bind{{0}, 1, {0}}, act::Bind{{1}, 2, {0}}, act::Mark{{1}, false}});
+    wire.order({act::Line{{0}, {1}, 1}, act::Line{{1}, {3}, 1}, act::Bind{{0}, 1, {0}},
+                act::Bind{{1}, 2, {0}}, act::Mark{{1}, false}});
     wire.talk();
     ASSERT_EQ(wire.marks.size(), 1u);
-    wire.client.doubt = [](const xds::AdsClient::Response& r) { return r.SerializeAsString().find("table-0") != std::string::npos ? "no" : ""; };
+    wire.client.doubt = [](const xds::AdsClient::Response& r) {
+        return r.SerializeAsString().find("table-0") != std::string::npos ? "no" : "";
+    };
     wire.order({act::Line{{0}, {2}, 1}, act::Mark{{2}, false}});
     wire.talk();
     EXPECT_EQ(wire.rejected.size(), 1u);
     wire.order({act::Line{{1}, {4}, 1}, act::Mark{{3}, false}});
     wire.talk();
-    EXPECT_EQ(wire.ports("order"), (std::vector<int>{9003, 9004})) << "a rejection takes what is new down with it";
+    EXPECT_EQ(wire.ports("order"), (std::vector<int>{9003, 9004}))
+        << "a rejection takes what is new down with it";
     EXPECT_EQ(wire.marks, std::vector<int>{1}) << "order 2 was rejected, and 3 comes behind it";
     EXPECT_EQ(wire.rejected.size(), 2u) << "tried once more with the next order, no more";
     wire.client.doubt = {};
@@ -363,12 +415,16 @@
         Settings s = told();
         s.admit = admit;
         Wire wire(s);
-        wire.order({act::Line{{0}, {1}, 1}, act::Bind{{0}, 0, {0}}, act::Level{{0}, 1, 0.25, Again::Never}, act::Mark{{1}, false}});
+        wire.order({act::Line{{0}, {1}, 1}, act::Bind{{0}, 0, {0}},
+                    act::Level{{0}, 1, 0.25, Again::Never}, act::Mark{{1}, false}});
         wire.talk();
         const auto& route = wire.client.tables().routes.at("/invoke/look");
         EXPECT_EQ(route.again, Again::Never);
-        if (admit == Admit::Share) EXPECT_DOUBLE_EQ(route.share, 0.25);
-        else EXPECT_NEAR(route.rate, 0.25, 1e-6);
+        if (admit == Admit::Share) {
+            EXPECT_DOUBLE_EQ(route.share, 0.25);
+        } else {
+            EXPECT_NEAR(route.rate, 0.25, 1e-6);
+        }
         const auto& other = wire.client.tables().routes.at("/invoke/order");
         EXPECT_EQ(other.share, 1);
         EXPECT_EQ(other.rate, 0);
@@ -381,7 +437,8 @@
     EXPECT_EQ(wire.refused.size(), 3u);
 }
 
-// Random orders, drops of streams and rejections: after all is said the forwarder holds what was ordered.
+// Random orders, drops of streams and rejections: after all is said the forwarder holds what was
+// ordered.
 TEST(Stream, AgreesAfterRandomOrdersAndBreaks) {
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
         base::Chance chance(seed, "stream");
@@ -394,10 +451,14 @@
                 const int table = static_cast<int>(chance.below(3));
                 const auto server = static_cast<std::uint32_t>(chance.below(4) + 1);
                 if (chance.happens(0.7)) {
-                    const double weight = chance.happens(0.3) ? 0 : 0.25 * static_cast<double>(chance.below(4) + 1);
+                    const double weight =
+                        chance.happens(0.3) ? 0 : 0.25 * static_cast<double>(chance.below(4) + 1);
                     actions.push_back(act::Line{{table}, {server}, weight});
-                    if (weight > 0) tables[table][server] = weight;
-                    else tables[table].erase(server);
+                    if (weight > 0) {
+                        tables[table][server] = weight;
+                    } else {
+                        tables[table].erase(server);
+                    }
                 } else {
                     actions.push_back(act::Bind{{table}, 0, {0}});
                     bound[0] = table;
@@ -405,26 +466,38 @@
             }
             actions.push_back(act::Mark{{step}, false});
             const bool moody = chance.happens(0.2);
-            wire.client.doubt = [&](const xds::AdsClient::Response&) { return moody && chance.happens(0.5) ? "moody" : ""; };
+            wire.client.doubt = [&](const xds::AdsClient::Response&) {
+                return moody && chance.happens(0.5) ? "moody" : "";
+            };
             wire.order(actions);
-            if (chance.happens(0.7)) wire.talk();
+            if (chance.happens(0.7)) {
+                wire.talk();
+            }
             if (chance.happens(0.1)) {
                 // The stream breaks; the governor's module binds it anew.
                 wire.server = xds::AdsServer("g.1");
                 wire.board.joined({0});
                 wire.requests.clear(), wire.begun = false;
-                if (bound[0] >= 0) wire.order({act::Bind{{bound[0]}, 0, {0}}, act::Mark{{step}, false}});
+                if (bound[0] >= 0) {
+                    wire.order({act::Bind{{bound[0]}, 0, {0}}, act::Mark{{step}, false}});
+                }
             }
         }
         wire.client.doubt = {};
-        if (bound[0] < 0) continue;
+        if (bound[0] < 0) {
+            continue;
+        }
         // Whatever was rejected is superseded by one more change of it.
         std::vector<Action> last{act::Bind{{bound[0]}, 0, {0}}};
-        for (std::uint32_t k = 1; k <= 4; ++k) last.push_back(act::Line{{bound[0]}, {k}, 2.0 + static_cast<double>(seed % 3)});
+        for (std::uint32_t k = 1; k <= 4; ++k) {
+            last.push_back(act::Line{{bound[0]}, {k}, 2.0 + static_cast<double>(seed % 3)});
+        }
         last.push_back(act::Mark{{999}, false});
         wire.order(last);
         wire.talk();
-        EXPECT_EQ(wire.ports("look").size(), 4u) << "seed " << seed << " bound to " << bound[0] << ", acts on " << wire.client.tables().routes.at("/invoke/look").cluster;
+        EXPECT_EQ(wire.ports("look").size(), 4u)
+            << "seed " << seed << " bound to " << bound[0] << ", acts on "
+            << wire.client.tables().routes.at("/invoke/look").cluster;
         EXPECT_EQ(wire.ports("look"), wire.ports("order")) << "seed " << seed;
     }
 }
--- a/tests/program/day_test.cpp
+++ b/tests/program/day_test.cpp
@@ -21,7 +21,8 @@
 
 config::IniFile example_settings() {
     std::vector<config::Mistake> mistakes;
-    return config::IniFile::parse("governor.ini", read(BADGERGRADE_SOURCE "/examples/governor.ini"), mistakes);
+    return config::IniFile::parse("governor.ini", read(BADGERGRADE_SOURCE "/examples/governor.ini"),
+                                  mistakes);
 }
 
 const char* const kFleet = R"(settings governor.ini
@@ -40,28 +41,38 @@
 day::DayScript script(const std::string& troubles) {
     std::vector<config::Mistake> mistakes;
     auto out = day::parse_script("test.day", kFleet + troubles, example_settings(), mistakes);
-    for (const auto& mistake : mistakes) ADD_FAILURE() << config::to_text(mistake);
+    for (const auto& mistake : mistakes) {
+        ADD_FAILURE() << config::to_text(mistake);
+    }
     return out;
 }
 
 std::set<std::string> rules_broken(const day::DayRun& run) {
     std::set<std::string> out;
-    for (const auto& one : run.breaks) out.insert(one.rule);
+    for (const auto& one : run.breaks) {
+        out.insert(one.rule);
+    }
     return out;
 }
 
 TEST(Day, IsTheSameToTheByteForOneSeedAndAnotherForAnother) {
-    auto day = script("at 5 s crash workers 25% for 5 s\nat 8 s streams-break forwarders 50%\nat 10 s governor-crash 0 for 2 s\n");
+    auto day = script(
+        "at 5 s crash workers 25% for 5 s\nat 8 s streams-break forwarders 50%\nat 10 s "
+        "governor-crash 0 for 2 s\n");
     const std::string first = day::run_day(day, {}).result.dump();
-    for (int n = 0; n < 3; ++n) EXPECT_EQ(day::run_day(day, {}).result.dump(), first);
+    for (int n = 0; n < 3; ++n) {
+        EXPECT_EQ(day::run_day(day, {}).result.dump(), first);
+    }
     day.seed = 4;
     EXPECT_NE(day::run_day(day, {}).result.dump(), first);
 }
 
 TEST(Day, EveryInvocationHasOneResult) {
-    const auto run = day::run_day(script("at 5 s crash workers 50% for 5 s\nat 7 s hang workers 2 for 5 s\n"), {});
+    const auto run = day::run_day(
+        script("at 5 s crash workers 50% for 5 s\nat 7 s hang workers 2 for 5 s\n"), {});
     const auto& whole = run.result["figures"]["whole_day"];
-    const auto sum = whole["succeeded"].get<int>() + whole["rate_limited"].get<int>() + whole["errored"].get<int>() + whole["timed_out"].get<int>();
+    const auto sum = whole["succeeded"].get<int>() + whole["rate_limited"].get<int>() +
+                     whole["errored"].get<int>() + whole["timed_out"].get<int>();
     EXPECT_EQ(sum, whole["invocations"].get<int>());
     EXPECT_GT(sum, 1000);
     EXPECT_TRUE(run.breaks.empty());
@@ -89,19 +100,27 @@
 // A governor that clears what it binds and never fills it.
 void leaves_bare(day::World& world) {
     world.tamper = [](int, governor::Service&, Micros, std::vector<Action>& actions) {
-        std::erase_if(actions, [](const Action& a) { return std::holds_alternative<act::Line>(a); });
+        std::erase_if(actions,
+                      [](const Action& a) { return std::holds_alternative<act::Line>(a); });
     };
 }
 
-// A governor that points every table at a server as soon as it starts, whole weight, and at little else.
+// A governor that points every table at a server as soon as it starts, whole weight, and at little
+// else.
 void rushes_cold(day::World& world) {
     world.tamper = [](int, governor::Service& service, Micros, std::vector<Action>& actions) {
         const auto cold = service.server_id("worker-000");
-        for (Action& a : actions)
-            if (auto* line = std::get_if<act::Line>(&a); line && line->weight > 0 && cold)
+        for (Action& a : actions) {
+            if (auto* line = std::get_if<act::Line>(&a); line && line->weight > 0 && cold) {
                 line->weight = line->server == *cold ? 1000 : 0.001;
-        if (!cold || actions.empty()) return;
-        for (int table = 0; table < 5; ++table) actions.insert(actions.begin(), act::Line{{table}, *cold, 1000});
+            }
+        }
+        if (!cold || actions.empty()) {
+            return;
+        }
+        for (int table = 0; table < 5; ++table) {
+            actions.insert(actions.begin(), act::Line{{table}, *cold, 1000});
+        }
         actions.push_back(act::Mark{{7}, false});
     };
 }
@@ -110,12 +129,16 @@
 void floods(day::World& world) {
     world.tamper = [](int, governor::Service& service, Micros, std::vector<Action>& actions) {
         const auto one = service.server_id("worker-001");
-        for (int n = 0; one && n < 600; ++n) actions.push_back(act::Line{{n % 5}, *one, 1.0 + n % 7});
+        for (int n = 0; one && n < 600; ++n) {
+            actions.push_back(act::Line{{n % 5}, *one, 1.0 + n % 7});
+        }
     };
 }
 
 void repeats_orders(day::World& world) {
-    world.on_forwarder = [](standin::Forwarder& forwarder) { forwarder.repeats_all = true; };
+    world.on_forwarder = [](standin::Forwarder& forwarder) {
+        forwarder.repeats_all = true;
+    };
 }
 
 class Audit : public testing::TestWithParam<int> {};
@@ -126,7 +149,9 @@
         {"bare", "", leaves_bare},
         {"cold", "at 4 s crash worker-000 for 3 s\n", rushes_cold},
         {"queue", "", floods},
-        {"effect", "at 4 s hang workers 30% for 10 s\nat 4 s answers-lost workers 60% by 60% for 12 s\n", repeats_orders},
+        {"effect",
+         "at 4 s hang workers 30% for 10 s\nat 4 s answers-lost workers 60% by 60% for 12 s\n",
+         repeats_orders},
     };
     return all[k];
 }
@@ -143,6 +168,7 @@
     EXPECT_FALSE(run.breaks.front().parties.empty());
     EXPECT_GT(run.breaks.front().when, 1000s);
 }
+
 INSTANTIATE_TEST_SUITE_P(Rules, Audit, testing::Range(0, 5));
 
 // ---- scripts
@@ -170,12 +196,14 @@
     };
     for (const auto& one : mistakes) {
         std::vector<config::Mistake> told;
-        day::parse_script("test.day", std::string(kFleet) + one.line + "\n", example_settings(), told);
+        day::parse_script("test.day", std::string(kFleet) + one.line + "\n", example_settings(),
+                          told);
         ASSERT_FALSE(told.empty()) << one.line;
         const std::string text = config::to_text(told.front());
         EXPECT_NE(text.find(one.says), std::string::npos) << one.line << " -> " << text;
         const bool in_the_script = std::string(one.line).rfind("set ", 0) != 0;
-        EXPECT_NE(text.find(in_the_script ? "test.day:12:" : "governor.ini"), std::string::npos) << text;
+        EXPECT_NE(text.find(in_the_script ? "test.day:12:" : "governor.ini"), std::string::npos)
+            << text;
     }
 }
 
@@ -183,11 +211,14 @@
 TEST(Figures, BillAsTheUsersDo) {
     const auto day = script("");
     day::Figures figures(day, 1000s, day.length, {{"f", "bang-na"}});
-    const auto play = [&](std::uint64_t id, int operation, int tries, standin::Result result, Micros took) {
+    const auto play = [&](std::uint64_t id, int operation, int tries, standin::Result result,
+                          Micros took) {
         standin::Invocation one;
         one.id = id, one.operation = operation, one.forwarder = "f", one.came = 1000s + 1s;
         figures.invocation_came(one.came, one);
-        for (int n = 0; n < tries; ++n) figures.client_try(one.came, one);
+        for (int n = 0; n < tries; ++n) {
+            figures.client_try(one.came, one);
+        }
         figures.invocation_ended(one.came + took, one, result);
     };
     play(1, 0, 1, standin::Result::Succeeded, 100ms);   // 1 of 1
--- a/tests/program/governor_test.cpp
+++ b/tests/program/governor_test.cpp
@@ -1,9 +1,9 @@
-// The running governor on sockets: what a forwarder sees, and the hard cases of streams, lists and garbage.
-#include "support.h"
-
+// The running governor on sockets: what a forwarder sees, and the hard cases of streams, lists and
+// garbage.
 #include <sys/resource.h>
 
 #include "governor/list_check.h"
+#include "support.h"
 
 namespace badgergrade::test {
 namespace {
@@ -31,8 +31,11 @@
     stage.registry->remove("a");
     stage.list("c", "south", 9003, ServerState::Draining);
     stage.run(2s);
-    for (const auto* peer : {&one, &two})
-        for (const int port : peer->ports("look")) EXPECT_TRUE(port == 9002 || port == 9004) << port;
+    for (const auto* peer : {&one, &two}) {
+        for (const int port : peer->ports("look")) {
+            EXPECT_TRUE(port == 9002 || port == 9004) << port;
+        }
+    }
     EXPECT_FALSE(one.ports("look").empty());
     EXPECT_FALSE(two.ports("look").empty());
 }
@@ -44,7 +47,9 @@
     stage.start();
     Peer one(stage, "f1");
     bool refuse = false;
-    one.ads.doubt = [&](const xds::AdsClient::Response&) { return refuse ? std::string("not today") : std::string(); };
+    one.ads.doubt = [&](const xds::AdsClient::Response&) {
+        return refuse ? std::string("not today") : std::string();
+    };
     one.dial();
     stage.run(3s);
     const auto before = one.ports("look");
@@ -57,7 +62,9 @@
     refuse = false;
     stage.registry->remove("c");
     stage.run(4s);
-    for (const int port : one.ports("look")) EXPECT_TRUE(port == 9001 || port == 9004) << port;
+    for (const int port : one.ports("look")) {
+        EXPECT_TRUE(port == 9001 || port == 9004) << port;
+    }
 }
 
 TEST(Governor, AnAckWithAStaleNonceIsLeftAside) {
@@ -74,7 +81,9 @@
     EXPECT_TRUE(one.call_ended.empty());
     stage.registry->remove("a");
     stage.run(2s);
-    for (const int port : one.ports("look")) EXPECT_NE(port, 9001);
+    for (const int port : one.ports("look")) {
+        EXPECT_NE(port, 9001);
+    }
 }
 
 TEST(Governor, TheNewerOfTwoStreamsWithOneNodeStands) {
@@ -92,7 +101,8 @@
     EXPECT_EQ(stage.logged("stream.replaced"), 1);
 }
 
-// "A stream that ends between a response and its ACK": the forwarder comes back and gets all it needs.
+// "A stream that ends between a response and its ACK": the forwarder comes back and gets all it
+// needs.
 TEST(Governor, AStreamThatEndsBeforeItsAckIsServedAnew) {
     Stage stage;
     stage.list_four();
@@ -111,7 +121,8 @@
     EXPECT_FALSE(again.ports("look").empty());
 }
 
-// "A governor killed while a table is half sent", and started over: tables stay in force, then the new one's come.
+// "A governor killed while a table is half sent", and started over: tables stay in force, then the
+// new one's come.
 TEST(Governor, AForwarderKeepsItsTablesOverAGovernorsDeath) {
     Opening at;
     auto& [stage, one] = at;
@@ -128,15 +139,21 @@
     stage.run(20ms);
     EXPECT_FALSE(one.ports("look").empty()) << "bare while the new governor lists its clusters";
     stage.run(3s);
-    for (const int port : one.ports("look")) EXPECT_NE(port, 9001);
+    for (const int port : one.ports("look")) {
+        EXPECT_NE(port, 9001);
+    }
     EXPECT_FALSE(one.ports("look").empty());
 }
 
-// Back pressure: a forwarder that stops reading is given up, memory stays bounded, others are unhurt.
+// Back pressure: a forwarder that stops reading is given up, memory stays bounded, others are
+// unhurt.
 TEST(Governor, AForwarderThatStopsReadingIsGivenUp) {
-    Stage stage(settings("[log]\nlevel = debug\n"), false);  // real time: the kernel's buffers are part of it
+    Stage stage(settings("[log]\nlevel = debug\n"),
+                false);  // real time: the kernel's buffers are part of it
     stage.config.waiting_bytes = 32768, stage.config.keepalive = 0us;
-    for (int k = 0; k < 400; ++k) stage.list("s" + std::to_string(k), k % 2 ? "north" : "south", 10000 + k);
+    for (int k = 0; k < 400; ++k) {
+        stage.list("s" + std::to_string(k), k % 2 ? "north" : "south", 10000 + k);
+    }
     stage.start();
     Peer good(stage, "good"), stuck(stage, "stuck", "south");
     good.dial(), stuck.dial();
@@ -145,7 +162,10 @@
     // A small window and no reading: what the governor sends waits with it.
     stuck.stream->pause_reading();
     for (int round = 0; round < 400 && stage.logged("connection.ended") == 0; ++round) {
-        for (int k = 0; k < 8; ++k) stage.list("s" + std::to_string((round * 8 + k) % 400), k % 2 ? "south" : "north", 20000 + round * 8 + k);
+        for (int k = 0; k < 8; ++k) {
+            stage.list("s" + std::to_string((round * 8 + k) % 400), k % 2 ? "south" : "north",
+                       20000 + round * 8 + k);
+        }
         stage.run(20ms);
     }
     EXPECT_GE(stage.logged("connection.ended"), 1);
@@ -170,6 +190,7 @@
     std::string bytes;
     int times = 1;
 };
+
 class GarbageOnXds : public testing::TestWithParam<int> {};
 
 std::vector<Garbage> garbage() {
@@ -179,19 +200,27 @@
     return {{"no protocol at all", "\x16\x03\x01 hello, is this TLS?", 50},
             {"HTTP/1.1", "GET / HTTP/1.1\r\nhost: x\r\n\r\n"},
             {"an oversized frame", preface + settings_frame + oversized},
-            {"a settings flood", preface + std::string(settings_frame) + [] {
-                 std::string flood;
-                 for (int k = 0; k < 2000; ++k) flood += std::string("\0\0\0\4\0\0\0\0\0", 9);
-                 return flood;
-             }()},
-            {"a head without end", preface + settings_frame + [] {
-                 std::string out;
-                 // HEADERS without END_HEADERS, then CONTINUATION upon CONTINUATION.
-                 const std::string block(16000, '\0');
-                 out += std::string("\0\x3e\x80\1\0\0\0\0\1", 9) + block;
-                 for (int k = 0; k < 60; ++k) out += std::string("\0\x3e\x80\x09\0\0\0\0\1", 9) + block;
-                 return out;
-             }()},
+            {"a settings flood", preface + std::string(settings_frame) +
+                                     [] {
+                                         std::string flood;
+                                         for (int k = 0; k < 2000; ++k) {
+                                             flood += std::string("\0\0\0\4\0\0\0\0\0", 9);
+                                         }
+                                         return flood;
+                                     }()},
+            {"a head without end", preface + settings_frame +
+                                       [] {
+                                           std::string out;
+                                           // HEADERS without END_HEADERS, then CONTINUATION upon
+                                           // CONTINUATION.
+                                           const std::string block(16000, '\0');
+                                           out += std::string("\0\x3e\x80\1\0\0\0\0\1", 9) + block;
+                                           for (int k = 0; k < 60; ++k) {
+                                               out += std::string("\0\x3e\x80\x09\0\0\0\0\1", 9) +
+                                                      block;
+                                           }
+                                           return out;
+                                       }()},
             {"zeros", std::string(100000, '\0')}};
 }
 
@@ -205,11 +234,16 @@
     const Garbage what = garbage()[static_cast<std::size_t>(GetParam())];
     std::string ended;
     net::StreamPtr bad;
-    net::Dial dial(*stage.loop, base::ActorId{200}, "bad", stage.service->address(), 1s, [&](net::StreamPtr s, const std::string&) {
-        bad = s;
-        bad->on_end = [&](std::string why) { ended = why; };
-        for (int k = 0; k < what.times; ++k) bad->send(what.bytes);
-    });
+    net::Dial dial(*stage.loop, base::ActorId{200}, "bad", stage.service->address(), 1s,
+                   [&](net::StreamPtr s, const std::string&) {
+                       bad = s;
+                       bad->on_end = [&](std::string why) {
+                           ended = why;
+                       };
+                       for (int k = 0; k < what.times; ++k) {
+                           bad->send(what.bytes);
+                       }
+                   });
     stage.run(2s);
     EXPECT_FALSE(ended.empty()) << what.name << ": the connection stands";
     EXPECT_EQ(stage.logged("connection.ended"), 1) << what.name;
@@ -217,8 +251,11 @@
     bad->close(true);
     stage.registry->remove("a");
     stage.run(2s);
-    for (const int port : good.ports("look")) EXPECT_NE(port, 9001) << what.name;
+    for (const int port : good.ports("look")) {
+        EXPECT_NE(port, 9001) << what.name;
+    }
 }
+
 INSTANTIATE_TEST_SUITE_P(Kinds, GarbageOnXds, testing::Range(0, 6));
 
 TEST(Governor, MalformedProtobufEndsTheCallWithALine) {
@@ -259,13 +296,20 @@
     stage.list_four();
     stage.start();
     net::Http2Session client(net::Http2Session::Role::Client, {});
-    const auto id = client.open({{":method", "POST"}, {":scheme", "http"}, {":path", std::string(xds::kAdsMethod)}, {":authority", "g"},
-                                 {"content-type", "application/grpc"}, {"te", "trailers"}});
+    const auto id = client.open({{":method", "POST"},
+                                 {":scheme", "http"},
+                                 {":path", std::string(xds::kAdsMethod)},
+                                 {":authority", "g"},
+                                 {"content-type", "application/grpc"},
+                                 {"te", "trailers"}});
     xds::AdsClient ads(Peer::node("slow", "north"));
-    for (const auto& request : ads.start()) client.send(id, net::grpc_frame(request.SerializeAsString()));
+    for (const auto& request : ads.start()) {
+        client.send(id, net::grpc_frame(request.SerializeAsString()));
+    }
     const std::string bytes = client.output();
     net::StreamPtr stream;
-    net::Dial dial(*stage.loop, base::ActorId{200}, "slow", stage.service->address(), 1s, [&](net::StreamPtr s, const std::string&) { stream = s; });
+    net::Dial dial(*stage.loop, base::ActorId{200}, "slow", stage.service->address(), 1s,
+                   [&](net::StreamPtr s, const std::string&) { stream = s; });
     stage.run(10ms);
     ASSERT_TRUE(stream);
     for (const char c : bytes) {
@@ -276,21 +320,27 @@
     stream->close(true);
 }
 
-// "200 forwarders joining at once against the line limit": all are served, and never more lines wait than allowed.
+// "200 forwarders joining at once against the line limit": all are served, and never more lines
+// wait than allowed.
 TEST(Governor, ManyJoiningAtOnceKeepTheLineLimit) {
     auto config = settings();
     config.told.proxies = 200, config.told.lines_most = 1500, config.told.channel_rate = 1000;
     Stage stage(config);
-    for (int k = 0; k < 40; ++k) stage.list("s" + std::to_string(k), k % 2 ? "north" : "south", 10000 + k);
+    for (int k = 0; k < 40; ++k) {
+        stage.list("s" + std::to_string(k), k % 2 ? "north" : "south", 10000 + k);
+    }
     stage.start();
     std::vector<std::unique_ptr<Peer>> peers;
     for (int k = 0; k < 200; ++k) {
-        peers.push_back(std::make_unique<Peer>(stage, "f" + std::to_string(k), k % 2 ? "north" : "south"));
+        peers.push_back(
+            std::make_unique<Peer>(stage, "f" + std::to_string(k), k % 2 ? "north" : "south"));
         peers.back()->dial();
     }
     stage.run(40s);
     int served = 0;
-    for (const auto& peer : peers) served += !peer->ports("look").empty();
+    for (const auto& peer : peers) {
+        served += !peer->ports("look").empty();
+    }
     EXPECT_EQ(served, 200);
     EXPECT_LE(stage.service->figures().channel.waiting_most, 1500);
     EXPECT_GT(stage.service->figures().channel.waiting_most, 500) << "the limit was never near";
@@ -310,7 +360,9 @@
     // Filled again it is followed again.
     stage.list("x", "north", 9100), stage.list("y", "south", 9101);
     stage.run(12s);
-    for (const int port : one.ports("look")) EXPECT_TRUE(port == 9100 || port == 9101) << port;
+    for (const int port : one.ports("look")) {
+        EXPECT_TRUE(port == 9100 || port == 9101) << port;
+    }
     EXPECT_FALSE(one.ports("look").empty());
 }
 
@@ -364,9 +416,12 @@
         {"{", "can't be read"},
         {R"({"registry":"r","index":3})", "servers"},
         {R"({"registry":"r","index":3,"servers":[{"id":"a","address":"nowhere"}]})", "no port"},
-        {R"({"registry":"r","index":3,"servers":[{"id":"a","address":"1.2.3.4:5","weight":0}]})", "weight"},
-        {R"({"registry":"r","index":3,"servers":[{"id":"a","address":"1.2.3.4:5","state":"odd"}]})", "odd"},
-        {R"({"registry":"r","index":-1,"servers":[{"id":"a","address":"1.2.3.4:5"},{"id":"a","address":"1.2.3.4:5"}]})", "twice"},
+        {R"({"registry":"r","index":3,"servers":[{"id":"a","address":"1.2.3.4:5","weight":0}]})",
+         "weight"},
+        {R"({"registry":"r","index":3,"servers":[{"id":"a","address":"1.2.3.4:5","state":"odd"}]})",
+         "odd"},
+        {R"({"registry":"r","index":-1,"servers":[{"id":"a","address":"1.2.3.4:5"},{"id":"a","address":"1.2.3.4:5"}]})",
+         "twice"},
     };
     for (const auto& [text, what] : wrong) {
         try {
--- a/tests/program/node_moments_test.cpp
+++ b/tests/program/node_moments_test.cpp
@@ -1,4 +1,5 @@
-// Rare moments of the governor on the platform, each made to happen: what comes between two lines of it.
+// Rare moments of the governor on the platform, each made to happen: what comes between two lines
+// of it.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -14,7 +15,8 @@
 using Then = RawSocket::Then;
 
 std::string list(int generation, bool whole, const std::string& rows) {
-    return R"({"generation":)" + std::to_string(generation) + R"(,"reset":)" + (whole ? "true" : "false") + R"(,"instances":[)" + rows + "]}";
+    return R"({"generation":)" + std::to_string(generation) + R"(,"reset":)" +
+           (whole ? "true" : "false") + R"(,"instances":[)" + rows + "]}";
 }
 
 // ---- connections
@@ -23,11 +25,15 @@
     RawStage stage(300, 1024);
     stage.start();
     std::vector<RawSocket> proxies;
-    for (int k = 0; k < 300; ++k) proxies.emplace_back(stage.service->address());
+    for (int k = 0; k < 300; ++k) {
+        proxies.emplace_back(stage.service->address());
+    }
     stage.run(0ms);
     ASSERT_EQ(stage.service->figures().strangers, 300u);
     stage.stall(1300ms, [&] {
-        for (int k = 0; k < 300; ++k) proxies[static_cast<std::size_t>(k)].join(k, k % 2 ? "north" : "south");
+        for (int k = 0; k < 300; ++k) {
+            proxies[static_cast<std::size_t>(k)].join(k, k % 2 ? "north" : "south");
+        }
     });
     stage.run(10ms);
     EXPECT_EQ(stage.service->figures().proxies, 300u);
@@ -52,12 +58,19 @@
     RawStage stage(40, 48);
     stage.start();
     std::vector<RawSocket> first, later;
-    for (int k = 0; k < 28; ++k) first.emplace_back(stage.service->address());
+    for (int k = 0; k < 28; ++k) {
+        first.emplace_back(stage.service->address());
+    }
     stage.run(0ms);
     ASSERT_EQ(stage.service->figures().connections, 28u);
-    // The newcomer is in the queue of the listener before the others have said a word: it is accepted first.
-    for (int k = 0; k < 5; ++k) later.emplace_back(stage.service->address());
-    for (int k = 0; k < 28; ++k) first[static_cast<std::size_t>(k)].join(k);
+    // The newcomer is in the queue of the listener before the others have said a word: it is
+    // accepted first.
+    for (int k = 0; k < 5; ++k) {
+        later.emplace_back(stage.service->address());
+    }
+    for (int k = 0; k < 28; ++k) {
+        first[static_cast<std::size_t>(k)].join(k);
+    }
     stage.run(50ms);
     EXPECT_EQ(stage.service->figures().proxies, 28u);
     EXPECT_EQ(stage.service->figures().refused, 0);
@@ -70,7 +83,8 @@
     stage.run(0ms);
     peer.send("GET / HTTP/1.1\r\n\r\n" + std::string(400 * 1024, 'x'));
     stage.run(20ms);
-    // What a peer sends on, before it has read that it was refused, is no reason for a reset either.
+    // What a peer sends on, before it has read that it was refused, is no reason for a reset
+    // either.
     peer.send(std::string(1000, 'x'));
     stage.run(20ms);
     Then how{};
@@ -85,9 +99,13 @@
     RawStage stage(40, 48);
     stage.start();
     std::vector<RawSocket> bad, good;
-    for (int k = 0; k < 28; ++k) bad.emplace_back(stage.service->address()), bad.back().send("x");
+    for (int k = 0; k < 28; ++k) {
+        bad.emplace_back(stage.service->address()), bad.back().send("x");
+    }
     stage.run(1ms);
-    for (int k = 0; k < 28; ++k) good.emplace_back(stage.service->address()), good.back().join(k);
+    for (int k = 0; k < 28; ++k) {
+        good.emplace_back(stage.service->address()), good.back().join(k);
+    }
     stage.run(10ms);
     EXPECT_EQ(stage.service->figures().proxies, 28u);
 }
@@ -98,7 +116,8 @@
     RawSocket proxy(stage.service->address());
     proxy.join(1);
     stage.run(20ms);
-    proxy.say({"RATE", "proxy", "1", "class", "order", "tries", "1", "failed", "0", "span_ms", "1000"});
+    proxy.say(
+        {"RATE", "proxy", "1", "class", "order", "tries", "1", "failed", "0", "span_ms", "1000"});
     stage.service->stop();
     Then how{};
     EXPECT_NE(readable(proxy.read(&how)).find("replace 1"), std::string::npos);
@@ -114,7 +133,8 @@
     for (int k = 0; k < 40; ++k) {
         silent.emplace_back(stage.service->address());
         silent.back().say({"SOURCE", "zone", k % 2 ? "north" : "south"});
-        reports.say({"LOAD", "zone", "north", "server", "s-a", "tries", "1", "failed", "0", "mean_ms", "1", "span_ms", "100"});
+        reports.say({"LOAD", "zone", "north", "server", "s-a", "tries", "1", "failed", "0",
+                     "mean_ms", "1", "span_ms", "100"});
         stage.run(50ms);
     }
     EXPECT_LE(stage.service->figures().connections, 8u);
@@ -134,7 +154,8 @@
     const auto at = first.find("stamp ");
     ASSERT_NE(at, std::string::npos) << first;
     const std::string mark = first.substr(at + 6, first.find('\n', at) - at - 6);
-    one.say({"ACK", "proxy", "1", "mark", mark, "took_ms", "3"}), two.say({"ACK", "proxy", "3", "mark", mark, "took_ms", "3"});
+    one.say({"ACK", "proxy", "1", "mark", mark, "took_ms", "3"}),
+        two.say({"ACK", "proxy", "3", "mark", mark, "took_ms", "3"});
     stage.run(5ms);
     EXPECT_EQ(stage.service->figures().applied, 2);
     EXPECT_EQ(stage.service->figures().spoilt, 0);
@@ -142,9 +163,13 @@
 
 TEST(NodeMoments, TheOldestOpenMarkIsForgottenFirstAlsoWhereNumbersComeRound) {
     node::OpenMarks marks;
-    for (int k = 0; k < 300; ++k) marks.written({(65400 + k) % 65536});
-    EXPECT_EQ(marks.answered({(65400 + 299) % 65536}), node::OpenMarks::Answer::Awaited) << "the newest";
-    EXPECT_EQ(marks.answered({65400}), node::OpenMarks::Answer::Late) << "the oldest: late, not spoilt";
+    for (int k = 0; k < 300; ++k) {
+        marks.written({(65400 + k) % 65536});
+    }
+    EXPECT_EQ(marks.answered({(65400 + 299) % 65536}), node::OpenMarks::Answer::Awaited)
+        << "the newest";
+    EXPECT_EQ(marks.answered({65400}), node::OpenMarks::Answer::Late)
+        << "the oldest: late, not spoilt";
     EXPECT_EQ(marks.size(), 255u);
     node::OpenMarks fresh;
     fresh.written({7});
@@ -182,7 +207,8 @@
     stage.start();
     ASSERT_TRUE(stage.discovery.waits());
     RawSocket agent = stage.discovery.take();
-    const std::string bytes = RawStage::answer(list(5, true, row("s-a", "north") + "," + row("s-new", "south")));
+    const std::string bytes =
+        RawStage::answer(list(5, true, row("s-a", "north") + "," + row("s-new", "south")));
     for (std::size_t at = 0, piece = bytes.size() / 6; at < bytes.size(); at += piece) {
         agent.send(std::string_view(bytes).substr(at, piece));
         stage.run(900ms);
@@ -200,14 +226,17 @@
     stage.run(4s);
     EXPECT_GE(stage.logged("discovery.trouble"), 1);
     ASSERT_TRUE(stage.discovery.waits());
-    EXPECT_EQ(RawStage::target(stage.discovery.take().read()), "/discovery/hosts?from=1&hold_ms=2000");
+    EXPECT_EQ(RawStage::target(stage.discovery.take().read()),
+              "/discovery/hosts?from=1&hold_ms=2000");
 }
 
 TEST(NodeMoments, AnAnswerThatCameWhileTheGovernorHadNoProcessorIsNotTimedOut) {
     RawStage stage;
     stage.start();
     RawSocket agent = stage.discovery.take();
-    stage.stall(2500ms, [&] { agent.send(RawStage::answer(list(2, false, row("s-a", "north", "Terminating")))); });
+    stage.stall(2500ms, [&] {
+        agent.send(RawStage::answer(list(2, false, row("s-a", "north", "Terminating"))));
+    });
     EXPECT_EQ(stage.logged("discovery.trouble"), 0);
     EXPECT_EQ(stage.logged("list.taken generation=2"), 1);
 }
@@ -225,7 +254,8 @@
     stage.run(10ms);
     ASSERT_TRUE(second.waits());
     RawSocket agent_two = second.take();
-    EXPECT_EQ(RawStage::target(agent_two.read()), "/discovery/hosts?from=2&hold_ms=2000") << "never told twice";
+    EXPECT_EQ(RawStage::target(agent_two.read()), "/discovery/hosts?from=2&hold_ms=2000")
+        << "never told twice";
     EXPECT_EQ(stage.logged("list.taken generation=2"), 1);
 }
 
@@ -239,7 +269,8 @@
     }
     stage.run(190ms);
     ASSERT_TRUE(stage.discovery.waits()) << "the next call of the watch is due within 200 ms";
-    EXPECT_EQ(RawStage::target(stage.discovery.take().read()), "/discovery/hosts?from=2&hold_ms=2000");
+    EXPECT_EQ(RawStage::target(stage.discovery.take().read()),
+              "/discovery/hosts?from=2&hold_ms=2000");
     EXPECT_EQ(stage.service->figures().servers, 4u);
 }
 
@@ -288,7 +319,8 @@
     stage.run(500ms);
     const std::string orders = readable(proxy.read());
     EXPECT_NE(orders.find("s-a:0"), std::string::npos) << "not named: gone";
-    EXPECT_EQ(orders.find("s-b:0"), std::string::npos) << "named, though nothing else of it can be read: " << orders;
+    EXPECT_EQ(orders.find("s-b:0"), std::string::npos)
+        << "named, though nothing else of it can be read: " << orders;
 }
 
 // ---- signals and settings
@@ -296,11 +328,14 @@
 TEST(NodeMoments, AFileInTheMiddleOfItsReplacementIsReadAgain) {
     net::Loop loop(1000s);
     std::vector<std::string> lines;
-    log::Log log(loop.clock(), log::Level::Info, log::Form::Text, [&](const std::string& line) { lines.push_back(line); });
+    log::Log log(loop.clock(), log::Level::Info, log::Form::Text,
+                 [&](const std::string& line) { lines.push_back(line); });
     std::string file = "{";
     int applied = 0;
-    node::ConfigReload reload(loop.clock(), base::ActorId{1}, log::Voice(log, "n3"), [&] { return platform::read_config(file); },
-                              [&](const platform::NodeConfig&) { ++applied; });
+    node::ConfigReload reload(
+        loop.clock(), base::ActorId{1}, log::Voice(log, "n3"),
+        [&] { return platform::read_config(file); },
+        [&](const platform::NodeConfig&) { ++applied; });
     reload.begin();
     loop.run_until(loop.clock().now() + 300ms);
     EXPECT_EQ(applied, 0);
@@ -341,13 +376,17 @@
 TEST(NodeMoments, SettingsOfAnyCustomerAreTakenAndTooManyClassesRefusedInPlainWords) {
     const auto classes = [](int count) {
         std::string out;
-        for (int k = 0; k < count; ++k)
-            out += std::string(k ? "," : "") + "{\"name\":\"k=" + std::to_string(k) + R"j( (\u00fc/x,y)","aim":500.0,"deadline":2000.0,"effect":"unsafe","worth":1.0})j";
+        for (int k = 0; k < count; ++k) {
+            out +=
+                std::string(k ? "," : "") + "{\"name\":\"k=" + std::to_string(k) +
+                R"j( (\u00fc/x,y)","aim":500.0,"deadline":2000.0,"effect":"unsafe","worth":1.0})j";
+        }
         return out;
     };
     const auto with = [&](int count) {
         std::string text = node_config();
-        const auto begin = text.find("\"request_classes\":[") + 19, end = text.find("],\n\"rules\"");
+        const auto begin = text.find("\"request_classes\":[") + 19,
+                   end = text.find("],\n\"rules\"");
         return text.replace(begin, end - begin, classes(count));
     };
     for (const int count : {1, 64}) {
@@ -359,7 +398,9 @@
         platform::read_config(with(65));
         ADD_FAILURE() << "65 classes are more than the module holds";
     } catch (const platform::Unreadable& wrong) {
-        EXPECT_NE(std::string(wrong.what()).find("request_classes.count is out of range: '65'"), std::string::npos) << wrong.what();
+        EXPECT_NE(std::string(wrong.what()).find("request_classes.count is out of range: '65'"),
+                  std::string::npos)
+            << wrong.what();
     }
 }
 
@@ -376,21 +417,32 @@
         for (int k = 0; k < 20; ++k) {
             const std::string name = std::to_string(k), zone = k % 2 ? "north" : "south";
             rows += row("s-" + std::to_string(round + 1) + "-" + name, zone) + ",";
-            if (round > 0) rows += row("s-" + std::to_string(round) + "-" + name, zone, "Gone") + ",";
+            if (round > 0) {
+                rows += row("s-" + std::to_string(round) + "-" + name, zone, "Gone") + ",";
+            }
         }
         rows.pop_back();
         agent.read();
         agent.send(RawStage::answer(list(round + 2, false, rows)));
         std::vector<RawSocket> fresh;
-        for (int number = 0; number < 4; ++number) fresh.emplace_back(stage.service->address()), fresh.back().join(number, number % 2 ? "north" : "south", "0");
+        for (int number = 0; number < 4; ++number) {
+            fresh.emplace_back(stage.service->address()),
+                fresh.back().join(number, number % 2 ? "north" : "south", "0");
+        }
         streams = std::move(fresh);
         // Calls that find nothing new are answered as they come; 140 s pass.
         for (int second = 0; second < 70; ++second) {
             stage.run(2s);
-            for (RawSocket& stream : streams) stream.read();
-            if (!agent.read().empty() && second < 69) agent.send(RawStage::answer(list(round + 2, false, "")));
+            for (RawSocket& stream : streams) {
+                stream.read();
+            }
+            if (!agent.read().empty() && second < 69) {
+                agent.send(RawStage::answer(list(round + 2, false, "")));
+            }
+        }
+        if (round < 3) {
+            continue;
         }
-        if (round < 3) continue;
         servers_most = std::max(servers_most, stage.service->figures().servers);
         timers_most = std::max(timers_most, stage.service->figures().timers);
         EXPECT_EQ(stage.service->figures().connections, 4u);
--- a/tests/program/node_test.cpp
+++ b/tests/program/node_test.cpp
@@ -12,7 +12,9 @@
 // The first mark that a proxy was asked to answer; empty where there was none.
 std::string first_mark(const PlatformPeer& proxy) {
     const auto at = proxy.text.find("stamp ");
-    return at == std::string::npos ? "" : proxy.text.substr(at + 6, proxy.text.find_first_of(" \n", at + 6) - at - 6);
+    return at == std::string::npos
+               ? ""
+               : proxy.text.substr(at + 6, proxy.text.find_first_of(" \n", at + 6) - at - 6);
 }
 
 TEST(Node, AnswersPingAndServesAProxyFromItsFirstMessage) {
@@ -24,7 +26,8 @@
     EXPECT_EQ(peer->text, "PONG\n");
     auto proxy = stage.proxy(1);
     stage.run(1s);
-    EXPECT_NE(proxy->text.find("CONFIG for look up replace 1 rows s-"), std::string::npos) << proxy->text;
+    EXPECT_NE(proxy->text.find("CONFIG for look up replace 1 rows s-"), std::string::npos)
+        << proxy->text;
     EXPECT_NE(proxy->text.find("stamp "), std::string::npos);
     EXPECT_EQ(stage.service->figures().proxies, 1u);
 }
@@ -36,7 +39,9 @@
     std::string bytes;
     resp::write(bytes, {"SUBSCRIBE", "proxy", "2", "zone", "north", "weight", "5", "fresh", "1"});
     resp::write(bytes, {"PING"});
-    for (const char c : bytes) proxy->send(std::string(1, c)), stage.run(1ms);
+    for (const char c : bytes) {
+        proxy->send(std::string(1, c)), stage.run(1ms);
+    }
     stage.run(100ms);
     EXPECT_EQ(stage.service->figures().proxies, 1u);
     EXPECT_NE(proxy->text.find("PONG"), std::string::npos);
@@ -48,24 +53,35 @@
     std::vector<std::unique_ptr<PlatformPeer>> bad;
     const auto add = [&](const std::string& bytes) {
         bad.push_back(stage.peer());
-        if (!bytes.empty()) bad.back()->send(bytes);
+        if (!bytes.empty()) {
+            bad.back()->send(bytes);
+        }
     };
     std::string orders;
     resp::write(orders, {"CONFIG", "drop", "s-a"});
-    for (const std::string& bytes : {std::string(), std::string("GET / HTTP/1.1\r\n\r\n"), std::string("PING\r\n"), std::string("\x16\x03\x01"),
-                                     std::string("*3\r\n$9\r\nSUBSCR"), std::string("*-1\r\n"), std::string("*1\r\n$1048577\r\n"), orders})
+    for (const std::string& bytes :
+         {std::string(), std::string("GET / HTTP/1.1\r\n\r\n"), std::string("PING\r\n"),
+          std::string("\x16\x03\x01"), std::string("*3\r\n$9\r\nSUBSCR"), std::string("*-1\r\n"),
+          std::string("*1\r\n$1048577\r\n"), orders}) {
         add(bytes);
-    for (const char* words : {"SUBSCRIBE proxy 9 zone north weight 1 fresh 1", "SUBSCRIBE proxy 1 zone west weight 1 fresh 1", "SOURCE zone west",
-                              "RATE proxy 1 class order tries 1 failed 0 span_ms 100", "ACK proxy 1 mark 1 took_ms 1",
-                              "LOAD zone north server s-a tries 1 failed 0 mean_ms 1 span_ms 100"}) {
+    }
+    for (const char* words :
+         {"SUBSCRIBE proxy 9 zone north weight 1 fresh 1",
+          "SUBSCRIBE proxy 1 zone west weight 1 fresh 1", "SOURCE zone west",
+          "RATE proxy 1 class order tries 1 failed 0 span_ms 100", "ACK proxy 1 mark 1 took_ms 1",
+          "LOAD zone north server s-a tries 1 failed 0 mean_ms 1 span_ms 100"}) {
         add({});
         bad.back()->say(words);
     }
     auto endless = stage.peer();
     endless->send("*1\r\n$16000\r\n");
-    for (int k = 0; k < 30; ++k) endless->send(std::string(100, 'x')), stage.run(100ms);
+    for (int k = 0; k < 30; ++k) {
+        endless->send(std::string(100, 'x')), stage.run(100ms);
+    }
     EXPECT_TRUE(endless->owed_nothing());
-    for (std::size_t k = 0; k < bad.size(); ++k) EXPECT_TRUE(bad[k]->owed_nothing()) << k;
+    for (std::size_t k = 0; k < bad.size(); ++k) {
+        EXPECT_TRUE(bad[k]->owed_nothing()) << k;
+    }
     EXPECT_EQ(stage.service->figures().connections, 0u);
 }
 
@@ -73,7 +89,9 @@
     NodeStage stage;
     stage.start();
     auto peer = stage.peer();
-    for (int k = 0; k < 20; ++k) peer->say("PING"), stage.run(200ms);
+    for (int k = 0; k < 20; ++k) {
+        peer->say("PING"), stage.run(200ms);
+    }
     EXPECT_NE(peer->ended, "");
     EXPECT_EQ(stage.service->figures().connections, 0u);
 }
@@ -84,10 +102,14 @@
     auto first = stage.proxy(0);
     stage.run(50ms);
     std::vector<std::unique_ptr<PlatformPeer>> silent;
-    for (int k = 0; k < 200; ++k) silent.push_back(stage.peer());
+    for (int k = 0; k < 200; ++k) {
+        silent.push_back(stage.peer());
+    }
     auto second = stage.proxy(1);
     stage.run(300ms);
-    for (int k = 0; k < 100; ++k) silent.push_back(stage.peer());
+    for (int k = 0; k < 100; ++k) {
+        silent.push_back(stage.peer());
+    }
     auto third = stage.proxy(2);
     stage.run(300ms);
     EXPECT_EQ(stage.service->figures().proxies, 3u);
@@ -95,7 +117,9 @@
     EXPECT_EQ(first->ended + second->ended + third->ended, "");
     stage.run(2s);
     EXPECT_EQ(stage.service->figures().connections, 3u);
-    for (const auto& one : silent) EXPECT_TRUE(one->owed_nothing());
+    for (const auto& one : silent) {
+        EXPECT_TRUE(one->owed_nothing());
+    }
 }
 
 TEST(Node, SpoiltMessagesAreDroppedAndThoseAroundThemCount) {
@@ -109,9 +133,14 @@
     EXPECT_GT(before.orders, 0);
     const std::string mark = first_mark(*proxy);
     ASSERT_NE(mark, "");
-    for (const char* words : {"ACK proxy 1 took_ms 3", "ACK proxy 2 mark 1 took_ms 3", "ACK proxy 1 mark 60000 took_ms 3", "RATE proxy 2 class order tries 1 failed 0 span_ms 100",
-                              "RATE proxy 1 class paint tries 1 failed 0 span_ms 100", "SOURCE zone north", "SUBSCRIBE proxy 1 zone north weight 1 fresh 1"})
+    for (const char* words :
+         {"ACK proxy 1 took_ms 3", "ACK proxy 2 mark 1 took_ms 3",
+          "ACK proxy 1 mark 60000 took_ms 3",
+          "RATE proxy 2 class order tries 1 failed 0 span_ms 100",
+          "RATE proxy 1 class paint tries 1 failed 0 span_ms 100", "SOURCE zone north",
+          "SUBSCRIBE proxy 1 zone north weight 1 fresh 1"}) {
         proxy->say(words);
+    }
     proxy->send("*3\r\n$3\r\nACK\r\n:1\r\n$-1\r\n");
     proxy->say("ACK proxy 1 mark " + mark + " took_ms 10");
     collector->say("LOAD zone north server nobody tries 1 failed 0 mean_ms 1 span_ms 100");
@@ -164,10 +193,14 @@
     stage.start();
     for (int round = 0; round < 5; ++round) {
         std::vector<std::unique_ptr<PlatformPeer>> all;
-        for (int number = 0; number < 4; ++number) all.push_back(stage.proxy(number, number % 2 ? "north" : "south", round ? "0" : "1"));
+        for (int number = 0; number < 4; ++number) {
+            all.push_back(stage.proxy(number, number % 2 ? "north" : "south", round ? "0" : "1"));
+        }
         stage.run(200ms);
         EXPECT_EQ(stage.service->figures().proxies, 4u);
-        for (const auto& one : all) EXPECT_NE(one->text.find("replace 1"), std::string::npos);
+        for (const auto& one : all) {
+            EXPECT_NE(one->text.find("replace 1"), std::string::npos);
+        }
     }
     stage.run(100ms);
     EXPECT_EQ(stage.service->figures().proxies, 0u);
@@ -182,9 +215,13 @@
     stage.run(100ms);
     deaf->stop_reading();
     std::string pings;
-    for (int k = 0; k < 50000; ++k) resp::write(pings, {"PING"});
+    for (int k = 0; k < 50000; ++k) {
+        resp::write(pings, {"PING"});
+    }
     // Until the kernel's own buffers are full and ours have reached their bound.
-    for (int k = 0; k < 60 && stage.service->figures().proxies == 2; ++k) deaf->send(pings), stage.run(10ms);
+    for (int k = 0; k < 60 && stage.service->figures().proxies == 2; ++k) {
+        deaf->send(pings), stage.run(10ms);
+    }
     EXPECT_EQ(stage.service->figures().proxies, 1u);
     EXPECT_EQ(stage.logged("unread"), 1);
     good->text.clear();
@@ -198,10 +235,15 @@
     stage.config.names.proxies = stage.config.settings.proxies = 400;
     stage.start();
     std::vector<std::unique_ptr<PlatformPeer>> all;
-    for (int number = 0; number < 400; ++number) all.push_back(stage.proxy(number, number % 2 ? "north" : "south"));
+    for (int number = 0; number < 400; ++number) {
+        all.push_back(stage.proxy(number, number % 2 ? "north" : "south"));
+    }
     stage.run(3s);
     EXPECT_EQ(stage.service->figures().proxies, 400u);
-    EXPECT_EQ(std::count_if(all.begin(), all.end(), [](const auto& p) { return p->text.find("replace 1") != std::string::npos; }), 400);
+    EXPECT_EQ(
+        std::count_if(all.begin(), all.end(),
+                      [](const auto& p) { return p->text.find("replace 1") != std::string::npos; }),
+        400);
 }
 
 TEST(Node, StartedOverWithAnOldListItServesWhatDiscoveryThenTells) {
@@ -233,9 +275,12 @@
     stage.discovery.put(row("s-a", "north", "Terminating"));
     stage.discovery.put(row("s-d", "north"));
     stage.run(500ms);
-    EXPECT_NE(proxy->text.find("s-a:0"), std::string::npos) << "the drain leaves the table: " << proxy->text;
+    EXPECT_NE(proxy->text.find("s-a:0"), std::string::npos)
+        << "the drain leaves the table: " << proxy->text;
     EXPECT_EQ(stage.service->figures().servers, 4u);
-    for (std::size_t k = 1; k < stage.discovery.asked_from.size(); ++k) EXPECT_GE(stage.discovery.asked_from[k], stage.discovery.asked_from[k - 1]);
+    for (std::size_t k = 1; k < stage.discovery.asked_from.size(); ++k) {
+        EXPECT_GE(stage.discovery.asked_from[k], stage.discovery.asked_from[k - 1]);
+    }
     EXPECT_EQ(stage.discovery.asked_from.back(), stage.discovery.generation());
 }
 
@@ -310,11 +355,12 @@
 
 std::int64_t memory_kb(pid_t process, const std::string& what) {
     std::ifstream in("/proc/" + std::to_string(process) + "/status");
-    for (std::string word; in >> word;)
+    for (std::string word; in >> word;) {
         if (word == what) {
             std::int64_t kb = 0;
             return in >> kb ? kb : 0;
         }
+    }
     return 0;
 }
 
@@ -324,21 +370,25 @@
         child = std::make_unique<Child>(std::vector<std::string>{"node"});
         unsetenv("NODE_CONFIG");
     }
+
     std::unique_ptr<Child> child;
 };
 
 TEST(NodeProgram, AnUnreadableConfigurationIsOneLineAndExitTwo) {
-    for (const std::string& path : {temporary("node-bad.json", "{"), std::string("/nowhere/config.json"), std::string()}) {
+    for (const std::string& path :
+         {temporary("node-bad.json", "{"), std::string("/nowhere/config.json"), std::string()}) {
         Process process(path);
         EXPECT_EQ(process.child->wait(), 2);
-        EXPECT_EQ(std::count(process.child->text().begin(), process.child->text().end(), '\n'), 1) << process.child->text();
+        EXPECT_EQ(std::count(process.child->text().begin(), process.child->text().end(), '\n'), 1)
+            << process.child->text();
     }
 }
 
 TEST(NodeProgram, PlaysAShortDayAgainstStandInsReloadsAndEnds) {
     net::Loop loop;
     Discovery discovery(loop), second(loop);
-    const std::string path = temporary("node.json", node_config("127.0.0.1:0", net::to_text(discovery.address())));
+    const std::string path =
+        temporary("node.json", node_config("127.0.0.1:0", net::to_text(discovery.address())));
     Process process(path);
     const std::string listen = process.child->after("node.started listen=");
     ASSERT_NE(listen, "") << process.child->text();
@@ -347,14 +397,22 @@
     collector.say("SOURCE zone north");
     for (int number = 0; number < 4; ++number) {
         proxies.push_back(std::make_unique<PlatformPeer>(loop, net::parse_address(listen)));
-        proxies.back()->say("SUBSCRIBE proxy " + std::to_string(number) + " zone " + (number % 2 ? "north" : "south") + " weight 5 fresh 1");
+        proxies.back()->say("SUBSCRIBE proxy " + std::to_string(number) + " zone " +
+                            (number % 2 ? "north" : "south") + " weight 5 fresh 1");
     }
-    // Until it is so, and never longer than the test's patience: no verdict hangs on how fast this machine is.
+    // Until it is so, and never longer than the test's patience: no verdict hangs on how fast this
+    // machine is.
     const auto until = [&](const std::function<bool()>& so) {
-        for (int looks = 0; looks < 1500 && !so(); ++looks) loop.run_until(loop.clock().now() + 20ms);
+        for (int looks = 0; looks < 1500 && !so(); ++looks) {
+            loop.run_until(loop.clock().now() + 20ms);
+        }
         return so();
     };
-    EXPECT_TRUE(until([&] { return std::all_of(proxies.begin(), proxies.end(), [](const auto& p) { return p->text.find("replace 1") != std::string::npos; }); }));
+    EXPECT_TRUE(until([&] {
+        return std::all_of(proxies.begin(), proxies.end(), [](const auto& p) {
+            return p->text.find("replace 1") != std::string::npos;
+        });
+    }));
     collector.say("LOAD zone north server s-a tries 20 failed 0 mean_ms 40 span_ms 1000");
     discovery.put(row("s-a", "north", "Terminating"));
     EXPECT_TRUE(until([&] { return proxies[1]->text.find("s-a:0") != std::string::npos; }));
@@ -368,10 +426,13 @@
     EXPECT_TRUE(process.child->shows("config.reloaded"));
     second.put(row("s-d", "north"));
     EXPECT_TRUE(until([&] { return proxies[1]->text.find("s-d:") != std::string::npos; }));
-    for (const auto& proxy : proxies) EXPECT_EQ(proxy->ended, "") << "streams stay through a reload";
+    for (const auto& proxy : proxies) {
+        EXPECT_EQ(proxy->ended, "") << "streams stay through a reload";
+    }
 
 #ifndef __SANITIZE_ADDRESS__
-    // The configuration was read into a buffer of the largest size: 16 MiB of the 32 MB that a small governor has.
+    // The configuration was read into a buffer of the largest size: 16 MiB of the 32 MB that a
+    // small governor has.
     EXPECT_LT(memory_kb(process.child->id(), "VmHWM:"), 20 * 1024);
 #endif
     process.child->signal(SIGTERM);
--- a/tests/program/platform_stage.h
+++ b/tests/program/platform_stage.h
@@ -1,4 +1,5 @@
-// Stand-ins of the platform for tests: a configuration, discovery, and peers that speak its messages by hand.
+// Stand-ins of the platform for tests: a configuration, discovery, and peers that speak its
+// messages by hand.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,15 +16,21 @@
 
 namespace badgergrade::test {
 
-inline std::string row(const std::string& id, const std::string& zone, const std::string& state = "Ready", const std::string& started = "0") {
-    return R"({"instanceId":")" + id + R"(","hostPort":"10.1.0.18:3000","zone":")" + zone + R"(","machineType":"m2","cell":3,"lifecycle":")" + state +
+inline std::string row(const std::string& id, const std::string& zone,
+                       const std::string& state = "Ready", const std::string& started = "0") {
+    return R"({"instanceId":")" + id + R"(","hostPort":"10.1.0.18:3000","zone":")" + zone +
+           R"(","machineType":"m2","cell":3,"lifecycle":")" + state +
            R"(","weight":1.0,"startedAtMs":)" + started + "}";
 }
 
-inline std::string node_config(const std::string& listen = "127.0.0.1:0", const std::string& discovery = "127.0.0.1:8500", int sockets = 256) {
-    return R"({"name":"n3","listen":")" + listen + R"(","discovery":")" + discovery + R"(","seed":"8c1f30d27a5be964",
-"limits":{"cores":1.0,"memory_mb":64,"sockets":)" + std::to_string(sockets) + R"(},
-"known":{"generation":1,"reset":true,"instances":[)" + row("s-a", "north") + "," + row("s-b", "north") + "," + row("s-c", "south") + R"(]},
+inline std::string node_config(const std::string& listen = "127.0.0.1:0",
+                               const std::string& discovery = "127.0.0.1:8500", int sockets = 256) {
+    return R"({"name":"n3","listen":")" + listen + R"(","discovery":")" + discovery +
+           R"(","seed":"8c1f30d27a5be964",
+"limits":{"cores":1.0,"memory_mb":64,"sockets":)" +
+           std::to_string(sockets) + R"(},
+"known":{"generation":1,"reset":true,"instances":[)" +
+           row("s-a", "north") + "," + row("s-b", "north") + "," + row("s-c", "south") + R"(]},
 "settings":{"balancers":1,"ordinal":0,"quantum":4.0,"zone":0,"zones":["north","south"],"weights":"none","discovery":"pushed",
 "report":{"how":"answers","columns":["active","cpu"]},"bounds":{"conn_idle":15000.0,"may_probe":false,"peers":false},
 "request_classes":[{"name":"look up","aim":500.0,"deadline":2000.0,"effect":"safe","worth":1.0},
@@ -39,29 +46,46 @@
     std::string out;
     resp::Reader reader;
     while (const auto message = reader.next(bytes)) {
-        for (const auto& word : message->words) out += (out.empty() || out.back() == '\n' ? "" : " ") + word;
+        for (const auto& word : message->words) {
+            out += (out.empty() || out.back() == '\n' ? "" : " ") + word;
+        }
         out += "\n";
     }
     return out + reader.error();
 }
 
-// Discovery's agent: answers what is newer than asked from, holds the call otherwise; may be silent.
+// Discovery's agent: answers what is newer than asked from, holds the call otherwise; may be
+// silent.
 class Discovery {
 public:
     explicit Discovery(net::Loop& loop)
-        : loop_(loop), server_(loop, base::ActorId{3}, "discovery", net::Address{}, net::HttpLimits{}, 100), tick_(loop.clock(), base::ActorId{3}) {
-        server_.on_request = [this](net::HttpExchangePtr exchange) { asked(exchange); };
+        : loop_(loop),
+          server_(loop, base::ActorId{3}, "discovery", net::Address{}, net::HttpLimits{}, 100),
+          tick_(loop.clock(), base::ActorId{3}) {
+        server_.on_request = [this](net::HttpExchangePtr exchange) {
+            asked(exchange);
+        };
     }
+
     net::Address address() const { return server_.address(); }
+
     void put(const std::string& row) { changes_.push_back(row), answer_waiting(); }
+
     // The call that waits ends without an answer.
     void break_off() {
-        if (waiting_) std::exchange(waiting_, nullptr)->break_off();
+        if (waiting_) {
+            std::exchange(waiting_, nullptr)->break_off();
+        }
     }
+
     void close_open() { server_.abort(); }
+
     bool silent = false, whole = false, garbage = false;
+
     std::uint64_t generation() const { return first_ + changes_.size(); }
+
     std::vector<std::uint64_t> asked_from;
+
     void begin_at(std::uint64_t generation) { first_ = generation; }
 
 private:
@@ -69,24 +93,38 @@
         const auto at = target.find(key + "=");
         return at == std::string::npos ? 0 : std::stoull(target.substr(at + key.size() + 1));
     }
+
     void asked(const net::HttpExchangePtr& exchange) {
         const std::uint64_t from = value(exchange->request.target, "from");
         asked_from.push_back(from);
         waiting_ = exchange, from_ = from;
-        if (from < generation()) return answer();
-        tick_.after(std::chrono::milliseconds(value(exchange->request.target, "hold_ms")), [this] { answer(); });
+        if (from < generation()) {
+            return answer();
+        }
+        tick_.after(std::chrono::milliseconds(value(exchange->request.target, "hold_ms")),
+                    [this] { answer(); });
     }
+
     void answer_waiting() {
-        if (waiting_ && from_ < generation()) answer();
+        if (waiting_ && from_ < generation()) {
+            answer();
+        }
     }
+
     void answer() {
-        if (silent || !waiting_) return;
+        if (silent || !waiting_) {
+            return;
+        }
         net::HttpMessage response;
         response.status = 200;
         std::string rows;
-        for (std::uint64_t k = std::max(from_, first_); k < generation(); ++k) rows += (rows.empty() ? "" : ",") + changes_[k - first_];
-        response.body = garbage ? "{\"generation\":" : R"({"generation":)" + std::to_string(generation()) + R"(,"reset":)" + (whole ? "true" : "false") +
-                                                            R"(,"instances":[)" + rows + "]}";
+        for (std::uint64_t k = std::max(from_, first_); k < generation(); ++k) {
+            rows += (rows.empty() ? "" : ",") + changes_[k - first_];
+        }
+        response.body = garbage
+                            ? "{\"generation\":"
+                            : R"({"generation":)" + std::to_string(generation()) + R"(,"reset":)" +
+                                  (whole ? "true" : "false") + R"(,"instances":[)" + rows + "]}";
         std::exchange(waiting_, nullptr)->answer(std::move(response));
     }
 
@@ -102,20 +140,38 @@
 class PlatformPeer {
 public:
     PlatformPeer(net::Loop& loop, const net::Address& to)
-        : dial_(std::make_unique<net::Dial>(loop, base::ActorId{100}, "peer", to, std::chrono::seconds(1), [this](net::StreamPtr stream, const std::string& why) {
-              if (!stream) return void(ended = why);
-              stream_ = stream;
-              stream_->on_data = [this](std::string_view bytes) { text += readable(bytes); };
-              stream_->on_end = [this](const std::string& reason) { ended = reason; };
-              if (!early_.empty()) stream_->send(std::exchange(early_, {}));
-          })) {}
+        : dial_(std::make_unique<net::Dial>(
+              loop, base::ActorId{100}, "peer", to, std::chrono::seconds(1),
+              [this](net::StreamPtr stream, const std::string& why) {
+                  if (!stream) {
+                      return void(ended = why);
+                  }
+                  stream_ = stream;
+                  stream_->on_data = [this](std::string_view bytes) {
+                      text += readable(bytes);
+                  };
+                  stream_->on_end = [this](const std::string& reason) {
+                      ended = reason;
+                  };
+                  if (!early_.empty()) {
+                      stream_->send(std::exchange(early_, {}));
+                  }
+              })) {}
+
     ~PlatformPeer() {
-        if (stream_) stream_->close(true);
+        if (stream_) {
+            stream_->close(true);
+        }
     }
+
     void send(const std::string& bytes) {
-        if (stream_) stream_->send(bytes);
-        else early_ += bytes;
+        if (stream_) {
+            stream_->send(bytes);
+        } else {
+            early_ += bytes;
+        }
     }
+
     void say(const std::string& words) {
         std::vector<std::string> list;
         for (std::size_t at = 0; at < words.size();) {
@@ -127,8 +183,11 @@
         resp::write(bytes, list);
         send(bytes);
     }
+
     void close() { stream_->close(true); }
+
     void stop_reading() { stream_->pause_reading(); }
+
     bool owed_nothing() const { return !ended.empty() || text.find("NACK") != std::string::npos; }
 
     std::string text, ended;
@@ -141,19 +200,36 @@
 
 // A governor on the platform with its discovery, on the virtual clock.
 struct NodeStage {
-    explicit NodeStage(int sockets = 256) : log(loop.clock(), log::Level::Info, log::Form::Text, [this](const std::string& line) { lines.push_back(line); }) {
-        config = platform::read_config(node_config("127.0.0.1:0", net::to_text(discovery.address()), sockets));
+    explicit NodeStage(int sockets = 256)
+        : log(loop.clock(), log::Level::Info, log::Form::Text,
+              [this](const std::string& line) { lines.push_back(line); }) {
+        config = platform::read_config(
+            node_config("127.0.0.1:0", net::to_text(discovery.address()), sockets));
+    }
+
+    void start() {
+        service = std::make_unique<node::Service>(loop, base::ActorId{10}, config, log,
+                                                  std::chrono::seconds(1700000000));
+    }
+
+    std::unique_ptr<PlatformPeer> peer() {
+        return std::make_unique<PlatformPeer>(loop, service->address());
     }
-    void start() { service = std::make_unique<node::Service>(loop, base::ActorId{10}, config, log, std::chrono::seconds(1700000000)); }
-    std::unique_ptr<PlatformPeer> peer() { return std::make_unique<PlatformPeer>(loop, service->address()); }
-    std::unique_ptr<PlatformPeer> proxy(int number, const std::string& zone = "north", const std::string& fresh = "1") {
+
+    std::unique_ptr<PlatformPeer> proxy(int number, const std::string& zone = "north",
+                                        const std::string& fresh = "1") {
         auto out = peer();
-        out->say("SUBSCRIBE proxy " + std::to_string(number) + " zone " + zone + " weight 5 fresh " + fresh);
+        out->say("SUBSCRIBE proxy " + std::to_string(number) + " zone " + zone +
+                 " weight 5 fresh " + fresh);
         return out;
     }
+
     void run(base::Micros time) { loop.run_until(loop.clock().now() + time); }
+
     int logged(const std::string& what) const {
-        return static_cast<int>(std::count_if(lines.begin(), lines.end(), [&](const std::string& l) { return l.find(what) != std::string::npos; }));
+        return static_cast<int>(
+            std::count_if(lines.begin(), lines.end(),
+                          [&](const std::string& l) { return l.find(what) != std::string::npos; }));
     }
 
     net::Loop loop{std::chrono::seconds(1000)};
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -1,4 +1,5 @@
-// The platform's words without sockets: configuration, discovery's answers, messages, orders as CONFIG.
+// The platform's words without sockets: configuration, discovery's answers, messages, orders as
+// CONFIG.
 #include <gtest/gtest.h>
 
 #include "drive/driver.h"
@@ -16,10 +17,13 @@
 struct Words {
     platform::NodeConfig config = platform::read_config(node_config());
     platform::Servers servers{config.names, kWallAhead};
+
     Words() { servers.take(config.known, ListForm::Cached, 1000s); }
+
     platform::Message read(std::vector<std::string> words) const {
         return platform::read_message({std::move(words), true}, config.names, servers);
     }
+
     std::string spoilt(std::vector<std::string> words) const {
         try {
             read(std::move(words));
@@ -28,6 +32,7 @@
         }
         return {};
     }
+
     ServerId server(const char* id) const { return *servers.number(id); }
 };
 
@@ -74,7 +79,9 @@
     EXPECT_NE(why(with("8c1f30d27a5be964", "seed!")), "");
     EXPECT_NE(why(with("\"effect\":\"safe\"", "\"effect\":\"odd\"")), "");
     EXPECT_NE(why(with("\"sockets\":256", "\"sockets\":3")), "");
-    EXPECT_EQ(why(with("\"quantum\":4.0", "\"quantum\":4.0,\"novel\":{\"deep\":[1,{\"a\":null}]}")), "") << "unknown keys are skipped";
+    EXPECT_EQ(why(with("\"quantum\":4.0", "\"quantum\":4.0,\"novel\":{\"deep\":[1,{\"a\":null}]}")),
+              "")
+        << "unknown keys are skipped";
 }
 
 TEST(Instances, AnEntryThatCantBeReadIsLeftOutAndNamed) {
@@ -104,7 +111,11 @@
 TEST(Servers, AStartHasOneTimeAndNeverBecomesLongAgo) {
     Words w;
     const auto start = [&](double ms) {
-        return w.servers.take({3, false, {{"s-a", "north", ServerState::Ready, 1, ms}}, {}}, ListForm::Delta, 1000s).rows.at(0).started;
+        return w.servers
+            .take({3, false, {{"s-a", "north", ServerState::Ready, 1, ms}}, {}}, ListForm::Delta,
+                  1000s)
+            .rows.at(0)
+            .started;
     };
     EXPECT_EQ(start(0), 0us) << "long ago";
     EXPECT_EQ(start(1700000990000.0), 990s);
@@ -117,7 +128,12 @@
     Micros now = 1000s;
     for (int day = 0; day < 500; ++day, now += 200s) {
         const std::string id = "new-" + std::to_string(day), old = "new-" + std::to_string(day - 1);
-        w.servers.take({1, false, {{id, "north", ServerState::Ready, 1, 0}, {old, "north", ServerState::Gone, 1, 0}}, {}}, ListForm::Delta, now);
+        w.servers.take(
+            {1,
+             false,
+             {{id, "north", ServerState::Ready, 1, 0}, {old, "north", ServerState::Gone, 1, 0}},
+             {}},
+            ListForm::Delta, now);
         w.servers.forget(now, [](ServerId) { return false; });
     }
     EXPECT_LE(w.servers.size(), 6u);
@@ -131,8 +147,9 @@
 
 TEST(Messages, AreReadIntoTheModulesWords) {
     Words w;
-    const auto load = std::get<ev::Heard>(w.read({"LOAD", "zone", "south", "server", "s-b", "tries", "212", "failed", "3", "mean_ms", "41.7", "span_ms",
-                                                  "1000.0", "load", "util:0.61,other:3,inflight:7"}));
+    const auto load = std::get<ev::Heard>(
+        w.read({"LOAD", "zone", "south", "server", "s-b", "tries", "212", "failed", "3", "mean_ms",
+                "41.7", "span_ms", "1000.0", "load", "util:0.61,other:3,inflight:7"}));
     EXPECT_EQ(load.zone.v, 1);
     EXPECT_EQ(load.server, w.server("s-b"));
     EXPECT_EQ(load.tries, 212);
@@ -140,14 +157,19 @@
     EXPECT_EQ(load.mean, 41700us);
     EXPECT_EQ(load.span, 1s);
     EXPECT_EQ(load.load, (std::vector<double>{7, 0.61}));
-    const auto joined = std::get<ev::Joined>(w.read({"SUBSCRIBE", "proxy", "3", "zone", "north", "weight", "21.5", "fresh", "1", "novel", "x"}));
+    const auto joined =
+        std::get<ev::Joined>(w.read({"SUBSCRIBE", "proxy", "3", "zone", "north", "weight", "21.5",
+                                     "fresh", "1", "novel", "x"}));
     EXPECT_EQ(joined.proxy.v, 3);
     EXPECT_TRUE(joined.fresh);
     EXPECT_EQ(joined.rate, 21.5);
-    const auto applied = std::get<ev::Applied>(w.read({"ACK", "proxy", "3", "mark", "905", "took_ms", "310.4"}));
+    const auto applied =
+        std::get<ev::Applied>(w.read({"ACK", "proxy", "3", "mark", "905", "took_ms", "310.4"}));
     EXPECT_EQ(applied.mark.v, 905);
     EXPECT_EQ(applied.took, 310400us);
-    const auto rate = std::get<ev::Demand>(w.read({"RATE", "proxy", "3", "class", "look up", "tries", "19", "failed", "0", "span_ms", "1000.0"}));
+    const auto rate =
+        std::get<ev::Demand>(w.read({"RATE", "proxy", "3", "class", "look up", "tries", "19",
+                                     "failed", "0", "span_ms", "1000.0"}));
     EXPECT_EQ(rate.op.v, 0);
     EXPECT_EQ(rate.count, 19);
     EXPECT_EQ(std::get<platform::Source>(w.read({"SOURCE", "zone", "south"})).zone.v, 1);
@@ -156,16 +178,20 @@
 
 TEST(Messages, SpoiltOnesSayWhy) {
     Words w;
-    const std::vector<std::string> good{"LOAD", "zone", "south", "server", "s-b", "tries", "212", "failed", "3", "mean_ms", "41.7", "span_ms", "1000.0"};
+    const std::vector<std::string> good{"LOAD",  "zone",    "south",  "server", "s-b",
+                                        "tries", "212",     "failed", "3",      "mean_ms",
+                                        "41.7",  "span_ms", "1000.0"};
     EXPECT_EQ(w.spoilt(good), "");
     for (std::size_t field = 1; field < good.size(); field += 2) {
         auto missing = good;
-        missing.erase(missing.begin() + static_cast<std::ptrdiff_t>(field), missing.begin() + static_cast<std::ptrdiff_t>(field) + 2);
+        missing.erase(missing.begin() + static_cast<std::ptrdiff_t>(field),
+                      missing.begin() + static_cast<std::ptrdiff_t>(field) + 2);
         EXPECT_NE(w.spoilt(missing), "") << good[field];
         auto doubled = good;
         doubled.insert(doubled.end(), {good[field], good[field + 1]});
         EXPECT_NE(w.spoilt(doubled), "") << good[field];
-        for (const char* wrong : {"", "nan", "inf", "-inf", "-1", "1e300", "x", "0x10", " 1", "1 "}) {
+        for (const char* wrong :
+             {"", "nan", "inf", "-inf", "-1", "1e300", "x", "0x10", " 1", "1 "}) {
             auto spoilt = good;
             spoilt[field + 1] = wrong;
             EXPECT_NE(w.spoilt(spoilt), "") << good[field] << "=" << wrong;
@@ -176,13 +202,22 @@
     EXPECT_NE(w.spoilt(odd), "");
     EXPECT_NE(w.spoilt({}), "");
     EXPECT_NE(w.spoilt({"CONFIG", "stamp", "1"}), "");
-    EXPECT_NE(w.spoilt({"SUBSCRIBE", "proxy", "4", "zone", "north", "weight", "1", "fresh", "1"}), "") << "0 to 3 are proxies";
-    EXPECT_NE(w.spoilt({"SUBSCRIBE", "proxy", "1.5", "zone", "north", "weight", "1", "fresh", "1"}), "");
-    EXPECT_NE(w.spoilt({"SUBSCRIBE", "proxy", "1", "zone", "north", "weight", "1", "fresh", "yes"}), "");
+    EXPECT_NE(w.spoilt({"SUBSCRIBE", "proxy", "4", "zone", "north", "weight", "1", "fresh", "1"}),
+              "")
+        << "0 to 3 are proxies";
+    EXPECT_NE(w.spoilt({"SUBSCRIBE", "proxy", "1.5", "zone", "north", "weight", "1", "fresh", "1"}),
+              "");
+    EXPECT_NE(w.spoilt({"SUBSCRIBE", "proxy", "1", "zone", "north", "weight", "1", "fresh", "yes"}),
+              "");
     EXPECT_NE(w.spoilt({"ACK", "proxy", "1", "mark", "65536", "took_ms", "1"}), "");
-    EXPECT_NE(w.spoilt({"RATE", "proxy", "1", "class", "paint", "tries", "1", "failed", "0", "span_ms", "1"}), "");
-    EXPECT_NE(w.spoilt({"RATE", "proxy", "1", "class", "order", "tries", "1", "failed", "0", "span_ms", "0"}), "");
-    EXPECT_THROW(platform::read_message({{"PING"}, false}, w.config.names, w.servers), platform::Spoilt);
+    EXPECT_NE(w.spoilt({"RATE", "proxy", "1", "class", "paint", "tries", "1", "failed", "0",
+                        "span_ms", "1"}),
+              "");
+    EXPECT_NE(w.spoilt({"RATE", "proxy", "1", "class", "order", "tries", "1", "failed", "0",
+                        "span_ms", "0"}),
+              "");
+    EXPECT_THROW(platform::read_message({{"PING"}, false}, w.config.names, w.servers),
+                 platform::Spoilt);
 }
 
 // ---- orders
@@ -190,23 +225,30 @@
 struct Orders : Words {
     drive::OrderBook book{config.settings};
     std::vector<std::string> refused;
+
     std::map<int, std::string> give(std::vector<Action> actions) {
         std::map<int, std::string> out;
         lines.clear();
         for (const auto& order : book.take(actions, refused)) {
-            out[order.proxy.v] = readable(platform::to_config(order, config.names, servers).value_or("too long"));
+            out[order.proxy.v] =
+                readable(platform::to_config(order, config.names, servers).value_or("too long"));
             lines[order.proxy.v] = order.lines;
         }
         return out;
     }
+
     std::map<int, double> lines;
-    Action line(int table, const char* id, double weight) const { return act::Line{{table}, server(id), weight}; }
+
+    Action line(int table, const char* id, double weight) const {
+        return act::Line{{table}, server(id), weight};
+    }
 };
 
 TEST(Orders, ABindingIsTheWholeTableAndLaterLinesAreItsChanges) {
     Orders o;
     o.book.joined({1}), o.book.joined({2});
-    auto sent = o.give({o.line(7, "s-a", 1.5), o.line(7, "s-b", 0.25), act::Bind{{7}, 0, {1}}, act::Mark{{905}, false}});
+    auto sent = o.give({o.line(7, "s-a", 1.5), o.line(7, "s-b", 0.25), act::Bind{{7}, 0, {1}},
+                        act::Mark{{905}, false}});
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1.5,s-b:0.25 stamp 905\n");
     EXPECT_EQ(o.lines[1], 3 + 1 + 2 + 1) << "head, binding, lines, mark";
@@ -219,8 +261,11 @@
 TEST(Orders, OperationsAreNamedWhereATableIsNotForAll) {
     Orders o;
     o.book.joined({1});
-    auto sent = o.give({o.line(7, "s-a", 1), o.line(8, "s-b", 1), act::Bind{{7}, 1, {1}}, act::Bind{{8}, 2, {1}}, act::Mark{{1}, false}});
-    EXPECT_EQ(sent[1], "CONFIG for look up replace 1 rows s-a:1 part 1\nCONFIG for order replace 1 rows s-b:1 stamp 1\n");
+    auto sent = o.give({o.line(7, "s-a", 1), o.line(8, "s-b", 1), act::Bind{{7}, 1, {1}},
+                        act::Bind{{8}, 2, {1}}, act::Mark{{1}, false}});
+    EXPECT_EQ(sent[1],
+              "CONFIG for look up replace 1 rows s-a:1 part 1\nCONFIG for order replace 1 rows "
+              "s-b:1 stamp 1\n");
     sent = o.give({act::Bind{{8}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-b:1\n");
 }
@@ -228,22 +273,30 @@
 TEST(Orders, LevelsGoWithTheirMannerOfTryingAgain) {
     Orders o;
     o.book.joined({1}), o.book.joined({2});
-    auto sent = o.give({o.line(7, "s-a", 1), act::Level{{7}, 1, 0.5, Again::Never}, act::Bind{{7}, 0, {1}}});
+    auto sent = o.give(
+        {o.line(7, "s-a", 1), act::Level{{7}, 1, 0.5, Again::Never}, act::Bind{{7}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1 part 1\nCONFIG for look up gate 0.5 again 0\n");
     sent = o.give({act::Level{kEveryTable, 0, 0.8, Again::AfterProof}});
-    EXPECT_EQ(sent[1], "CONFIG for look up gate 0.5 again 0 part 1\nCONFIG for order gate 0.8 again 1\n") << "the lower holds, and the table's own manner";
+    EXPECT_EQ(sent[1],
+              "CONFIG for look up gate 0.5 again 0 part 1\nCONFIG for order gate 0.8 again 1\n")
+        << "the lower holds, and the table's own manner";
     sent = o.give({act::Clear{{7}}, o.line(7, "s-b", 2)});
-    EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-b:2 part 1\nCONFIG for look up+order gate 0.8 again 1\n") << "levels for all accompany a whole table";
+    EXPECT_EQ(sent[1],
+              "CONFIG replace 1 rows s-b:2 part 1\nCONFIG for look up+order gate 0.8 again 1\n")
+        << "levels for all accompany a whole table";
 }
 
 TEST(Orders, AProxyThatComesOverIsToldOnlyWhatItShutsOutWrongly) {
     Orders o;
     o.book.joined({1});
     o.give({o.line(7, "s-a", 1), o.line(7, "s-b", 1), act::Bind{{7}, 0, {1}}});
-    auto sent = o.give({act::Withdraw{o.server("s-a"), true}, act::Withdraw{o.server("s-c"), true}});
+    auto sent =
+        o.give({act::Withdraw{o.server("s-a"), true}, act::Withdraw{o.server("s-c"), true}});
     EXPECT_EQ(sent[1], "CONFIG drop s-a\n") << "s-c is in no table that it holds";
     o.book.left({1});
-    EXPECT_TRUE(o.give({act::Withdraw{o.server("s-a"), false}, act::Withdraw{o.server("s-b"), true}}).empty());
+    EXPECT_TRUE(
+        o.give({act::Withdraw{o.server("s-a"), false}, act::Withdraw{o.server("s-b"), true}})
+            .empty());
     o.book.joined({1});
     sent = o.give({act::Bind{{7}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1,s-b:1 drop s-b undrop s-a\n");
@@ -265,7 +318,9 @@
     Words w;
     drive::Driver driver(clock, {1}, w.config.settings, 1, 4ms);
     int decisions = 0;
-    driver.on_actions = [&](const std::vector<Action>&) { ++decisions; };
+    driver.on_actions = [&](const std::vector<Action>&) {
+        ++decisions;
+    };
     driver.tell(w.servers.take(w.config.known, ListForm::Cached, clock.now()));
     driver.tell(ev::Joined{{1}, true, {0}, 5});
     EXPECT_EQ(driver.timers(), 0u);
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -1,4 +1,5 @@
-// Recorded days: played again they come to the same, a changed setting tells, and what makes no sense is refused.
+// Recorded days: played again they come to the same, a changed setting tells, and what makes no
+// sense is refused.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -45,11 +46,14 @@
     std::vector<config::Mistake> mistakes;
     const auto settings = config::IniFile::parse("test.ini", test::kSettings, mistakes);
     auto day = day::parse_script("short.day", kShortDay + more, settings, mistakes);
-    for (const auto& mistake : mistakes) ADD_FAILURE() << config::to_text(mistake);
+    for (const auto& mistake : mistakes) {
+        ADD_FAILURE() << config::to_text(mistake);
+    }
     return day;
 }
 
-day::DayRun record(const day::DayScript& script, const std::string& path, record::WriterOptions how = {}) {
+day::DayRun record(const day::DayScript& script, const std::string& path,
+                   record::WriterOptions how = {}) {
     how.when_full = record::WhenFull::Wait;
     record::WriterFigures figures;
     auto out = record_day(script, {}, path, how, figures);
@@ -60,7 +64,9 @@
 Trial trial(const RecordedDay& day, const Sets& sets) {
     std::vector<config::Mistake> mistakes;
     auto out = read_trial(day, std::nullopt, sets, mistakes);
-    for (const auto& mistake : mistakes) ADD_FAILURE() << config::to_text(mistake);
+    for (const auto& mistake : mistakes) {
+        ADD_FAILURE() << config::to_text(mistake);
+    }
     return out;
 }
 
@@ -96,7 +102,8 @@
 TEST(Replay, EveryKindOfTroubleComesBackAsItWas) {
     const Folder folder;
     std::vector<config::Mistake> mistakes;
-    const auto script = day::load_script(std::string(BADGERGRADE_SOURCE) + "/examples/all-troubles.day", mistakes);
+    const auto script =
+        day::load_script(std::string(BADGERGRADE_SOURCE) + "/examples/all-troubles.day", mistakes);
     ASSERT_TRUE(mistakes.empty());
     const auto lived = record(script, folder.file("day"));
     const auto day = load_recording(folder.file("day"));
@@ -113,8 +120,10 @@
     other.seed = 99;
     const auto a = play(day, trial(day, {}), {}), b = play(day, trial(day, {}), other);
     EXPECT_NE(a.run.result["figures"].dump(), b.run.result["figures"].dump());
-    EXPECT_EQ(a.run.result["figures"]["whole_day"]["invocations"], b.run.result["figures"]["whole_day"]["invocations"]);
-    EXPECT_EQ(a.run.result["figures"]["servers"]["starts"], b.run.result["figures"]["servers"]["starts"]);
+    EXPECT_EQ(a.run.result["figures"]["whole_day"]["invocations"],
+              b.run.result["figures"]["whole_day"]["invocations"]);
+    EXPECT_EQ(a.run.result["figures"]["servers"]["starts"],
+              b.run.result["figures"]["servers"]["starts"]);
 }
 
 TEST(Replay, TwoSettingsWithAKnownDifference) {
@@ -125,9 +134,14 @@
     const auto same = compare(day, trial(day, {}), trial(day, {}), 2, {});
     EXPECT_TRUE(same.a.same && same.b.same);
     EXPECT_FALSE(same.heard || same.decided);
-    for (const auto& one : differences(same)) EXPECT_EQ(one.a, one.b) << one.name;
-    // A third of the workers for twice the traffic must cost service; the first list heard is already another.
-    const auto poor = compare(day, trial(day, {}), trial(day, {{"replay.workers", "-4"}, {"replay.traffic", "2"}}), 2, {});
+    for (const auto& one : differences(same)) {
+        EXPECT_EQ(one.a, one.b) << one.name;
+    }
+    // A third of the workers for twice the traffic must cost service; the first list heard is
+    // already another.
+    const auto poor =
+        compare(day, trial(day, {}),
+                trial(day, {{"replay.workers", "-4"}, {"replay.traffic", "2"}}), 2, {});
     EXPECT_TRUE(poor.a.same && poor.b.same);
     const auto all = differences(poor);
     EXPECT_EQ(all.front().name, "whole day");
@@ -135,7 +149,9 @@
     ASSERT_TRUE(poor.heard.has_value());
     ASSERT_TRUE(poor.heard->b.has_value());
     EXPECT_EQ(poor.heard->b->text, "list: worker-000 worker-001");
-    const auto invocations = [](const SettingResult& s) { return s.first.run.result["figures"]["whole_day"]["invocations"].get<int>(); };
+    const auto invocations = [](const SettingResult& s) {
+        return s.first.run.result["figures"]["whole_day"]["invocations"].get<int>();
+    };
     EXPECT_EQ(invocations(poor.b), 2 * invocations(poor.a));
     const auto json = to_json(day, poor);
     EXPECT_EQ(json["a"]["runs_match"], true);
@@ -143,8 +159,11 @@
 }
 
 TEST(Replay, PartingIsTheFirstStepThatDiffersAndTellsDecisionsFromWhatWasHeard) {
-    const auto step = [](int at, bool decision, const char* text) { return Trail::Step{Micros(at), "g", decision, text}; };
-    const std::vector<Trail::Step> a{step(1, false, "list"), step(2, true, "x"), step(3, false, "sums"), step(4, true, "y")};
+    const auto step = [](int at, bool decision, const char* text) {
+        return Trail::Step{Micros(at), "g", decision, text};
+    };
+    const std::vector<Trail::Step> a{step(1, false, "list"), step(2, true, "x"),
+                                     step(3, false, "sums"), step(4, true, "y")};
     auto b = a;
     EXPECT_FALSE(first_parting(a, b, true));
     b[3].text = "z";
@@ -163,15 +182,21 @@
     const auto lived = record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
     int came = 0;
-    for (const auto& [forwarder, list] : day.world.traffic)
-        for (const auto& one : list) came += one.came >= 3s && one.came < 7s;
+    for (const auto& [forwarder, list] : day.world.traffic) {
+        for (const auto& one : list) {
+            came += one.came >= 3s && one.came < 7s;
+        }
+    }
     PlayOptions span;
     span.from = 3s, span.to = 7s;
     const auto part = play(day, trial(day, {}), span);
     EXPECT_EQ(part.run.result["figures"]["whole_day"]["invocations"], came);
     // The same seconds of the whole day, one by one.
-    for (std::size_t k = 0; k < 3; ++k)
-        EXPECT_EQ(part.run.result["figures"]["by_second"][k], lived.result["figures"]["by_second"][k + 3]) << k;
+    for (std::size_t k = 0; k < 3; ++k) {
+        EXPECT_EQ(part.run.result["figures"]["by_second"][k],
+                  lived.result["figures"]["by_second"][k + 3])
+            << k;
+    }
     span.from = 7s, span.to = 3s;
     EXPECT_THROW(play(day, trial(day, {}), span), std::runtime_error);
     span.from = 0s, span.to = 11s;
@@ -182,16 +207,32 @@
     const Folder folder;
     record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
-    const std::pair<const char*, const char*> wrong[] = {
-        {"governor.zones", "a, b"}, {"governor.governors", "2"}, {"operation.look.billed_value", "9"}, {"operation.other.effect", "idempotent"},
-        {"replay.workers", "-6"}, {"replay.workers", "7"}, {"replay.workers", "+9000%"}, {"replay.traffic", "0"}, {"replay.traffic", "-1"},
-        {"replay.startup", "0.5"}, {"replay.other", "1"}, {"reports.load_columns", "cpu"}, {"channel.lines_per_second", "0"},
-        {"channel.nonsense", "1"}, {"forwarders.further_tries", "twice"}};
-    for (const auto& [name, value] : wrong) EXPECT_NE(refused(day, name, value), "") << name << " = " << value;
+    const std::pair<const char*, const char*> wrong[] = {{"governor.zones", "a, b"},
+                                                         {"governor.governors", "2"},
+                                                         {"operation.look.billed_value", "9"},
+                                                         {"operation.other.effect", "idempotent"},
+                                                         {"replay.workers", "-6"},
+                                                         {"replay.workers", "7"},
+                                                         {"replay.workers", "+9000%"},
+                                                         {"replay.traffic", "0"},
+                                                         {"replay.traffic", "-1"},
+                                                         {"replay.startup", "0.5"},
+                                                         {"replay.other", "1"},
+                                                         {"reports.load_columns", "cpu"},
+                                                         {"channel.lines_per_second", "0"},
+                                                         {"channel.nonsense", "1"},
+                                                         {"forwarders.further_tries", "twice"}};
+    for (const auto& [name, value] : wrong) {
+        EXPECT_NE(refused(day, name, value), "") << name << " = " << value;
+    }
     // A place's own says nothing here and is passed over; the same fact told again is no change.
-    for (const auto& [name, value] : {std::pair{"xds.listen", "10.0.0.1:99"}, {"governor.id", "other"}, {"governor.zones", "north,south"},
-                                      {"replay.workers", "+50%"}, {"reports.period", "1 s"}})
+    for (const auto& [name, value] : {std::pair{"xds.listen", "10.0.0.1:99"},
+                                      {"governor.id", "other"},
+                                      {"governor.zones", "north,south"},
+                                      {"replay.workers", "+50%"},
+                                      {"reports.period", "1 s"}}) {
         EXPECT_EQ(refused(day, name, value), "") << name;
+    }
     EXPECT_FALSE(read_set("reports.period"));
     EXPECT_FALSE(read_set(".x=1"));
     EXPECT_EQ(read_set("operation.look.effect=idempotent")->first, "operation.look.effect");
@@ -202,60 +243,85 @@
     record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
     std::vector<config::Mistake> none;
-    const auto more = make_playable(day, trial(day, {{"replay.workers", "+2"}, {"replay.traffic", "1.5"}}), none);
+    const auto more =
+        make_playable(day, trial(day, {{"replay.workers", "+2"}, {"replay.traffic", "1.5"}}), none);
     int workers = 0;
-    for (const auto& move : more.world.moves) workers += move.opening && move.what.kind == day::MoveKind::StartWorker;
+    for (const auto& move : more.world.moves) {
+        workers += move.opening && move.what.kind == day::MoveKind::StartWorker;
+    }
     EXPECT_EQ(workers, 8);
     std::size_t count = 0, recorded = 0;
     std::set<std::uint64_t> ids;
     for (const auto& [forwarder, list] : more.world.traffic) {
         count += list.size();
-        EXPECT_TRUE(std::is_sorted(list.begin(), list.end(), [](const auto& a, const auto& b) { return a.came < b.came; }));
-        for (const auto& one : list) ids.insert(one.id);
+        EXPECT_TRUE(std::is_sorted(list.begin(), list.end(),
+                                   [](const auto& a, const auto& b) { return a.came < b.came; }));
+        for (const auto& one : list) {
+            ids.insert(one.id);
+        }
+    }
+    for (const auto& [forwarder, list] : day.world.traffic) {
+        recorded += list.size();
     }
-    for (const auto& [forwarder, list] : day.world.traffic) recorded += list.size();
     EXPECT_EQ(ids.size(), count);
     EXPECT_NEAR(static_cast<double>(count) / static_cast<double>(recorded), 1.5, 0.1);
     // Thinned traffic is a part of the recorded one.
     const auto less = make_playable(day, trial(day, {{"replay.traffic", "0.5"}}), none);
-    for (const auto& [forwarder, list] : less.world.traffic)
-        for (const auto& one : list) EXPECT_TRUE(ids.contains(one.id));
+    for (const auto& [forwarder, list] : less.world.traffic) {
+        for (const auto& one : list) {
+            EXPECT_TRUE(ids.contains(one.id));
+        }
+    }
 }
 
 // ---- a day made by hand
 
 struct HandMade {
-    explicit HandMade(const std::string& path) : script(short_day()), writer(record::file_sink(path), header_of(script, 0us)) {
+    explicit HandMade(const std::string& path)
+        : script(short_day()),
+          writer(record::file_sink(path), header_of(script, 0us)) {
         auto& move = *writer.add(0us).mutable_move();
-        move.set_kind(static_cast<std::uint32_t>(day::MoveKind::AddForwarder)), move.set_opening(true);
+        move.set_kind(static_cast<std::uint32_t>(day::MoveKind::AddForwarder)),
+            move.set_opening(true);
         move.set_who(writer.name("forwarder-000")), move.set_text("north");
     }
+
     void came(std::int64_t id, int operation, Micros at) {
         auto& to = *writer.add(at).mutable_came();
         to.set_id_more(id - writer.last_id()), writer.last_id() = id;
-        to.set_forwarder(writer.name("forwarder-000")), to.set_operation(static_cast<std::uint32_t>(operation)), to.set_work_us(1000);
+        to.set_forwarder(writer.name("forwarder-000")),
+            to.set_operation(static_cast<std::uint32_t>(operation)), to.set_work_us(1000);
     }
+
     void ended(std::int64_t id, standin::Result result, std::uint32_t client_tries, Micros at) {
         auto& to = *writer.add(at).mutable_ended();
-        to.set_id_less(writer.last_id() - id), to.set_result(static_cast<std::uint32_t>(result)), to.set_client_tries(client_tries);
+        to.set_id_less(writer.last_id() - id), to.set_result(static_cast<std::uint32_t>(result)),
+            to.set_client_tries(client_tries);
     }
+
     day::DayScript script;
     record::Writer writer;
 };
 
 TEST(Replay, RetriesCountWithTheirFirstTryAndPlaceJobsThreefold) {
     const Folder folder;
+
     using enum standin::Result;
     {
         // look: billed 1, objective 500 ms; order: billed 3, objective 1 s.
         HandMade day(folder.file("hand"));
-        day.came(1, 0, 1s), day.ended(1, Succeeded, 1, 1400ms);      // within
-        day.came(2, 0, 2s), day.ended(2, Succeeded, 2, 2600ms);      // its retry was quick, but counted from the first try it is late
+        day.came(1, 0, 1s), day.ended(1, Succeeded, 1, 1400ms);  // within
+        day.came(2, 0, 2s),
+            day.ended(2, Succeeded, 2,
+                      2600ms);  // its retry was quick, but counted from the first try it is late
         day.came(3, 0, 3s), day.ended(3, RateLimited, 2, 3100ms);
-        day.came(4, 1, 4s), day.ended(4, Succeeded, 2, 4900ms);      // within, at its second try: once, threefold
-        day.came(5, 1, 5s);                                          // never answered
-        day.came(6, 0, 6s), day.came(7, 0, 6100ms), day.ended(6, Succeeded, 1, 6200ms), day.ended(7, Errored, 3, 6300ms);
+        day.came(4, 1, 4s),
+            day.ended(4, Succeeded, 2, 4900ms);  // within, at its second try: once, threefold
+        day.came(5, 1, 5s);                      // never answered
+        day.came(6, 0, 6s), day.came(7, 0, 6100ms), day.ended(6, Succeeded, 1, 6200ms),
+            day.ended(7, Errored, 3, 6300ms);
     }
+
     const auto day = load_recording(folder.file("hand"));
     const auto& whole = day.figures["whole_day"];
     EXPECT_EQ(whole["invocations"], 7);
@@ -279,9 +345,12 @@
     }
     const auto day = load_recording(folder.file("jump"));
     ASSERT_EQ(day.damage.size(), 1u);
-    EXPECT_NE(day.damage[0].what.find("went back by 2000000 us"), std::string::npos) << day.damage[0].what;
+    EXPECT_NE(day.damage[0].what.find("went back by 2000000 us"), std::string::npos)
+        << day.damage[0].what;
     std::vector<Micros> came;
-    for (const auto& one : day.world.traffic.at("forwarder-000")) came.push_back(one.came);
+    for (const auto& one : day.world.traffic.at("forwarder-000")) {
+        came.push_back(one.came);
+    }
     EXPECT_EQ(came, (std::vector<Micros>{1s, 4s, 4s, 5s}));
 }
 
@@ -296,7 +365,9 @@
     std::ifstream in(folder.file("day"), std::ios::binary);
     std::ostringstream bytes;
     bytes << in.rdbuf();
-    const auto put = [&](const std::string& name, const std::string& text) { std::ofstream(folder.file(name), std::ios::binary) << text; };
+    const auto put = [&](const std::string& name, const std::string& text) {
+        std::ofstream(folder.file(name), std::ios::binary) << text;
+    };
 
     put("cut", bytes.str().substr(0, reader.blocks()[5].at + 30));
     const auto cut = load_recording(folder.file("cut"));
@@ -306,7 +377,8 @@
     EXPECT_EQ(played.run.result["figures"]["whole_day"]["invocations"], cut.invocations);
     EXPECT_LT(cut.invocations, whole.invocations);
 
-    // Each block in turn, also the ones with starts and stops in them: what is left plays without a crash.
+    // Each block in turn, also the ones with starts and stops in them: what is left plays without a
+    // crash.
     for (std::size_t k = 1; k < reader.blocks().size(); ++k) {
         std::string bad = bytes.str();
         bad[reader.blocks()[k].at + 40] ^= 1;
@@ -326,7 +398,9 @@
 
 day::DayRun record_governors(const day::DayScript& script, GovernorFiles& files) {
     day::DayOptions options;
-    options.before = [&](day::World& world) { world.governor_watcher = &files; };
+    options.before = [&](day::World& world) {
+        world.governor_watcher = &files;
+    };
     auto out = day::run_day(script, options);
     files.close();
     return out;
@@ -348,7 +422,9 @@
         }
     }
     const auto day = load_recording(folder.file("day"));
-    EXPECT_NEAR(static_cast<double>(day.invocations), lived.result["figures"]["whole_day"]["invocations"].get<double>(), 0.25 * static_cast<double>(day.invocations));
+    EXPECT_NEAR(static_cast<double>(day.invocations),
+                lived.result["figures"]["whole_day"]["invocations"].get<double>(),
+                0.25 * static_cast<double>(day.invocations));
     int starts = 0, stops = 0, governor_stops = 0;
     for (const auto& move : day.world.moves) {
         starts += move.what.kind == day::MoveKind::StartWorker && move.what.on;
@@ -359,13 +435,16 @@
     EXPECT_EQ(stops, 5);
     EXPECT_EQ(governor_stops, 1);
     const auto played = play(day, trial(day, {}), {});
-    EXPECT_NEAR(played.run.result["figures"]["whole_day"]["service"].get<double>(), lived.result["figures"]["whole_day"]["service"].get<double>(), 0.15);
+    EXPECT_NEAR(played.run.result["figures"]["whole_day"]["service"].get<double>(),
+                lived.result["figures"]["whole_day"]["service"].get<double>(), 0.15);
     EXPECT_EQ(play(day, trial(day, {}), {}).run.result.dump(), played.run.result.dump());
 }
 
 TEST(Merge, ClocksAreAlignedByWhatBothHeardInOneOrder) {
-    const std::vector<HeardList> base{{1s, "a", {}}, {2s, "ab", {}}, {3s, "a", {}}, {9s, "abc", {}}};
-    std::vector<HeardList> other{{11s, "a", {}}, {12s + 40ms, "ab", {}}, {13s, "a", {}}, {19s, "abc", {}}};
+    const std::vector<HeardList> base{
+        {1s, "a", {}}, {2s, "ab", {}}, {3s, "a", {}}, {9s, "abc", {}}};
+    std::vector<HeardList> other{
+        {11s, "a", {}}, {12s + 40ms, "ab", {}}, {13s, "a", {}}, {19s, "abc", {}}};
     auto clock = align(base, other);
     EXPECT_EQ(clock.exchanges, 4);
     EXPECT_EQ(clock.offset, -10s);
@@ -373,28 +452,41 @@
     other.erase(other.begin() + 1);
     EXPECT_EQ(align(base, other).exchanges, 3);
     EXPECT_EQ(align(base, {{5s, "x", {}}}).exchanges, 0);
-    // A life that began late hears the list of the beginning again: that one alone would put it 8 s off.
+    // A life that began late hears the list of the beginning again: that one alone would put it 8 s
+    // off.
     const std::vector<HeardList> late{{0s, "a", {}}, {6s, "abc", {}}, {7s, "abcd", {}}};
     auto longer = base;
     longer.push_back({10s, "abcd", {}});
     EXPECT_EQ(align(longer, late).offset, 3s);
     // Starts that both heard of outweigh a list that merely looks alike.
-    EXPECT_EQ(align({{1s, "ab", {}}, {30s, "abc", {{"b", 28s}, {"c", 29s}}}}, {{0s, "ab", {{"b", -5s}, {"c", -4s}}}}).offset, 33s);
+    EXPECT_EQ(align({{1s, "ab", {}}, {30s, "abc", {{"b", 28s}, {"c", 29s}}}},
+                    {{0s, "ab", {{"b", -5s}, {"c", -4s}}}})
+                  .offset,
+              33s);
 }
 
 TEST(Merge, RefusesWhatBelongsToOtherFleetsOrHoldsNothing) {
     const Folder folder;
     const auto script = short_day();
     record(script, folder.file("day"));
-    EXPECT_THROW(merge_recordings({folder.file("day")}, folder.file("out")), std::runtime_error);  // a whole day already
+    EXPECT_THROW(merge_recordings({folder.file("day")}, folder.file("out")),
+                 std::runtime_error);  // a whole day already
     auto config = script.governor;
-    { record::Writer empty(record::file_sink(folder.file("empty")), header_of(config, script.settings.to_text(), 0us, "2026-11-30T08:00:00.5Z")); }
+    {
+        record::Writer empty(
+            record::file_sink(folder.file("empty")),
+            header_of(config, script.settings.to_text(), 0us, "2026-11-30T08:00:00.5Z"));
+    }
     EXPECT_THROW(merge_recordings({folder.file("empty")}, folder.file("out")), std::runtime_error);
     auto other = script.settings;
     other.set("governor", "zones", "east, west");
     other.set("governor", "zone", "east");
-    { record::Writer empty(record::file_sink(folder.file("other")), header_of(config, other.to_text(), 0us, "2026-11-30T08:00:00.5Z")); }
-    EXPECT_THROW(merge_recordings({folder.file("empty"), folder.file("other")}, folder.file("out")), std::runtime_error);
+    {
+        record::Writer empty(record::file_sink(folder.file("other")),
+                             header_of(config, other.to_text(), 0us, "2026-11-30T08:00:00.5Z"));
+    }
+    EXPECT_THROW(merge_recordings({folder.file("empty"), folder.file("other")}, folder.file("out")),
+                 std::runtime_error);
     EXPECT_THROW(load_recording(folder.file("empty")), std::runtime_error);
 }
 
@@ -413,7 +505,8 @@
     EXPECT_NE(page.find("&lt;b&gt;"), std::string::npos);
     EXPECT_NE(page.find("the same to the byte"), std::string::npos);
     const std::string text = to_text(day, comparison);
-    EXPECT_NE(text.find("[reports] period: 500 ms under A, 250 ms under B"), std::string::npos) << text;
+    EXPECT_NE(text.find("[reports] period: 500 ms under A, 250 ms under B"), std::string::npos)
+        << text;
     EXPECT_NE(text.find("first heard otherwise at"), std::string::npos);
 }
 
--- a/tests/program/resp_test.cpp
+++ b/tests/program/resp_test.cpp
@@ -1,8 +1,9 @@
-// RESP2 messages: what is read must not depend on the pieces, and what can't be read is refused from its head.
-#include <gtest/gtest.h>
-
+// RESP2 messages: what is read must not depend on the pieces, and what can't be read is refused
+// from its head.
 #include "resp/resp.h"
 
+#include <gtest/gtest.h>
+
 namespace badgergrade::test {
 namespace {
 
@@ -17,9 +18,13 @@
     resp::Reader reader(limits);
     for (std::size_t at = 0; at < all.size(); at += piece) {
         std::string_view bytes = all.substr(at, piece);
-        while (auto message = reader.next(bytes)) got.messages.push_back(std::move(*message));
+        while (auto message = reader.next(bytes)) {
+            got.messages.push_back(std::move(*message));
+        }
         got.held_most = std::max(got.held_most, reader.held());
-        if (!reader.error().empty()) break;
+        if (!reader.error().empty()) {
+            break;
+        }
     }
     got.error = reader.error();
     return got;
@@ -38,12 +43,15 @@
     resp::write(all, {"ACK", "proxy", "17", "mark", "905", "took_ms", "310.4"});
     resp::write(all, {"PING"});
     resp::write(all, {"LOAD", "empty", "", "line", "a\r\nb"});
-    for (const std::size_t piece : {std::size_t{1}, std::size_t{2}, std::size_t{3}, std::size_t{7}, all.size()}) {
+    for (const std::size_t piece :
+         {std::size_t{1}, std::size_t{2}, std::size_t{3}, std::size_t{7}, all.size()}) {
         const Got got = read(all, piece);
         EXPECT_EQ(got.error, "") << piece;
         ASSERT_EQ(got.messages.size(), 3u) << piece;
-        EXPECT_EQ(got.messages[0].words, (std::vector<std::string>{"ACK", "proxy", "17", "mark", "905", "took_ms", "310.4"}));
-        EXPECT_EQ(got.messages[2].words, (std::vector<std::string>{"LOAD", "empty", "", "line", "a\r\nb"}));
+        EXPECT_EQ(got.messages[0].words, (std::vector<std::string>{"ACK", "proxy", "17", "mark",
+                                                                   "905", "took_ms", "310.4"}));
+        EXPECT_EQ(got.messages[2].words,
+                  (std::vector<std::string>{"LOAD", "empty", "", "line", "a\r\nb"}));
         EXPECT_TRUE(got.messages[2].plain);
     }
 }
@@ -60,9 +68,11 @@
 }
 
 TEST(Resp, RefusesWhatIsNoMessage) {
-    for (const char* wrong : {"PING\r\n", "GET / HTTP/1.1\r\n\r\n", "\x16\x03\x01\x02\x00", "*-5\r\n", "*x\r\n", "*\r\n", "*99999999999999999999\r\n",
-                              "*1000000\r\n", "*1\r\n$-2\r\n", "*1\r\n$99999999999\r\n", "*1\r\n$1x\r\n", "*1\r\n$3\r\nabcd\r\n", "*1\n", "*1\r\n$1\na\r\n",
-                              "*2\r\n*4095\r\n", "*1\r\n?3\r\n", "*1\r\n$1\r\nab"}) {
+    for (const char* wrong :
+         {"PING\r\n", "GET / HTTP/1.1\r\n\r\n", "\x16\x03\x01\x02\x00", "*-5\r\n", "*x\r\n",
+          "*\r\n", "*99999999999999999999\r\n", "*1000000\r\n", "*1\r\n$-2\r\n",
+          "*1\r\n$99999999999\r\n", "*1\r\n$1x\r\n", "*1\r\n$3\r\nabcd\r\n", "*1\n",
+          "*1\r\n$1\na\r\n", "*2\r\n*4095\r\n", "*1\r\n?3\r\n", "*1\r\n$1\r\nab"}) {
         for (const std::size_t piece : {std::size_t{1}, std::size_t{100}}) {
             const Got got = read(wrong, piece);
             EXPECT_TRUE(got.messages.empty()) << wrong;
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -1,5 +1,5 @@
-// What the program's tests share: a loop on the virtual clock, a governor with its registry, a raw xDS client, and
-// settings in one piece.
+// What the program's tests share: a loop on the virtual clock, a governor with its registry, a raw
+// xDS client, and settings in one piece.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -53,7 +53,9 @@
     std::vector<config::Mistake> mistakes;
     auto file = config::IniFile::parse("test.ini", std::string(kSettings) + more, mistakes);
     auto config = config::read_governor(file, mistakes);
-    for (const auto& mistake : mistakes) ADD_FAILURE() << config::to_text(mistake);
+    for (const auto& mistake : mistakes) {
+        ADD_FAILURE() << config::to_text(mistake);
+    }
     config.xds_address = "127.0.0.1:0";
     return config;
 }
@@ -61,29 +63,42 @@
 // A governor with its registry on the virtual clock.
 struct Stage {
     explicit Stage(const config::GovernorConfig& from = settings(), bool is_virtual = true)
-        : loop(is_virtual ? std::make_unique<net::Loop>(1000s) : std::make_unique<net::Loop>()), config(from) {
+        : loop(is_virtual ? std::make_unique<net::Loop>(1000s) : std::make_unique<net::Loop>()),
+          config(from) {
         loop->keeps_ledger = true;
-        log = std::make_unique<log::Log>(loop->clock(), log::Level::Debug, log::Form::Json,
-                                         [this](const std::string& line) { lines.push_back(line); });
-        registry = std::make_unique<standin::Registry>(*loop, base::ActorId{3}, "registry", net::Address{}, nullptr);
+        log =
+            std::make_unique<log::Log>(loop->clock(), log::Level::Debug, log::Form::Json,
+                                       [this](const std::string& line) { lines.push_back(line); });
+        registry = std::make_unique<standin::Registry>(*loop, base::ActorId{3}, "registry",
+                                                       net::Address{}, nullptr);
         config.registry_address = net::to_text(registry->address());
     }
-    void list(const std::string& id, const std::string& zone, int port, ServerState state = ServerState::Ready) {
+
+    void list(const std::string& id, const std::string& zone, int port,
+              ServerState state = ServerState::Ready) {
         standin::Registry::Row row;
-        row.server.id = id, row.server.zone = zone, row.server.incarnation = "1", row.server.state = state;
+        row.server.id = id, row.server.zone = zone, row.server.incarnation = "1",
+        row.server.state = state;
         row.server.address = {"127.0.0.1", static_cast<std::uint16_t>(port)};
         registry->put(row);
     }
+
     void list_four() {
-        list("a", "north", 9001), list("b", "north", 9002), list("c", "south", 9003), list("d", "south", 9004);
+        list("a", "north", 9001), list("b", "north", 9002), list("c", "south", 9003),
+            list("d", "south", 9004);
     }
+
     void start(const std::string& life = "1") {
         service = std::make_unique<governor::Service>(*loop, base::ActorId{10}, config, *log, life);
     }
+
     void run(base::Micros time) { loop->run_until(loop->clock().now() + time); }
+
     int logged(const std::string& event) const {
         int n = 0;
-        for (const auto& line : lines) n += line.find("\"event\":\"" + event + "\"") != std::string::npos;
+        for (const auto& line : lines) {
+            n += line.find("\"event\":\"" + event + "\"") != std::string::npos;
+        }
         return n;
     }
 
@@ -97,7 +112,10 @@
 
 // One forwarder's stream, driven by hand.
 struct Peer {
-    Peer(Stage& s, const std::string& name, const std::string& zone = "north") : stage(s), ads(node(name, zone)) {}
+    Peer(Stage& s, const std::string& name, const std::string& zone = "north")
+        : stage(s),
+          ads(node(name, zone)) {}
+
     ~Peer() { close(); }
 
     static envoy::config::core::v3::Node node(const std::string& name, const std::string& zone) {
@@ -107,43 +125,73 @@
         (*out.mutable_metadata()->mutable_fields())["rate"].set_number_value(5);
         return out;
     }
+
     void dial() {
-        dialling = std::make_unique<net::Dial>(*stage.loop, base::ActorId{100}, "peer", stage.service->address(), 1s,
-                                               [this](net::StreamPtr s, const std::string& why) {
-                                                   ASSERT_TRUE(s) << why;
-                                                   stream = s;
-                                                   connection = std::make_shared<net::GrpcConnection>(
-                                                       *stage.loop, base::ActorId{100}, net::Http2Session::Role::Client, s, net::GrpcLimits{});
-                                                   connection->start();
-                                                   connection->on_closed = [this](std::string w) { ended = w.empty() ? "closed" : w; };
-                                                   call = connection->call(std::string(xds::kAdsMethod));
-                                                   call->on_message = [this](std::string_view bytes) { came(bytes); };
-                                                   call->on_closed = [this](std::string w) { call_ended = w.empty() ? "ended" : w; };
-                                                   for (const auto& request : ads.start()) send(request);
-                                               });
+        dialling = std::make_unique<net::Dial>(
+            *stage.loop, base::ActorId{100}, "peer", stage.service->address(), 1s,
+            [this](net::StreamPtr s, const std::string& why) {
+                ASSERT_TRUE(s) << why;
+                stream = s;
+                connection = std::make_shared<net::GrpcConnection>(*stage.loop, base::ActorId{100},
+                                                                   net::Http2Session::Role::Client,
+                                                                   s, net::GrpcLimits{});
+                connection->start();
+                connection->on_closed = [this](std::string w) {
+                    ended = w.empty() ? "closed" : w;
+                };
+                call = connection->call(std::string(xds::kAdsMethod));
+                call->on_message = [this](std::string_view bytes) {
+                    came(bytes);
+                };
+                call->on_closed = [this](std::string w) {
+                    call_ended = w.empty() ? "ended" : w;
+                };
+                for (const auto& request : ads.start()) {
+                    send(request);
+                }
+            });
     }
+
     void send(const xds::AdsClient::Request& request) { call->send(request.SerializeAsString()); }
+
     void came(std::string_view bytes) {
         xds::AdsClient::Response response;
         ASSERT_TRUE(response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())));
         responses.push_back(response);
-        if (silent) return;
+        if (silent) {
+            return;
+        }
         const auto outcome = ads.on_response(response);
-        for (const auto& request : outcome.requests) send(request);
+        for (const auto& request : outcome.requests) {
+            send(request);
+        }
     }
+
     void close() {
-        if (call) call->on_closed = {}, call->on_message = {};
-        if (connection) connection->on_closed = {}, connection->abort("test over");
+        if (call) {
+            call->on_closed = {}, call->on_message = {};
+        }
+        if (connection) {
+            connection->on_closed = {}, connection->abort("test over");
+        }
     }
+
     // Lines that this forwarder would pick from for an operation.
     std::vector<int> ports(const std::string& operation) const {
         std::vector<int> out;
         const auto route = ads.tables().routes.find(xds::path_of(operation));
-        if (route == ads.tables().routes.end()) return out;
+        if (route == ads.tables().routes.end()) {
+            return out;
+        }
         const auto table = ads.tables().clusters.find(route->second.cluster);
-        if (table == ads.tables().clusters.end()) return out;
-        for (const auto& line : table->second.lines)
-            if (!line.draining) out.push_back(line.address.port);
+        if (table == ads.tables().clusters.end()) {
+            return out;
+        }
+        for (const auto& line : table->second.lines) {
+            if (!line.draining) {
+                out.push_back(line.address.port);
+            }
+        }
         std::sort(out.begin(), out.end());
         return out;
     }
@@ -166,6 +214,7 @@
         stage.start();
         one.dial();
     }
+
     Stage stage;
     Peer one{stage, "f1"};
 };
--- a/tests/record/record_test.cpp
+++ b/tests/record/record_test.cpp
@@ -1,5 +1,6 @@
-// Files of recordings: what is written is read, and what is cut, damaged, lost or foreign is told apart and told.
-// A program of its own, since it alone has threads and is built under the thread sanitizer as well.
+// Files of recordings: what is written is read, and what is cut, damaged, lost or foreign is told
+// apart and told. A program of its own, since it alone has threads and is built under the thread
+// sanitizer as well.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -26,8 +27,10 @@
     out << in.rdbuf();
     return out.str();
 }
+
 void put_bytes(const std::string& path, std::string_view bytes) {
-    std::ofstream(path, std::ios::binary).write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
+    std::ofstream(path, std::ios::binary)
+        .write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
 }
 
 pb::Header header() {
@@ -46,33 +49,63 @@
     };
     for (int k = 0; k < kind->field_count(); ++k) {
         const Field* field = kind->field(k);
-        if (chance() % 3 == 0) continue;
+        if (chance() % 3 == 0) {
+            continue;
+        }
         const int times = field->is_repeated() ? static_cast<int>(chance() % 4) : 1;
         for (int n = 0; n < times; ++n) {
             const bool many = field->is_repeated();
             switch (field->cpp_type()) {
-                case Field::CPPTYPE_INT32: many ? reflection->AddInt32(&message, field, static_cast<int>(number())) : reflection->SetInt32(&message, field, static_cast<int>(number())); break;
-                case Field::CPPTYPE_INT64: many ? reflection->AddInt64(&message, field, number()) : reflection->SetInt64(&message, field, number()); break;
-                case Field::CPPTYPE_UINT32: many ? reflection->AddUInt32(&message, field, static_cast<std::uint32_t>(chance())) : reflection->SetUInt32(&message, field, static_cast<std::uint32_t>(chance())); break;
-                case Field::CPPTYPE_UINT64: many ? reflection->AddUInt64(&message, field, chance()) : reflection->SetUInt64(&message, field, chance()); break;
-                case Field::CPPTYPE_DOUBLE: many ? reflection->AddDouble(&message, field, static_cast<double>(number()) / 7) : reflection->SetDouble(&message, field, static_cast<double>(number()) / 7); break;
-                case Field::CPPTYPE_BOOL: many ? reflection->AddBool(&message, field, chance() % 2) : reflection->SetBool(&message, field, chance() % 2); break;
+                case Field::CPPTYPE_INT32:
+                    many ? reflection->AddInt32(&message, field, static_cast<int>(number()))
+                         : reflection->SetInt32(&message, field, static_cast<int>(number()));
+                    break;
+                case Field::CPPTYPE_INT64:
+                    many ? reflection->AddInt64(&message, field, number())
+                         : reflection->SetInt64(&message, field, number());
+                    break;
+                case Field::CPPTYPE_UINT32:
+                    many ? reflection->AddUInt32(&message, field,
+                                                 static_cast<std::uint32_t>(chance()))
+                         : reflection->SetUInt32(&message, field,
+                                                 static_cast<std::uint32_t>(chance()));
+                    break;
+                case Field::CPPTYPE_UINT64:
+                    many ? reflection->AddUInt64(&message, field, chance())
+                         : reflection->SetUInt64(&message, field, chance());
+                    break;
+                case Field::CPPTYPE_DOUBLE:
+                    many
+                        ? reflection->AddDouble(&message, field, static_cast<double>(number()) / 7)
+                        : reflection->SetDouble(&message, field, static_cast<double>(number()) / 7);
+                    break;
+                case Field::CPPTYPE_BOOL:
+                    many ? reflection->AddBool(&message, field, chance() % 2)
+                         : reflection->SetBool(&message, field, chance() % 2);
+                    break;
                 case Field::CPPTYPE_STRING: {
                     const std::string text(chance() % 20, static_cast<char>('a' + chance() % 26));
-                    many ? reflection->AddString(&message, field, text) : reflection->SetString(&message, field, text);
+                    many ? reflection->AddString(&message, field, text)
+                         : reflection->SetString(&message, field, text);
                     break;
                 }
                 case Field::CPPTYPE_MESSAGE:
-                    if (depth < 4) fill(many ? *reflection->AddMessage(&message, field) : *reflection->MutableMessage(&message, field), chance, depth + 1);
+                    if (depth < 4) {
+                        fill(many ? *reflection->AddMessage(&message, field)
+                                  : *reflection->MutableMessage(&message, field),
+                             chance, depth + 1);
+                    }
                     break;
-                default: FAIL() << field->full_name();
+                default:
+                    FAIL() << field->full_name();
             }
         }
     }
 }
 
 // Writes records, each `step` after the one before; returns them with their times.
-std::vector<std::pair<Micros, std::string>> write(Writer& writer, int count, Micros step, std::uint64_t seed) {
+std::vector<std::pair<Micros, std::string>> write(Writer& writer, int count, Micros step,
+                                                  std::uint64_t seed) {
     std::mt19937_64 chance(seed);
     std::vector<std::pair<Micros, std::string>> out;
     Micros now = 1s;
@@ -116,7 +149,8 @@
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         const auto path = folder.file("a");
         Writer writer(file_sink(path), header(), small_blocks());
-        const auto written = write(writer, static_cast<int>(seed * 7 % 200), Micros(seed * 1000), seed);
+        const auto written =
+            write(writer, static_cast<int>(seed * 7 % 200), Micros(seed * 1000), seed);
         Reader reader(path);
         ASSERT_TRUE(reader.finished());
         ASSERT_EQ(read_all(reader), written) << "seed " << seed;
@@ -135,7 +169,9 @@
     const std::string whole = bytes_of(folder.file("whole"));
     Reader all(folder.file("whole"));
     ASSERT_GT(all.blocks().size(), 2u);
-    const auto ends_at = [&](std::size_t block) { return block + 1 < all.blocks().size() ? all.blocks()[block + 1].at : whole.size(); };
+    const auto ends_at = [&](std::size_t block) {
+        return block + 1 < all.blocks().size() ? all.blocks()[block + 1].at : whole.size();
+    };
     for (std::size_t cut = 0; cut < whole.size(); ++cut) {
         put_bytes(folder.file("cut"), std::string_view(whole).substr(0, cut));
         if (cut < all.blocks()[0].at) {
@@ -144,7 +180,9 @@
         }
         Reader reader(folder.file("cut"));
         std::size_t good = 0;
-        while (good + 1 < all.blocks().size() && ends_at(good) <= cut) ++good;
+        while (good + 1 < all.blocks().size() && ends_at(good) <= cut) {
+            ++good;
+        }
         // The last one ends where the index begins.
         ASSERT_GE(reader.blocks().size(), good) << cut;
         ASSERT_FALSE(reader.finished()) << cut;
@@ -168,13 +206,17 @@
         Reader reader(folder.file("bad"));
         reader.scan();
         std::size_t hit = 0;
-        while (hit + 1 < places.size() && places[hit + 1].at <= at) ++hit;
+        while (hit + 1 < places.size() && places[hit + 1].at <= at) {
+            ++hit;
+        }
         ASSERT_FALSE(reader.damage().empty()) << at;
         ASSERT_GE(reader.blocks().size() + 1, places.size()) << at;
         if (reader.blocks().size() < places.size()) {
             ASSERT_EQ(reader.damage().front().at, places[hit].at) << at;
         }
-        for (std::size_t k = 0; k < reader.blocks().size(); ++k) EXPECT_NO_THROW(reader.read(k));
+        for (std::size_t k = 0; k < reader.blocks().size(); ++k) {
+            EXPECT_NO_THROW(reader.read(k));
+        }
     }
 }
 
@@ -183,12 +225,15 @@
     for (const std::uint32_t format : {0u, kFormat + 1}) {
         pb::Header other = header();
         other.set_format(format);
-        put_bytes(folder.file("other"), pack_frame(FrameKind::Header, other.SerializeAsString(), 3));
+        put_bytes(folder.file("other"),
+                  pack_frame(FrameKind::Header, other.SerializeAsString(), 3));
         try {
             Reader reader(folder.file("other"));
             FAIL() << "read format " << format;
         } catch (const std::runtime_error& wrong) {
-            EXPECT_NE(std::string(wrong.what()).find("format " + std::to_string(format)), std::string::npos) << wrong.what();
+            EXPECT_NE(std::string(wrong.what()).find("format " + std::to_string(format)),
+                      std::string::npos)
+                << wrong.what();
         }
     }
     put_bytes(folder.file("text"), "[governor]\nid = governor-0\n");
@@ -203,9 +248,14 @@
 // A disk that stands still until it is let go; the header passes.
 class StuckSink final : public Sink {
 public:
-    StuckSink(std::unique_ptr<Sink> to, std::shared_future<void> go) : to_(std::move(to)), go_(std::move(go)) {}
+    StuckSink(std::unique_ptr<Sink> to, std::shared_future<void> go)
+        : to_(std::move(to)),
+          go_(std::move(go)) {}
+
     bool write(std::string_view bytes, std::string& why) override {
-        if (++writes_ > 1) go_.wait();
+        if (++writes_ > 1) {
+            go_.wait();
+        }
         return to_->write(bytes, why);
     }
 
@@ -220,9 +270,13 @@
     std::promise<void> go;
     WriterOptions options;
     options.block_bytes = 100, options.blocks_waiting_most = 3, options.when_full = WhenFull::Lose;
-    Writer writer(std::make_unique<StuckSink>(file_sink(folder.file("slow")), go.get_future().share()), header(), options);
+    Writer writer(
+        std::make_unique<StuckSink>(file_sink(folder.file("slow")), go.get_future().share()),
+        header(), options);
     constexpr int kAll = 500;
-    for (int n = 0; n < kAll; ++n) writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
+    for (int n = 0; n < kAll; ++n) {
+        writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
+    }
     writer.flush();
     EXPECT_GT(writer.figures().lost, 0u);
     go.set_value();
@@ -243,9 +297,13 @@
     std::promise<void> go;
     WriterOptions options;
     options.block_bytes = 100, options.blocks_waiting_most = 2, options.when_full = WhenFull::Wait;
-    Writer writer(std::make_unique<StuckSink>(file_sink(folder.file("slow")), go.get_future().share()), header(), options);
+    Writer writer(
+        std::make_unique<StuckSink>(file_sink(folder.file("slow")), go.get_future().share()),
+        header(), options);
     auto later = std::async(std::launch::async, [&] { go.set_value(); });
-    for (int n = 0; n < 500; ++n) writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
+    for (int n = 0; n < 500; ++n) {
+        writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
+    }
     writer.finish();
     EXPECT_EQ(writer.figures().records, 500u);
     EXPECT_EQ(writer.figures().lost, 0u);
@@ -254,7 +312,9 @@
 class FullSink final : public Sink {
 public:
     bool write(std::string_view, std::string& why) override {
-        if (++writes_ < 4) return true;
+        if (++writes_ < 4) {
+            return true;
+        }
         why = "no space left";
         return false;
     }
@@ -267,7 +327,9 @@
     WriterOptions options;
     options.block_bytes = 100, options.when_full = WhenFull::Wait;
     Writer writer(std::make_unique<FullSink>(), header(), options);
-    for (int n = 0; n < 500; ++n) writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
+    for (int n = 0; n < 500; ++n) {
+        writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
+    }
     writer.finish();
     const auto figures = writer.figures();
     EXPECT_EQ(figures.failed, "no space left");
@@ -278,14 +340,18 @@
 TEST(Record, AClockThatGoesBackKeepsItsBlocksFindable) {
     const Folder folder;
     Writer writer(file_sink(folder.file("back")), header(), small_blocks());
-    for (const Micros at : {10s, 11s, 5s, 6s}) writer.add(at).mutable_came()->set_id_more(1);
+    for (const Micros at : {10s, 11s, 5s, 6s}) {
+        writer.add(at).mutable_came()->set_id_more(1);
+    }
     writer.finish();
     Reader reader(folder.file("back"));
     int found = 0;
     reader.each(4s, 5s, [&](const pb::Block&) { ++found; });
     EXPECT_EQ(found, 1);
     Micros first = Micros::max();
-    for (const auto& block : reader.blocks()) first = std::min(first, block.first);
+    for (const auto& block : reader.blocks()) {
+        first = std::min(first, block.first);
+    }
     EXPECT_EQ(first, 4s);  // counted from the header's begin, 1 s
 }
 
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -1,4 +1,5 @@
-// Plays scenario files (docs in tests/README.md) against one Governor, or wire text against the adapter's host.
+// Plays scenario files (docs in tests/README.md) against one Governor, or wire text against the
+// adapter's host.
 #undef NDEBUG
 #include <cassert>
 #include <cmath>
@@ -18,10 +19,11 @@
 
 int line_number = 0;
 
-#define CHECK(what) \
-    do { \
-        if (!(what)) std::fprintf(stderr, "scenario line %d does not hold\n", line_number); \
-        assert(what); \
+#define CHECK(what)                                                                \
+    do {                                                                           \
+        if (!(what))                                                               \
+            std::fprintf(stderr, "scenario line %d does not hold\n", line_number); \
+        assert(what);                                                              \
     } while (false)
 
 using Words = std::vector<std::string>;
@@ -29,11 +31,17 @@
 Words split(const std::string& text, char by) {
     Words out;
     std::istringstream in(text);
-    for (std::string word; std::getline(in, word, by);)
-        if (!word.empty()) out.push_back(word);
+    for (std::string word; std::getline(in, word, by);) {
+        if (!word.empty()) {
+            out.push_back(word);
+        }
+    }
     return out;
 }
-Micros secs(const std::string& text) { return Micros(std::llround(std::stod(text) * 1e6)); }
+
+Micros secs(const std::string& text) {
+    return Micros(std::llround(std::stod(text) * 1e6));
+}
 
 // What the orders so far have made of tables, bindings and levels.
 struct World {
@@ -45,74 +53,128 @@
     std::string logs;
 
     void operator()(const act::Timer&) {}
+
     void operator()(const act::Log& a) { logs += a.text + "\n"; }
+
     void operator()(const act::Watch&) { ++counts["watch"]; }
+
     void operator()(const act::Fetch&) { ++counts["fetch"]; }
+
     void operator()(const act::Probe& a) {
         ++counts["probe"];
         CHECK(listed.contains(a.server.v));
     }
+
     void operator()(const act::Tell&) { ++counts["tell"]; }
+
     void operator()(const act::Line& a) {
         ++counts["line"];
         CHECK(a.table.v >= 0 && a.table.v < 65535 && a.weight >= 0 && std::isfinite(a.weight));
         CHECK(listed.contains(a.server.v));
-        if (a.weight > 0) tables[a.table.v][a.server.v] = a.weight;
-        else tables[a.table.v].erase(a.server.v);
+        if (a.weight > 0) {
+            tables[a.table.v][a.server.v] = a.weight;
+        } else {
+            tables[a.table.v].erase(a.server.v);
+        }
     }
+
     void operator()(const act::Clear& a) { tables.erase(a.table.v); }
+
     void operator()(const act::Bind& a) {
         ++counts["bind"];
         CHECK(bound.contains(a.proxy.v));
-        if (a.ops == 0) bound[a.proxy.v].clear();
+        if (a.ops == 0) {
+            bound[a.proxy.v].clear();
+        }
         bound[a.proxy.v][a.ops] = a.table.v;
     }
+
     void operator()(const act::Withdraw&) { ++counts["withdraw"]; }
+
     void operator()(const act::Level& a) {
         ++counts["level"];
         CHECK(a.let_in >= 0);
-        for (OpMask bit = 1; bit < 64; bit <<= 1)
-            if (a.ops == 0 || (a.ops & bit)) levels[{a.table.v, bit}] = a;
+        for (OpMask bit = 1; bit < 64; bit <<= 1) {
+            if (a.ops == 0 || (a.ops & bit)) {
+                levels[{a.table.v, bit}] = a;
+            }
+        }
     }
+
     void operator()(const act::Mark&) { ++counts["mark"]; }
 };
 
 class Player {
 public:
-    // A word FIRST..LAST[:REST] stands for one word a number: in a list all of them, elsewhere a line each.
+    // A word FIRST..LAST[:REST] stands for one word a number: in a list all of them, elsewhere a
+    // line each.
     static std::vector<std::string> spread(const std::string& word) {
         const std::size_t dots = word.find("..");
-        if (dots == std::string::npos) return {word};
+        if (dots == std::string::npos) {
+            return {word};
+        }
         const std::size_t colon = std::min(word.find(':'), word.size());
         std::vector<std::string> out;
-        for (int n = std::stoi(word), last = std::stoi(word.substr(dots + 2)); n <= last; ++n)
+        for (int n = std::stoi(word), last = std::stoi(word.substr(dots + 2)); n <= last; ++n) {
             out.push_back(std::to_string(n) + word.substr(colon));
+        }
         return out;
     }
+
     void event_each(const Words& w) {
         std::vector<Words> lines{{}};
         for (const std::string& word : w) {
             std::vector<Words> longer;
             const auto all = spread(word);
-            if (w[0] == "list") lines[0].insert(lines[0].end(), all.begin(), all.end());
-            else
-                for (const Words& line : lines)
-                    for (const auto& one : all) longer.push_back(line), longer.back().push_back(one);
-            if (w[0] != "list") lines = longer;
+            if (w[0] == "list") {
+                lines[0].insert(lines[0].end(), all.begin(), all.end());
+            } else {
+                for (const Words& line : lines) {
+                    for (const auto& one : all) {
+                        longer.push_back(line), longer.back().push_back(one);
+                    }
+                }
+            }
+            if (w[0] != "list") {
+                lines = longer;
+            }
+        }
+        for (const Words& line : lines) {
+            event(line);
         }
-        for (const Words& line : lines) event(line);
     }
+
     void play(const Words& w) {
-        if (w[0] == "site") return site(w);
-        if (w[0] == "op") return operation(w);
-        if (w[0] == "up") return up(w.size() > 1 ? w[1] : "1");
-        if (w[0] == "at") return advance(start_ + secs(w[1]));
-        if (w[0] == "bare") return void(may_bare_ = w[1] == "allowed");
-        if (w[0] == "acks") return void(acks_ = w[1] == "on");
-        if (w[0] == "every") return void(standing_.push_back(w));
-        if (w[0] == "stop") return standing_.clear();
-        if (w[0] == "expect") return expect(w);
-        if (w[0] == "forget") return world_.counts.clear(), world_.logs.clear(), void();
+        if (w[0] == "site") {
+            return site(w);
+        }
+        if (w[0] == "op") {
+            return operation(w);
+        }
+        if (w[0] == "up") {
+            return up(w.size() > 1 ? w[1] : "1");
+        }
+        if (w[0] == "at") {
+            return advance(start_ + secs(w[1]));
+        }
+        if (w[0] == "bare") {
+            return void(may_bare_ = w[1] == "allowed");
+        }
+        if (w[0] == "acks") {
+            return void(acks_ = w[1] == "on");
+        }
+        if (w[0] == "every") {
+            return void(standing_.push_back(w));
+        }
+        if (w[0] == "stop") {
+            return standing_.clear();
+        }
+        if (w[0] == "expect") {
+            return expect(w);
+        }
+        if (w[0] == "forget") {
+            return world_.counts.clear(), world_.logs.clear(), void();
+        }
         event_each(w);
         decide();
     }
@@ -120,44 +182,74 @@
 private:
     void site(const Words& w) {
         static const std::map<std::string, double Settings::*> reals = {
-            {"rate", &Settings::channel_rate}, {"head", &Settings::head_lines}, {"lines", &Settings::lines_most},
-            {"from", &Settings::cold_from}, {"fall", &Settings::fall_multiple}};
+            {"rate", &Settings::channel_rate},
+            {"head", &Settings::head_lines},
+            {"lines", &Settings::lines_most},
+            {"from", &Settings::cold_from},
+            {"fall", &Settings::fall_multiple}};
         static const std::map<std::string, int Settings::*> wholes = {
-            {"zones", &Settings::zones}, {"proxies", &Settings::proxies}, {"slices", &Settings::slices},
-            {"messages", &Settings::messages_most}, {"governors", &Settings::governors}};
+            {"zones", &Settings::zones},
+            {"proxies", &Settings::proxies},
+            {"slices", &Settings::slices},
+            {"messages", &Settings::messages_most},
+            {"governors", &Settings::governors}};
         static const std::map<std::string, bool Settings::*> truths = {
-            {"ask", &Settings::ask_for_list}, {"exclusive", &Settings::exclusive}, {"probe", &Settings::may_probe},
+            {"ask", &Settings::ask_for_list},
+            {"exclusive", &Settings::exclusive},
+            {"probe", &Settings::may_probe},
             {"stay", &Settings::gone_may_stay}};
         static const std::map<std::string, Micros Settings::*> times = {
-            {"cold", &Settings::cold_time}, {"grace", &Settings::grace}, {"settle", &Settings::settle},
-            {"window", &Settings::messages_window}, {"falltime", &Settings::fall_time}, {"bare", &Settings::bare_most},
+            {"cold", &Settings::cold_time},       {"grace", &Settings::grace},
+            {"settle", &Settings::settle},        {"window", &Settings::messages_window},
+            {"falltime", &Settings::fall_time},   {"bare", &Settings::bare_most},
             {"period", &Settings::report_period}, {"idle", &Settings::connection_idle}};
         for (std::size_t k = 1; k < w.size(); ++k) {
             const auto pair = split(w[k], '=');
-            if (reals.contains(pair[0])) told_.*reals.at(pair[0]) = std::stod(pair[1]);
-            else if (wholes.contains(pair[0])) told_.*wholes.at(pair[0]) = std::stoi(pair[1]);
-            else if (truths.contains(pair[0])) told_.*truths.at(pair[0]) = pair[1] == "yes";
-            else if (times.contains(pair[0])) told_.*times.at(pair[0]) = secs(pair[1]);
-            else if (pair[0] == "admit") told_.admit = pair[1] == "share" ? Admit::Share : pair[1] == "rate" ? Admit::Rate : Admit::None;
-            else if (pair[0] == "listed") told_.listed = pair[1] == "none" ? Listed::None : Listed::Nominal;
-            else if (pair[0] == "reports") told_.load_columns = {pair[1]};
-            else CHECK(!"a known setting");
+            if (reals.contains(pair[0])) {
+                told_.*reals.at(pair[0]) = std::stod(pair[1]);
+            } else if (wholes.contains(pair[0])) {
+                told_.*wholes.at(pair[0]) = std::stoi(pair[1]);
+            } else if (truths.contains(pair[0])) {
+                told_.*truths.at(pair[0]) = pair[1] == "yes";
+            } else if (times.contains(pair[0])) {
+                told_.*times.at(pair[0]) = secs(pair[1]);
+            } else if (pair[0] == "admit") {
+                told_.admit = pair[1] == "share"  ? Admit::Share
+                              : pair[1] == "rate" ? Admit::Rate
+                                                  : Admit::None;
+            } else if (pair[0] == "listed") {
+                told_.listed = pair[1] == "none" ? Listed::None : Listed::Nominal;
+            } else if (pair[0] == "reports") {
+                told_.load_columns = {pair[1]};
+            } else {
+                CHECK(!"a known setting");
+            }
         }
     }
+
     void operation(const Words& w) {
         Operation op;
         op.name = w[1];
-        op.effect = w[2] == "idempotent" ? Effect::Idempotent : w[2] == "fingerprinted" ? Effect::Fingerprinted : Effect::SideEffecting;
+        op.effect = w[2] == "idempotent"      ? Effect::Idempotent
+                    : w[2] == "fingerprinted" ? Effect::Fingerprinted
+                                              : Effect::SideEffecting;
         op.latency_objective = secs(w[3]);
         op.integration_timeout = secs(w[4]);
         op.billed_value = std::stod(w[5]);
         for (std::size_t k = 6; k < w.size(); ++k) {
-            if (w[k] == "own-zone") op.own_zone = true;
-            if (w[k] == "cell") op.scope = Scope::Cell;
-            if (w[k].starts_with("ttl=")) op.fingerprint_ttl = secs(w[k].substr(4));
+            if (w[k] == "own-zone") {
+                op.own_zone = true;
+            }
+            if (w[k] == "cell") {
+                op.scope = Scope::Cell;
+            }
+            if (w[k].starts_with("ttl=")) {
+                op.fingerprint_ttl = secs(w[k].substr(4));
+            }
         }
         told_.operations.push_back(op);
     }
+
     void up(const std::string& seed) {
         governor_ = std::make_unique<Governor>(told_, std::stoull(seed), now_);
         world_.tables.clear();
@@ -165,31 +257,55 @@
         timers_.clear();
         decide();
     }
-    // Servers: number:zone[:weight[:state[:age]]]; age in seconds, counted from now; absent is long ago.
+
+    // Servers: number:zone[:weight[:state[:age]]]; age in seconds, counted from now; absent is long
+    // ago.
     void list(const Words& w) {
         ev::List out{ListForm::Full, {}};
-        if (out.form == ListForm::Full && w[1] != "delta" && w[1] != "failed")
-            for (auto& [server, state] : world_.listed) state = ServerState::Gone;
-        if (w[1] == "failed") out.form = ListForm::Failed;
-        if (w[1] == "delta") out.form = ListForm::Delta;
-        if (w[1] == "cached") out.form = ListForm::Cached;
+        if (out.form == ListForm::Full && w[1] != "delta" && w[1] != "failed") {
+            for (auto& [server, state] : world_.listed) {
+                state = ServerState::Gone;
+            }
+        }
+        if (w[1] == "failed") {
+            out.form = ListForm::Failed;
+        }
+        if (w[1] == "delta") {
+            out.form = ListForm::Delta;
+        }
+        if (w[1] == "cached") {
+            out.form = ListForm::Cached;
+        }
         for (std::size_t k = 2; k < w.size(); ++k) {
             const auto f = split(w[k], ':');
             ServerRow row;
             row.server = {static_cast<std::uint32_t>(std::stoul(f[0]))};
             row.zone = {std::stoi(f[1])};
-            if (f.size() > 2) row.weight = std::stod(f[2]);
-            if (f.size() > 3 && f[3] == "draining") row.state = ServerState::Draining;
-            if (f.size() > 3 && f[3] == "gone") row.state = ServerState::Gone;
-            if (f.size() > 4) row.started = now_ - secs(f[4]);
+            if (f.size() > 2) {
+                row.weight = std::stod(f[2]);
+            }
+            if (f.size() > 3 && f[3] == "draining") {
+                row.state = ServerState::Draining;
+            }
+            if (f.size() > 3 && f[3] == "gone") {
+                row.state = ServerState::Gone;
+            }
+            if (f.size() > 4) {
+                row.started = now_ - secs(f[4]);
+            }
             world_.listed[row.server.v] = row.state;
             out.rows.push_back(row);
         }
         governor_->take(now_, out);
     }
+
     void event(const Words& w) {
-        if (w[0] == "list") return list(w);
-        const auto number = [&](std::size_t k) { return std::stoi(w.at(k)); };
+        if (w[0] == "list") {
+            return list(w);
+        }
+        const auto number = [&](std::size_t k) {
+            return std::stoi(w.at(k));
+        };
         if (w[0] == "join") {
             world_.bound[number(1)].clear();
             governor_->take(now_, ev::Joined{{number(1)}, true, {number(2)}, std::stod(w.at(3))});
@@ -198,11 +314,19 @@
             governor_->take(now_, ev::Left{{number(1)}});
         } else if (w[0] == "heard") {
             std::vector<double> load;
-            if (w.size() > 6) load.push_back(std::stod(w[6]));
-            governor_->take(now_, ev::Heard{{number(1)}, {static_cast<std::uint32_t>(std::stoul(w[2]))}, number(3),
-                                            number(4), secs(w.at(5)), Micros{1000000}, load});
+            if (w.size() > 6) {
+                load.push_back(std::stod(w[6]));
+            }
+            governor_->take(now_, ev::Heard{{number(1)},
+                                            {static_cast<std::uint32_t>(std::stoul(w[2]))},
+                                            number(3),
+                                            number(4),
+                                            secs(w.at(5)),
+                                            Micros{1000000},
+                                            load});
         } else if (w[0] == "demand") {
-            governor_->take(now_, ev::Demand{{number(1)}, {number(2)}, number(3), 0, secs(w.at(4))});
+            governor_->take(now_,
+                            ev::Demand{{number(1)}, {number(2)}, number(3), 0, secs(w.at(4))});
         } else if (w[0] == "ack") {
             governor_->take(now_, ev::Applied{{number(1)}, {number(2)}, {}});
         } else if (w[0] == "due") {
@@ -210,25 +334,40 @@
         } else if (w[0] == "slice") {
             governor_->take(now_, ev::SliceGiven{{number(1)}, w.at(2) == "given"});
         } else if (w[0] == "stored") {
-            governor_->take(now_, ev::SliceLine{{number(1)}, {static_cast<std::uint32_t>(std::stoul(w[2]))}, 1});
+            governor_->take(
+                now_,
+                ev::SliceLine{{number(1)}, {static_cast<std::uint32_t>(std::stoul(w[2]))}, 1});
         } else {
             CHECK(!"a known word");
         }
     }
+
     void decide() {
         for (const Action& action : governor_->decide(now_)) {
-            if (const auto* timer = std::get_if<act::Timer>(&action)) timers_.emplace(now_ + timer->delay, timer->token);
-            if (const auto* m = std::get_if<act::Mark>(&action); m && acks_) marks_.emplace(now_ + Micros{200000}, m->mark);
+            if (const auto* timer = std::get_if<act::Timer>(&action)) {
+                timers_.emplace(now_ + timer->delay, timer->token);
+            }
+            if (const auto* m = std::get_if<act::Mark>(&action); m && acks_) {
+                marks_.emplace(now_ + Micros{200000}, m->mark);
+            }
             std::visit(world_, action);
         }
-        for (const auto& [proxy, bound] : world_.bound)
-            for (const auto& [ops, table] : bound) CHECK(may_bare_ || !world_.tables[table].empty() || !any_ready());
+        for (const auto& [proxy, bound] : world_.bound) {
+            for (const auto& [ops, table] : bound) {
+                CHECK(may_bare_ || !world_.tables[table].empty() || !any_ready());
+            }
+        }
     }
+
     bool any_ready() const {
-        for (const auto& [server, state] : world_.listed)
-            if (state == ServerState::Ready) return true;
+        for (const auto& [server, state] : world_.listed) {
+            if (state == ServerState::Ready) {
+                return true;
+            }
+        }
         return false;
     }
+
     void advance(Micros to) {
         CHECK(to >= now_);
         while (!timers_.empty() && timers_.begin()->first <= to) {
@@ -237,63 +376,91 @@
             const bool second = at / Micros{1000000} != now_ / Micros{1000000};
             now_ = at;
             while (!marks_.empty() && marks_.begin()->first <= now_) {
-                for (const auto& [proxy, bound] : world_.bound)
+                for (const auto& [proxy, bound] : world_.bound) {
                     governor_->take(now_, ev::Applied{{proxy}, marks_.begin()->second, {}});
+                }
                 marks_.erase(marks_.begin());
             }
-            if (second)
-                for (const Words& s : standing_) event_each({s.begin() + 1, s.end()});
+            if (second) {
+                for (const Words& s : standing_) {
+                    event_each({s.begin() + 1, s.end()});
+                }
+            }
             governor_->take(now_, ev::Timer{token});
             decide();
         }
         now_ = to;
     }
+
     void expect(const Words& w) {
         if (w[1] == "table") {
             Words got;
             for (const auto& [server, weight] : world_.tables[std::stoi(w[2])]) {
                 std::ostringstream text;
                 text << server;
-                if (std::abs(weight - 1) > 1e-6) text << "*" << std::round(weight * 100) / 100;
+                if (std::abs(weight - 1) > 1e-6) {
+                    text << "*" << std::round(weight * 100) / 100;
+                }
                 got.push_back(text.str());
             }
             if (got != Words(w.begin() + 3, w.end())) {
-                for (const auto& g : got) std::fprintf(stderr, "%s ", g.c_str());
+                for (const auto& g : got) {
+                    std::fprintf(stderr, "%s ", g.c_str());
+                }
                 std::fprintf(stderr, "are in table %s\n", w[2].c_str());
             }
             CHECK(got == Words(w.begin() + 3, w.end()));
         } else if (w[1] == "gone") {
-            for (std::size_t k = 3; k < w.size(); ++k)
-                for (const auto& one : spread(w[k]))
-                    CHECK(!world_.tables[std::stoi(w[2])].contains(static_cast<std::uint32_t>(std::stoul(one))));
+            for (std::size_t k = 3; k < w.size(); ++k) {
+                for (const auto& one : spread(w[k])) {
+                    CHECK(!world_.tables[std::stoi(w[2])].contains(
+                        static_cast<std::uint32_t>(std::stoul(one))));
+                }
+            }
         } else if (w[1] == "dealt") {
             std::set<int> used;
-            for (const auto& one : spread(w[2])) used.insert(world_.bound[std::stoi(one)][0]);
+            for (const auto& one : spread(w[2])) {
+                used.insert(world_.bound[std::stoi(one)][0]);
+            }
             const std::size_t least = std::stoul(w[3]);
-            if (used.size() < least) std::fprintf(stderr, "%zu tables\n", used.size());
+            if (used.size() < least) {
+                std::fprintf(stderr, "%zu tables\n", used.size());
+            }
             CHECK(least == 1 ? used.size() == 1 : used.size() >= least);
         } else if (w[1] == "size") {
             CHECK(world_.tables[std::stoi(w[2])].size() == std::stoul(w[3]));
         } else if (w[1] == "bound") {
-            CHECK(world_.bound[std::stoi(w[2])][w.size() > 4 ? std::stoull(w[4]) : 0] == std::stoi(w[3]));
+            CHECK(world_.bound[std::stoi(w[2])][w.size() > 4 ? std::stoull(w[4]) : 0] ==
+                  std::stoi(w[3]));
         } else if (w[1] == "unbound") {
             CHECK(world_.bound[std::stoi(w[2])].empty());
         } else if (w[1] == "count") {
             const int n = world_.counts[w[2]], most = std::stoi(w[4]);
-            if (!(w[3] == "most" ? n <= most : w[3] == "least" ? n >= most : n == most)) std::fprintf(stderr, "%d seen\n", n);
+            if (!(w[3] == "most" ? n <= most : w[3] == "least" ? n >= most : n == most)) {
+                std::fprintf(stderr, "%d seen\n", n);
+            }
             CHECK(w[3] == "most" ? n <= most : w[3] == "least" ? n >= most : n == most);
         } else if (w[1] == "level") {
             const auto it = world_.levels.find({std::stoi(w[2]), std::stoull(w[3])});
             const double let_in = it != world_.levels.end() ? it->second.let_in : 1;
-            if ((w[4] == "under") != (let_in < std::stod(w[5]))) std::fprintf(stderr, "level %g\n", let_in);
+            if ((w[4] == "under") != (let_in < std::stod(w[5]))) {
+                std::fprintf(stderr, "level %g\n", let_in);
+            }
             CHECK(w[4] == "under" ? let_in < std::stod(w[5]) : let_in >= std::stod(w[5]));
         } else if (w[1] == "again") {
-            for (const auto& [key, level] : world_.levels)
-                if (key.second == std::stoull(w[2])) CHECK(static_cast<int>(level.again) == std::stoi(w[3]));
+            for (const auto& [key, level] : world_.levels) {
+                if (key.second == std::stoull(w[2])) {
+                    CHECK(static_cast<int>(level.again) == std::stoi(w[3]));
+                }
+            }
         } else if (w[1] == "log") {
             std::string text = w[2];
-            for (std::size_t k = 3; k < w.size(); ++k) text += " " + w[k];
-            if (world_.logs.find(text) == std::string::npos) std::fprintf(stderr, "logs:\n%s", world_.logs.c_str());
+            for (std::size_t k = 3; k < w.size(); ++k) {
+                text += " " + w[k];
+            }
+            if (world_.logs.find(text) == std::string::npos) {
+                std::fprintf(stderr, "logs:\n%s", world_.logs.c_str());
+            }
             CHECK(world_.logs.find(text) != std::string::npos);
         } else {
             CHECK(!"a known expectation");
@@ -311,18 +478,27 @@
     bool acks_ = true, may_bare_ = false;
 };
 
-// Wire scenarios: '>' lines go in ('|' stands for a tab), '<' must be in the replies, '!' in the complaints.
+// Wire scenarios: '>' lines go in ('|' stands for a tab), '<' must be in the replies, '!' in the
+// complaints.
 void play_wire(std::istream& in) {
     std::string input, text;
     std::vector<std::pair<char, std::string>> wanted;
     while (std::getline(in, text)) {
         ++line_number;
-        if (text.size() < 2 || text[0] == '#') continue;
+        if (text.size() < 2 || text[0] == '#') {
+            continue;
+        }
         std::string rest = text.substr(2);
-        for (char& c : rest)
-            if (c == '|') c = '\t';
-        if (text[0] == '>') input += rest + "\n";
-        else wanted.emplace_back(text[0], rest);
+        for (char& c : rest) {
+            if (c == '|') {
+                c = '\t';
+            }
+        }
+        if (text[0] == '>') {
+            input += rest + "\n";
+        } else {
+            wanted.emplace_back(text[0], rest);
+        }
     }
     std::istringstream from(input);
     std::ostringstream replies, complaints;
@@ -330,7 +506,10 @@
     for (const auto& [kind, what] : wanted) {
         const std::string& seen = kind == '!' ? complaints.str() : replies.str();
         const bool there = seen.find(what) != std::string::npos;
-        if (there == (kind == '-')) std::fprintf(stderr, "%c %s; replies:\n%s\ncomplaints:\n%s\n", kind, what.c_str(), replies.str().c_str(), complaints.str().c_str());
+        if (there == (kind == '-')) {
+            std::fprintf(stderr, "%c %s; replies:\n%s\ncomplaints:\n%s\n", kind, what.c_str(),
+                         replies.str().c_str(), complaints.str().c_str());
+        }
         assert(there == (kind != '-'));
     }
 }
@@ -341,12 +520,16 @@
     assert(count == 2);
     std::ifstream in(names[1]);
     assert(in);
-    if (std::string(names[1]).find("wire") != std::string::npos) return play_wire(in), 0;
+    if (std::string(names[1]).find("wire") != std::string::npos) {
+        return play_wire(in), 0;
+    }
     Player player;
     for (std::string text; std::getline(in, text);) {
         ++line_number;
         const auto words = split(text.substr(0, text.find('#')), ' ');
-        if (!words.empty()) player.play(words);
+        if (!words.empty()) {
+            player.play(words);
+        }
     }
     std::puts("ok");
 }
