--- a/bench/governor_bench.cpp
+++ b/bench/governor_bench.cpp
@@ -17,8 +17,8 @@
 #include <stdexcept>
 
 #include "base/real_clock.h"
-#include "governor/service.h"
 #include "xds/ads_client.h"
+#include "xds_server/xds_server.h"
 
 using namespace badgergrade;
 using namespace std::chrono_literals;
@@ -229,10 +229,10 @@
     }
     config.xds_address = "127.0.0.1:0";
     config.registry_address = "127.0.0.1:1";
-    config.told.proxies = streams;
-    governor::Service service(loop, base::ActorId{1}, config, log, "bench");
+    config.told.proxy_count = streams;
+    xds_server::XdsServer service(loop, base::ActorId{1}, config, log, "bench");
     for (int k = 1; k <= lines; ++k) {
-        governor::ListedServer listed;
+        xds_server::ListedServer listed;
         listed.id = "s" + std::to_string(k);
         listed.zone = k % 2 ? "north" : "south";
         listed.address = {"127.0.0.1", static_cast<std::uint16_t>(20000 + k)};
--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -88,13 +88,13 @@
 
     Line line(std::string_view word) const { return {out, word, governor}; }
 
-    void operator()(const act::Timer& a) const {
+    void operator()(const command::SetTimer& a) const {
         line("timer")
             .text("mark", a.token)
             .number("offset", static_cast<double>(a.delay.count()) / 1000.0);
     }
 
-    void operator()(const act::Log& a) const {
+    void operator()(const command::LogMessage& a) const {
         std::string clean = a.text;
         for (char& c : clean) {
             if (c == '\n' || c == '\r') {
@@ -104,45 +104,54 @@
         line("record").text("what", clean);
     }
 
-    void operator()(const act::Watch& a) const { line("observe").flag("flag", a.on); }
+    void operator()(const command::WatchEndpoints& a) const {
+        line("observe").flag("flag", a.enabled);
+    }
 
-    void operator()(const act::Fetch&) const { line("fetch"); }
+    void operator()(const command::FetchEndpoints&) const { line("fetch"); }
 
-    void operator()(const act::Probe& a) const { line("check").number("replica", a.server.v); }
+    void operator()(const command::CheckHealth& a) const {
+        line("check").number("replica", a.server.value);
+    }
 
-    void operator()(const act::Tell& a) const {
+    void operator()(const command::SendGossip& a) const {
         line("share")
-            .text("recipient", a.to ? std::to_string(a.to->v) : "*")
-            .text("blob", to_base64(a.bytes));
+            .text("recipient", a.recipient ? std::to_string(a.recipient->value) : "*")
+            .text("blob", to_base64(a.payload));
     }
 
-    void operator()(const act::Line& a) const {
+    void operator()(const command::SetWeight& a) const {
         line("set_weight")
-            .number("map_id", a.table.v)
+            .number("map_id", a.table.value)
             .number("part", a.weight)
-            .number("replica", a.server.v);
+            .number("replica", a.server.value);
     }
 
-    void operator()(const act::Clear& a) const { line("blank").number("map_id", a.table.v); }
+    void operator()(const command::ClearTable& a) const {
+        line("blank").number("map_id", a.table.value);
+    }
 
-    void operator()(const act::Bind& a) const {
-        line("bind").number("only", a.ops).number("map_id", a.table.v).number("sidecar", a.proxy.v);
+    void operator()(const command::AssignTable& a) const {
+        line("bind")
+            .number("only", a.operations)
+            .number("map_id", a.table.value)
+            .number("sidecar", a.proxy.value);
     }
 
-    void operator()(const act::Withdraw& a) const {
-        line("bench").number("replica", a.server.v).flag("flag", a.out);
+    void operator()(const command::SetEjected& a) const {
+        line("bench").number("replica", a.server.value).flag("flag", a.ejected);
     }
 
-    void operator()(const act::Level& a) const {
+    void operator()(const command::SetAdmission& a) const {
         line("ration")
-            .number("map_id", a.table.v)
-            .number("only", a.ops)
-            .number("let_in", a.let_in)
-            .number("second_try", static_cast<int>(a.again));
+            .number("map_id", a.table.value)
+            .number("only", a.operations)
+            .number("let_in", a.limit)
+            .number("second_try", static_cast<int>(a.retry_mode));
     }
 
-    void operator()(const act::Mark& a) const {
-        line("barrier").flag("flag", a.everyone).number("version", a.mark.v);
+    void operator()(const command::RequestAck& a) const {
+        line("barrier").flag("flag", a.all_proxies).number("version", a.version.value);
     }
 };
 
@@ -162,7 +171,7 @@
     return {static_cast<int>(p.whole("rack_zone", 0, 65535))};
 }
 
-OpId op_of(const Parts& p) {
+OperationId op_of(const Parts& p) {
     return {static_cast<int>(p.whole("kind", 0, 63))};
 }
 
@@ -185,7 +194,7 @@
                           {{"all", Scope::All}, {"zone", Scope::Zone}, {"cell", Scope::Cell}});
     }
     op.fingerprint_ttl = p.time(at + "key_ttl", Micros{0});
-    op.billed_value = p.number(at + "worth", 1);
+    op.priority_weight = p.number(at + "worth", 1);
     return op;
 }
 
@@ -304,143 +313,149 @@
 Settings read_settings(const Parts& p) {
     Settings s;
     s.ordinal = static_cast<int>(p.whole("ordinal", 0, 65535, 0));
-    s.governors = static_cast<int>(p.whole("balancers", 1, 65535, 1));
+    s.instance_count = static_cast<int>(p.whole("balancers", 1, 65535, 1));
     s.zone = {static_cast<int>(p.whole("zone", 0, 65535, 0))};
-    s.zones = std::max(1, static_cast<int>(p.words("zones").size()));
+    s.zone_count = std::max(1, static_cast<int>(p.words("zones").size()));
     for (std::int64_t k = 0, n = p.whole("request_classes.count", 0, 64, 0); k < n; ++k) {
         s.operations.push_back(read_operation(p, "request_classes." + std::to_string(k) + "."));
     }
     const auto own = p.words("extra.class_own_zone");
     for (std::size_t k = 0; k < own.size() && k < s.operations.size(); ++k) {
-        s.operations[k].own_zone = own[k] == "true" || own[k] == "1";
+        s.operations[k].local_only = own[k] == "true" || own[k] == "1";
     }
     if (p.has("weights")) {
-        s.listed = choice<Listed>("weights", p.text("weights"),
-                                  {{"none", Listed::None},
-                                   {"nominal", Listed::Nominal},
-                                   {"rough", Listed::Rough},
-                                   {"live", Listed::Live}});
-    }
-    s.ask_for_list = p.has("discovery") && p.text("discovery") == "on_request";
-    s.may_probe = p.truth("bounds.may_probe", false);
-    s.may_tell_peers = p.truth("bounds.peers", false);
-    s.load_columns = p.words("report.columns");
+        s.listed_weights = choice<ListedWeights>("weights", p.text("weights"),
+                                                 {{"none", ListedWeights::None},
+                                                  {"nominal", ListedWeights::Nominal},
+                                                  {"rough", ListedWeights::Rough},
+                                                  {"live", ListedWeights::Live}});
+    }
+    s.endpoints_on_request = p.has("discovery") && p.text("discovery") == "on_request";
+    s.health_checks_allowed = p.truth("bounds.may_probe", false);
+    s.gossip_allowed = p.truth("bounds.peers", false);
+    s.load_metric_names = p.words("report.columns");
     if (p.has("extra.admit")) {
-        s.admit =
-            choice<Admit>("extra.admit", p.text("extra.admit"),
-                          {{"none", Admit::None}, {"share", Admit::Share}, {"rate", Admit::Rate}});
+        s.admission_mode = choice<AdmissionMode>("extra.admit", p.text("extra.admit"),
+                                                 {{"none", AdmissionMode::None},
+                                                  {"share", AdmissionMode::Fraction},
+                                                  {"rate", AdmissionMode::Rate}});
     }
     if (p.has("extra.lb_method")) {
-        s.pick = choice<Pick>(
-            "extra.lb_method", p.text("extra.lb_method"),
-            {{"weighted", Pick::Weighted}, {"round", Pick::Round}, {"two", Pick::Two}});
-    }
-    s.default_again = static_cast<Again>(p.whole("extra.default_retry", 0, 3, 1));
-    s.proxies = static_cast<int>(p.number("extra.data_plane_size", 0));
-    s.slices = static_cast<int>(p.number("extra.key_ranges", 0));
-    s.exclusive = p.truth("extra.exclusive", false);
-    s.settle = p.time("extra.settle", Micros{0});
-    s.channel_rate = p.number("extra.channel_rate", 0);
-    s.head_lines = p.number("extra.per_message", 0);
-    s.lines_most = p.number("extra.pending_max", 0);
-    s.messages_most = static_cast<int>(p.number("extra.reloads_max", 0));
-    s.messages_window = p.time("extra.update_window", Micros{0});
-    s.way_mean = p.time("extra.transit", Micros{0});
-    s.way_most = p.time("extra.push_delay_max", Micros{0});
-    s.report_period = p.time("extra.period", Micros{0});
-    s.intake_per_s = p.number("extra.intake_per_s", 0);
-    s.ejects_after = static_cast<int>(p.number("extra.outlier_after", 0));
-    s.try_factor = p.number("extra.try_factor", 1);
-    s.bare_most = p.time("extra.empty_for", Micros{0});
-    s.cold_from = p.number("rules.cold_from", 1);
-    s.cold_time = p.time("rules.cold", Micros{0});
-    s.grace = p.time("rules.stop_sending_within", Micros{0});
-    s.connection_idle = p.time("bounds.conn_idle", Micros{0});
-    s.gone_may_stay = p.truth("rules.dropped_stay_open", false);
-    s.fall_multiple = p.number("rules.tip_multiple", 0);
-    s.fall_time = p.time("rules.tip_after", Micros{0});
+        s.pick_policy = choice<PickPolicy>("extra.lb_method", p.text("extra.lb_method"),
+                                           {{"weighted", PickPolicy::WeightedRandom},
+                                            {"round", PickPolicy::RoundRobin},
+                                            {"two", PickPolicy::LeastOfTwo}});
+    }
+    s.default_retry_mode = static_cast<RetryMode>(p.whole("extra.default_retry", 0, 3, 1));
+    s.proxy_count = static_cast<int>(p.number("extra.data_plane_size", 0));
+    s.shard_count = static_cast<int>(p.number("extra.key_ranges", 0));
+    s.exclusive_shards = p.truth("extra.exclusive", false);
+    s.shard_settle_time = p.time("extra.settle", Micros{0});
+    s.channel_lines_per_second = p.number("extra.channel_rate", 0);
+    s.message_head_lines = p.number("extra.per_message", 0);
+    s.max_queued_lines = p.number("extra.pending_max", 0);
+    s.max_messages = static_cast<int>(p.number("extra.reloads_max", 0));
+    s.message_window = p.time("extra.update_window", Micros{0});
+    s.mean_network_delay = p.time("extra.transit", Micros{0});
+    s.max_network_delay = p.time("extra.push_delay_max", Micros{0});
+    s.report_interval = p.time("extra.period", Micros{0});
+    s.max_reports_per_second = p.number("extra.intake_per_s", 0);
+    s.proxy_ejection_failures = static_cast<int>(p.number("extra.outlier_after", 0));
+    s.attempt_timeout_factor = p.number("extra.try_factor", 1);
+    s.max_time_without_server = p.time("extra.empty_for", Micros{0});
+    s.initial_capacity_fraction = p.number("rules.cold_from", 1);
+    s.slow_start_window = p.time("rules.cold", Micros{0});
+    s.drain_grace = p.time("rules.stop_sending_within", Micros{0});
+    s.connection_idle_timeout = p.time("bounds.conn_idle", Micros{0});
+    s.vanished_may_stay = p.truth("rules.dropped_stay_open", false);
+    s.overload_collapse_factor = p.number("rules.tip_multiple", 0);
+    s.overload_collapse_time = p.time("rules.tip_after", Micros{0});
     return s;
 }
 
-ServerRow read_row(const Parts& p) {
-    ServerRow row;
+Endpoint read_row(const Parts& p) {
+    Endpoint row;
     row.server = server_of(p);
     row.zone = {static_cast<int>(p.whole("rack_zone", -1, 65535, -1))};
     constexpr ServerState states[] = {ServerState::Gone, ServerState::Ready, ServerState::Draining};
     row.state = states[p.whole("availability", 0, 2)];
     row.weight = p.number("part", 1);
-    row.started = p.time("start_time", Micros{0});
+    row.started_at = p.time("start_time", Micros{0});
     return row;
 }
 
 bool read_event(const Parts& p, const Inventories& lists, Event& out) {
     const std::string_view word = p.word();
     if (word == "targets") {
-        ev::List list;
-        constexpr ListForm forms[] = {ListForm::Failed, ListForm::Delta, ListForm::Cached,
-                                      ListForm::Failed, ListForm::Full};
+        event::EndpointListUpdate list;
+        constexpr UpdateKind forms[] = {UpdateKind::WatchFailed, UpdateKind::Delta,
+                                        UpdateKind::Cached, UpdateKind::WatchFailed,
+                                        UpdateKind::Snapshot};
         const auto form = p.whole("form", 0, 4);
         if (form == 3) {
             throw Malformed("form is not known: '3'");
         }
-        list.form = forms[form];
-        if (list.form != ListForm::Failed) {
+        list.kind = forms[form];
+        if (list.kind != UpdateKind::WatchFailed) {
             const auto it = lists.find(static_cast<int>(p.whole("ref", 0, 15)));
             if (it == lists.end()) {
                 throw Malformed("ref names no inventory");
             }
-            list.rows = it->second;
+            list.endpoints = it->second;
         }
         out = std::move(list);
     } else if (word == "due") {
-        out = ev::Timer{std::string(p.text("mark"))};
+        out = event::TimerFired{std::string(p.text("mark"))};
     } else if (word == "ping_result") {
-        const auto outcome = choice<ProbeOutcome>("outcome", p.text("outcome"),
-                                                  {{"GOOD", ProbeOutcome::Answered},
-                                                   {"BAD", ProbeOutcome::Errored},
-                                                   {"FULL", ProbeOutcome::Full},
-                                                   {"LATE", ProbeOutcome::Late},
-                                                   {"NOCONN", ProbeOutcome::Unreachable},
-                                                   {"RST", ProbeOutcome::Reset},
-                                                   {"CXL", ProbeOutcome::Other},
-                                                   {"NOP", ProbeOutcome::Other}});
-        out = ev::Probed{server_of(p), outcome, p.time("took", Micros{0}), p.numbers("gauge")};
+        const auto outcome =
+            choice<HealthCheckOutcome>("outcome", p.text("outcome"),
+                                       {{"GOOD", HealthCheckOutcome::Healthy},
+                                        {"BAD", HealthCheckOutcome::Failed},
+                                        {"FULL", HealthCheckOutcome::Overloaded},
+                                        {"LATE", HealthCheckOutcome::TimedOut},
+                                        {"NOCONN", HealthCheckOutcome::Unreachable},
+                                        {"RST", HealthCheckOutcome::Reset},
+                                        {"CXL", HealthCheckOutcome::Other},
+                                        {"NOP", HealthCheckOutcome::Other}});
+        out = event::HealthCheckResult{server_of(p), outcome, p.time("took", Micros{0}),
+                                       p.numbers("gauge")};
     } else if (word == "from_peer") {
-        out = ev::Peer{{static_cast<int>(p.whole("neighbour", 0, 65535))},
-                       from_base64(p.text("blob"))};
+        out = event::GossipMessage{{static_cast<int>(p.whole("neighbour", 0, 65535))},
+                                   from_base64(p.text("blob"))};
     } else if (word == "connected") {
-        out = ev::Joined{proxy_of(p), p.truth("flag", false), zone_of(p), p.number("part", 0)};
+        out = event::ProxyConnected{proxy_of(p), p.truth("flag", false), zone_of(p),
+                                    p.number("part", 0)};
     } else if (word == "left") {
-        out = ev::Left{proxy_of(p)};
+        out = event::ProxyDisconnected{proxy_of(p)};
     } else if (word == "heard") {
-        out = ev::Heard{zone_of(p),
-                        server_of(p),
-                        count_of(p, "many"),
-                        count_of(p, "failed"),
-                        p.time("took", Micros{0}),
-                        p.time("over", Micros{0}),
-                        p.numbers("gauge")};
+        out = event::ServerLoadReport{zone_of(p),
+                                      server_of(p),
+                                      count_of(p, "many"),
+                                      count_of(p, "failed"),
+                                      p.time("took", Micros{0}),
+                                      p.time("over", Micros{0}),
+                                      p.numbers("gauge")};
     } else if (word == "demand") {
-        out = ev::Demand{proxy_of(p), op_of(p), count_of(p, "many"), count_of(p, "failed"),
-                         p.time("over", Micros{0})};
+        out = event::ProxyDemandReport{proxy_of(p), op_of(p), count_of(p, "many"),
+                                       count_of(p, "failed"), p.time("over", Micros{0})};
     } else if (word == "slice_load") {
-        out = ev::SliceDemand{table_of(p), op_of(p), count_of(p, "many"), count_of(p, "failed"),
-                              p.time("over", Micros{0})};
+        out = event::ShardDemandReport{table_of(p), op_of(p), count_of(p, "many"),
+                                       count_of(p, "failed"), p.time("over", Micros{0})};
     } else if (word == "tenure") {
-        out = ev::SliceGiven{table_of(p), p.truth("flag")};
+        out = event::ShardAssignmentChanged{table_of(p), p.truth("flag")};
     } else if (word == "in_store") {
-        out = ev::SliceLine{table_of(p), server_of(p), p.number("part", 1)};
+        out = event::ShardReplica{table_of(p), server_of(p), p.number("part", 1)};
     } else if (word == "in_force") {
-        out = ev::Applied{proxy_of(p),
-                          {static_cast<int>(p.whole("version", 0, 65535))},
-                          p.time("took", Micros{0})};
+        out = event::ConfigAcknowledged{proxy_of(p),
+                                        {static_cast<int>(p.whole("version", 0, 65535))},
+                                        p.time("took", Micros{0})};
     } else {
         return false;
     }
     return true;
 }
 
-void write_action(std::string& out, std::string_view governor, const Action& action) {
+void write_action(std::string& out, std::string_view governor, const Command& action) {
     std::visit(Writer{out, governor}, action);
 }
 
--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -8,7 +8,10 @@
 #include <string_view>
 #include <vector>
 
-#include "types.h"
+#include "policy/command.h"
+#include "policy/event.h"
+#include "policy/ids.h"
+#include "policy/settings.h"
 
 namespace badgergrade::wire {
 
@@ -48,13 +51,13 @@
     std::map<std::string_view, std::string_view> index_;
 };
 
-using Inventories = std::map<int, std::vector<ServerRow>>;
+using Inventories = std::map<int, std::vector<Endpoint>>;
 
 Settings read_settings(const Parts& parts);
-ServerRow read_row(const Parts& parts);
+Endpoint read_row(const Parts& parts);
 // False where the word is no event of the wire; such lines are skipped.
 bool read_event(const Parts& parts, const Inventories& lists, Event& out);
-void write_action(std::string& out, std::string_view governor, const Action& action);
+void write_action(std::string& out, std::string_view governor, const Command& action);
 std::string to_base64(std::string_view bytes);
 std::string from_base64(std::string_view text);
 
--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -95,7 +95,7 @@
             const std::uint64_t seed = parts.seed("prng");
             drop();
             touch();
-            governors_.emplace(name, Governor(settings, seed, now_));
+            governors_.emplace(name, policy::Planner(settings, seed, now_));
             return;
         }
         if (parts.word() == "kill") {
--- a/src/adapter/host.h
+++ b/src/adapter/host.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "codec.h"
-#include "logic.h"
+#include "policy/planner.h"
 
 namespace badgergrade::wire {
 
@@ -30,7 +30,7 @@
 
     std::ostream& replies_;
     std::ostream& complaints_;
-    std::map<std::string, Governor> governors_;
+    std::map<std::string, policy::Planner> governors_;
     std::vector<std::string> touched_;
     std::map<std::string, std::string> failed_;
     Inventories lists_;
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -15,11 +15,11 @@
     return XXH3_64bits_withSeed(name.data(), name.size(), seed);
 }
 
-// Chance by number rather than by order: what falls to number n is the same whoever asked before.
-// For invocations, so that two days under other settings meet the same luck.
-class Luck {
+// SequentialRandom by number rather than by order: what falls to number n is the same whoever asked
+// before. For invocations, so that two days under other settings meet the same luck.
+class CounterRandom {
 public:
-    Luck(std::uint64_t seed, std::uint64_t number) : seed_(seed), number_(number) {}
+    CounterRandom(std::uint64_t seed, std::uint64_t number) : seed_(seed), number_(number) {}
 
     double part() {
         const std::uint64_t key[2] = {number_, ++draws_};
@@ -32,9 +32,9 @@
     std::uint64_t seed_, number_, draws_ = 0;
 };
 
-class Chance {
+class SequentialRandom {
 public:
-    Chance(std::uint64_t seed, std::string_view name) : engine_(seed_for(seed, name)) {}
+    SequentialRandom(std::uint64_t seed, std::string_view name) : engine_(seed_for(seed, name)) {}
 
     // Evenly in [0, 1).
     double part() { return std::generate_canonical<double, 53>(engine_); }
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -2,8 +2,8 @@
 #include <optional>
 
 #include "cli/cli.h"
-#include "day/runner.h"
 #include "replay/recorder.h"
+#include "scenario/runner.h"
 
 namespace badgergrade::cli {
 namespace {
@@ -15,11 +15,11 @@
     int runs = 1;
 };
 
-day::DayScript load_day(const std::string& path) {
+scenario::DayScript load_day(const std::string& path) {
     std::vector<config::Mistake> mistakes;
-    day::DayScript script;
+    scenario::DayScript script;
     try {
-        script = day::load_script(path, mistakes);
+        script = scenario::load_script(path, mistakes);
     } catch (const std::runtime_error& wrong) {
         throw Failure(kNoFile, wrong.what());
     }
@@ -27,17 +27,17 @@
     return script;
 }
 
-day::DayRun record(const day::DayScript& script, const day::DayOptions& options,
-                   const std::string& path) {
-    record::WriterOptions how;
+scenario::DayRun record(const scenario::DayScript& script, const scenario::DayOptions& options,
+                        const std::string& path) {
+    recording::WriterOptions how;
     // The virtual clock can wait for the disk; the real one can't.
-    how.when_full =
-        options.clock == day::ClockKind::Virtual ? record::WhenFull::Wait : record::WhenFull::Lose;
-    record::WriterFigures figures;
-    day::DayRun result;
+    how.when_full = options.clock == scenario::ClockKind::Virtual ? recording::WhenFull::Wait
+                                                                  : recording::WhenFull::Lose;
+    recording::WriterFigures figures;
+    scenario::DayRun result;
     try {
         result = replay::record_day(script, options, path, how, figures);
-    } catch (const record::CannotWrite& wrong) {
+    } catch (const recording::CannotWrite& wrong) {
         throw Failure(kNoFile, wrong.what());
     }
     if (!figures.failed.empty()) {
@@ -53,8 +53,8 @@
     if (args.seed > 0) {
         script.seed = args.seed;
     }
-    day::DayOptions options;
-    options.clock = args.real ? day::ClockKind::Real : day::ClockKind::Virtual;
+    scenario::DayOptions options;
+    options.clock = args.real ? scenario::ClockKind::Real : scenario::ClockKind::Virtual;
     options.log = log_level(args.log);
     bool broken = false;
     bool differs = false;
@@ -63,14 +63,14 @@
         std::optional<replay::GovernorFiles> files;
         if (n == 0 && !args.governors.empty()) {
             files.emplace(args.governors, script);
-            options.before = [&](day::World& world) {
+            options.before = [&](scenario::World& world) {
                 world.governor_watcher = &*files;
             };
         } else {
             options.before = {};
         }
         const auto result = n == 0 && !args.record.empty() ? record(script, options, args.record)
-                                                           : day::run_day(script, options);
+                                                           : scenario::run_day(script, options);
         const std::string text = result.result.dump(1);
         if (n == 0) {
             first = text;
@@ -81,7 +81,7 @@
         }
         broken = broken || !result.breaks.empty();
         if (n == 0 && !args.quiet) {
-            std::printf("%s", day::to_text(script, result).c_str());
+            std::printf("%s", scenario::to_text(script, result).c_str());
         }
         if (n > 0) {
             continue;
--- a/src/cli/governor.cpp
+++ b/src/cli/governor.cpp
@@ -3,8 +3,8 @@
 
 #include "base/real_clock.h"
 #include "cli/cli.h"
-#include "governor/service.h"
 #include "replay/recorder.h"
+#include "xds_server/xds_server.h"
 
 namespace badgergrade::cli {
 namespace {
@@ -15,14 +15,14 @@
     GovernorRecording(base::Clock& clock, log::Log& log, const config::GovernorConfig& config,
                       const std::string& settings, const std::string& path)
         : log_(log, config.id),
-          writer_(record::file_sink(path),
+          writer_(recording::file_sink(path),
                   replay::header_of(config, settings, clock.now(), base::wall_time_text())),
           recorder_(writer_),
           look_(clock, base::ActorId{0}) {
         look();
     }
 
-    void watch(governor::Service& service) { service.watch(recorder_); }
+    void watch(xds_server::XdsServer& service) { service.watch(recorder_); }
 
     void finish() {
         look_.stop();
@@ -46,8 +46,8 @@
         }
     }
 
-    log::Voice log_;
-    record::Writer writer_;
+    log::Logger log_;
+    recording::Writer writer_;
     replay::Recorder recorder_;
     base::Timer look_;
     std::uint64_t lost_ = 0;
@@ -68,10 +68,10 @@
             throw Failure(kNoFile, wrong.what());
         }
     }
-    std::unique_ptr<governor::Service> service;
+    std::unique_ptr<xds_server::XdsServer> service;
     try {
-        service = std::make_unique<governor::Service>(loop, base::ActorId{1}, config, log,
-                                                      base::wall_time_text());
+        service = std::make_unique<xds_server::XdsServer>(loop, base::ActorId{1}, config, log,
+                                                          base::wall_time_text());
     } catch (const std::system_error& wrong) {
         if (wrong.code().value() == EMFILE || wrong.code().value() == ENFILE) {
             throw;
@@ -94,8 +94,8 @@
 int check_config(const std::string& path) {
     const auto config = load_governor(path);
     std::printf("%s: good: governor %s, %d zones, %zu operations, %d forwarders\n", path.c_str(),
-                config.id.c_str(), config.told.zones, config.told.operations.size(),
-                config.told.proxies);
+                config.id.c_str(), config.told.zone_count, config.told.operations.size(),
+                config.told.proxy_count);
     return kGood;
 }
 
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -4,8 +4,8 @@
 #include "base/real_clock.h"
 #include "cli/cli.h"
 #include "net/signals.h"
-#include "node/config_reload.h"
-#include "node/service.h"
+#include "platform_server/config_reload.h"
+#include "platform_server/platform_server.h"
 
 namespace badgergrade::cli {
 namespace {
@@ -54,9 +54,9 @@
     log::Log log(loop.clock(), log_level(variable("NODE_LOG")), log::Form::Text);
     const Micros wall_ahead = base::wall_now() - loop.clock().now();
     try {
-        node::Service service(loop, base::ActorId{1}, config, log, wall_ahead);
-        node::ConfigReload reload(
-            loop.clock(), base::ActorId{1}, log::Voice(log, config.name),
+        platform_server::PlatformServer service(loop, base::ActorId{1}, config, log, wall_ahead);
+        platform_server::ConfigReload reload(
+            loop.clock(), base::ActorId{1}, log::Logger(log, config.name),
             [&] { return load(path); },
             [&](const platform::NodeConfig& fresh) { service.reload(fresh); });
         // Proxies go elsewhere from SIGTERM on: nothing that is queued for them is worth a pause.
@@ -66,7 +66,7 @@
                 service.stop();
             },
             Micros{0}, [&] { reload.begin(); });
-    } catch (const node::CannotListen& wrong) {
+    } catch (const platform_server::CannotListen& wrong) {
         throw Failure(kCannotListen, wrong.what());
     }
     log.flush();
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -17,9 +17,9 @@
     int runs = 1;
 };
 
-record::Reader open_recording(const std::string& path) {
+recording::Reader open_recording(const std::string& path) {
     try {
-        return record::Reader(path);
+        return recording::Reader(path);
     } catch (const std::runtime_error& wrong) {
         throw Failure(kNoFile, wrong.what());
     }
@@ -61,7 +61,7 @@
 // What both of run and compare take.
 replay::PlayOptions play_options(const Args& args) {
     replay::PlayOptions out;
-    out.clock = args.clock == "real" ? day::ClockKind::Real : day::ClockKind::Virtual;
+    out.clock = args.clock == "real" ? scenario::ClockKind::Real : scenario::ClockKind::Virtual;
     out.from = time_of(args.from, "--from");
     out.to = time_of(args.to, "--to");
     if (!args.lead.empty()) {
@@ -78,7 +78,7 @@
     base::Micros last{};
 };
 
-Contents contents_of(const record::Reader& reader) {
+Contents contents_of(const recording::Reader& reader) {
     Contents out;
     for (const auto& block : reader.blocks()) {
         out.records += block.records;
@@ -98,7 +98,7 @@
     const auto [records, lost, last] = contents_of(reader);
     std::printf("%llu bytes, %zu blocks, %llu records over %s, %llu lost while recording, %s\n",
                 static_cast<unsigned long long>(reader.bytes()), reader.blocks().size(),
-                static_cast<unsigned long long>(records), day::in_seconds(last).c_str(),
+                static_cast<unsigned long long>(records), scenario::in_seconds(last).c_str(),
                 static_cast<unsigned long long>(lost),
                 reader.finished() ? "ended in order" : "not ended in order");
     for (const auto& note : header.notes()) {
@@ -123,9 +123,10 @@
                     day.figures["worst_10_s"].get<double>());
     }
     for (const auto& trouble : day.troubles) {
-        std::printf("  at %s %s%s\n", day::in_seconds(trouble.at).c_str(), trouble.text.c_str(),
+        std::printf("  at %s %s%s\n", scenario::in_seconds(trouble.at).c_str(),
+                    trouble.text.c_str(),
                     trouble.lasts > base::Micros{0}
-                        ? (" for " + day::in_seconds(trouble.lasts)).c_str()
+                        ? (" for " + scenario::in_seconds(trouble.lasts)).c_str()
                         : "");
     }
     return kGood;
@@ -141,7 +142,7 @@
     }
     std::printf("%s: %zu whole blocks, %llu records to %s, %s\n", path.c_str(),
                 reader.blocks().size(), static_cast<unsigned long long>(records),
-                day::in_seconds(last).c_str(),
+                scenario::in_seconds(last).c_str(),
                 reader.damage().empty() ? "all of it whole" : "DAMAGED");
     return reader.damage().empty() ? kGood : kRuleBroken;
 }
@@ -178,7 +179,7 @@
     warn_of_damage(day);
     const auto trial = trial_of(day, args.config, args.sets);
     auto options = play_options(args);
-    if (args.speed != 1 && options.clock == day::ClockKind::Virtual) {
+    if (args.speed != 1 && options.clock == scenario::ClockKind::Virtual) {
         throw Failure(kBadSettings, "--speed says something only with --clock real");
     }
     options.speed = args.speed;
@@ -201,7 +202,7 @@
         }
         first = text;
         std::printf("setting: %s\n%s", trial.name.c_str(),
-                    day::to_text(played.script, played.run).c_str());
+                    scenario::to_text(played.script, played.run).c_str());
         if (day.kinds.contains("results")) {
             std::printf("as recorded: service %.4f, worst 10 s %.4f\n",
                         day.figures["whole_day"]["service"].get<double>(),
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -3,10 +3,10 @@
 #include <sstream>
 
 #include "cli/cli.h"
-#include "standin/client.h"
-#include "standin/forwarder.h"
-#include "standin/registry.h"
-#include "standin/worker.h"
+#include "testbed/client.h"
+#include "testbed/forwarder.h"
+#include "testbed/registry.h"
+#include "testbed/worker.h"
 
 namespace badgergrade::cli {
 namespace {
@@ -27,17 +27,17 @@
 }
 
 // "id zone host:port" a line; # begins a comment.
-std::vector<standin::Registry::Row> read_servers(const std::string& path) {
+std::vector<testbed::Registry::Row> read_servers(const std::string& path) {
     std::ifstream in(path);
     if (!in) {
         throw Failure(kNoFile, path + ": can't be read");
     }
-    std::vector<standin::Registry::Row> rows;
+    std::vector<testbed::Registry::Row> rows;
     int number = 0;
     for (std::string line; std::getline(in, line);) {
         ++number;
         std::istringstream words(line.substr(0, line.find('#')));
-        standin::Registry::Row row;
+        testbed::Registry::Row row;
         std::string at;
         if (!(words >> row.server.id)) {
             continue;
@@ -55,7 +55,7 @@
 int run_registry(const std::string& listen, const std::string& servers) {
     const auto rows = read_servers(servers);
     net::Loop loop;
-    standin::Registry registry(loop, base::ActorId{1}, "registry", address(listen), nullptr);
+    testbed::Registry registry(loop, base::ActorId{1}, "registry", address(listen), nullptr);
     for (const auto& row : rows) {
         registry.put(row);
     }
@@ -64,25 +64,25 @@
     return kGood;
 }
 
-int run_worker(const standin::WorkerSettings& settings, const std::vector<std::string>& operations,
+int run_worker(const testbed::WorkerSettings& settings, const std::vector<std::string>& operations,
                bool cold) {
     net::Loop loop;
-    standin::Worker worker(loop, base::ActorId{1}, settings, 1, nullptr, cold, operations);
+    testbed::Worker worker(loop, base::ActorId{1}, settings, 1, nullptr, cold, operations);
     say_ready("worker", worker.address());
     run_until_signal(loop, [] {});
     return kGood;
 }
 
-int run_forwarder(standin::ForwarderSettings settings, const std::string& ini,
+int run_forwarder(testbed::ForwarderSettings settings, const std::string& ini,
                   const std::vector<std::string>& governors,
                   const std::vector<std::string>& startup) {
     const auto config = load_governor(ini);
     settings.operations = config.told.operations;
-    settings.again = config.told.default_again;
-    settings.pick = config.told.pick;
-    settings.ejects_after = config.told.ejects_after;
+    settings.again = config.told.default_retry_mode;
+    settings.pick = config.told.pick_policy;
+    settings.ejects_after = config.told.proxy_ejection_failures;
     settings.eject_time = config.eject_time;
-    settings.connection_idle = config.told.connection_idle;
+    settings.connection_idle = config.told.connection_idle_timeout;
     settings.connect_timeout = 250ms;
     settings.dial_timeout = 2s;
     settings.redial_least = 500ms;
@@ -97,23 +97,23 @@
     }
     net::Loop loop;
     const std::map<net::Address, std::string> names;
-    standin::Forwarder forwarder(loop, base::ActorId{1}, settings, 1, nullptr, &names);
+    testbed::Forwarder forwarder(loop, base::ActorId{1}, settings, 1, nullptr, &names);
     say_ready("forwarder", forwarder.address());
     run_until_signal(loop, [] {});
     return kGood;
 }
 
 // Counts what its invocations came to.
-struct Tally : standin::Observer {
+struct Tally : testbed::Observer {
     int came = 0, results[4] = {};
     Micros time{};
 
-    void invocation_came(Micros, const standin::Invocation&) override { ++came; }
+    void invocation_came(Micros, const testbed::Invocation&) override { ++came; }
 
-    void invocation_ended(Micros now, const standin::Invocation& what,
-                          standin::Result result) override {
+    void invocation_ended(Micros now, const testbed::Invocation& what,
+                          testbed::Result result) override {
         ++results[static_cast<int>(result)];
-        if (result == standin::Result::Succeeded) {
+        if (result == testbed::Result::Succeeded) {
             time += now - what.came;
         }
     }
@@ -123,23 +123,23 @@
                double work_ms) {
     const auto config = load_governor(ini);
     net::Loop loop;
-    base::Chance chance(1, "client");
-    std::vector<standin::Invocation> schedule;
+    base::SequentialRandom chance(1, "client");
+    std::vector<testbed::Invocation> schedule;
     const Micros begin = loop.clock().now() + 100ms;
     for (double at = chance.exponential(1 / rate); at < seconds;
          at += chance.exponential(1 / rate)) {
-        standin::Invocation one;
+        testbed::Invocation one;
         one.id = schedule.size() + 1;
         one.operation = static_cast<int>(chance.below(config.told.operations.size()));
         one.work = Micros(std::llround(work_ms * 1000 * chance.lognormal(0.5)));
         one.came = begin + Micros(std::llround(at * 1e6));
         schedule.push_back(std::move(one));
     }
-    standin::ClientSettings settings;
+    testbed::ClientSettings settings;
     settings.operations = config.told.operations;
     settings.wait = 50ms;
     Tally tally;
-    standin::Client client(loop, base::ActorId{1}, "client", settings, address(forwarder),
+    testbed::Client client(loop, base::ActorId{1}, "client", settings, address(forwarder),
                            std::move(schedule), &tally);
     const Micros end = begin + Micros(std::llround(seconds * 1e6));
     loop.run_until(end);
@@ -173,7 +173,7 @@
 
 void worker_command(CLI::App& app, Command& chosen) {
     struct Args {
-        standin::WorkerSettings settings;
+        testbed::WorkerSettings settings;
         std::string listen = "127.0.0.1:0";
         std::vector<std::string> operations;
         bool cold = false;
@@ -206,7 +206,7 @@
 
 void forwarder_command(CLI::App& app, Command& chosen) {
     struct Args {
-        standin::ForwarderSettings settings;
+        testbed::ForwarderSettings settings;
         std::string listen = "127.0.0.1:0", ini;
         std::vector<std::string> governors, startup;
     };
--- a/src/config/governor_config.cpp
+++ b/src/config/governor_config.cpp
@@ -36,8 +36,8 @@
     op.scope =
         static_cast<Scope>(in.choice(section, "fingerprint_scope", 0, {"all", "zone", "cell"}));
     op.fingerprint_ttl = in.time(section, "fingerprint_ttl", 5s, 0s, kDay);
-    op.billed_value = in.number(section, "billed_value", 1, {0, 1e6});
-    op.own_zone = in.yes(section, "own_zone_only", false);
+    op.priority_weight = in.number(section, "billed_value", 1, {0, 1e6});
+    op.local_only = in.yes(section, "own_zone_only", false);
     if (op.latency_objective > op.integration_timeout) {
         in.wrong(section, "latency_objective",
                  "is longer than integration_timeout: the client would have given up before");
@@ -56,41 +56,42 @@
 }
 
 void read_channel(IniReader& in, Settings& told) {
-    told.channel_rate = in.number("channel", "lines_per_second", 14000, {1, 1e9});
-    told.head_lines = in.number("channel", "head_lines", 3, {0, 1e4});
-    told.lines_most = in.number("channel", "lines_waiting_most", 14000, {1, 1e9});
-    told.messages_most = in.whole("channel", "messages_most", 0, {0, 1e6});
-    told.messages_window = in.time("channel", "messages_window", 10s, 1ms, 1h);
-    told.way_mean = in.time("channel", "way_mean", 20ms, 0s, 1h);
-    told.way_most = in.time("channel", "way_most", 1s, 0s, 1h);
-    if (told.messages_most == 0 && in.has("channel", "messages_window")) {
+    told.channel_lines_per_second = in.number("channel", "lines_per_second", 14000, {1, 1e9});
+    told.message_head_lines = in.number("channel", "head_lines", 3, {0, 1e4});
+    told.max_queued_lines = in.number("channel", "lines_waiting_most", 14000, {1, 1e9});
+    told.max_messages = in.whole("channel", "messages_most", 0, {0, 1e6});
+    told.message_window = in.time("channel", "messages_window", 10s, 1ms, 1h);
+    told.mean_network_delay = in.time("channel", "way_mean", 20ms, 0s, 1h);
+    told.max_network_delay = in.time("channel", "way_most", 1s, 0s, 1h);
+    if (told.max_messages == 0 && in.has("channel", "messages_window")) {
         in.wrong("channel", "messages_window",
                  "says something only where messages_most is above 0");
     }
-    if (told.messages_most > 0 && told.messages_most < 5) {
+    if (told.max_messages > 0 && told.max_messages < 5) {
         in.wrong("channel", "messages_most", "is under 5: removals alone could need more");
     }
-    if (told.way_mean > told.way_most) {
+    if (told.mean_network_delay > told.max_network_delay) {
         in.wrong("channel", "way_mean", "is longer than way_most");
     }
 }
 
 void read_forwarders(IniReader& in, Settings& told, GovernorConfig& config) {
     in.need("forwarders", "count", "24");
-    told.proxies = in.whole("forwarders", "count", 1, {1, 65535});
-    told.pick = static_cast<Pick>(in.choice("forwarders", "pick", 2, {"weighted", "round", "two"}));
-    told.admit =
-        static_cast<Admit>(in.choice("forwarders", "levels", 0, {"none", "share", "rate"}));
-    told.default_again = static_cast<Again>(
+    told.proxy_count = in.whole("forwarders", "count", 1, {1, 65535});
+    told.pick_policy =
+        static_cast<PickPolicy>(in.choice("forwarders", "pick", 2, {"weighted", "round", "two"}));
+    told.admission_mode =
+        static_cast<AdmissionMode>(in.choice("forwarders", "levels", 0, {"none", "share", "rate"}));
+    told.default_retry_mode = static_cast<RetryMode>(
         in.choice("forwarders", "further_tries", 1, {"never", "after-proof", "once", "twice"}));
-    told.try_factor = in.number("forwarders", "try_factor", 0.8, {0.01, 100});
-    told.ejects_after = in.whole("forwarders", "ejects_after", 5, {0, 1000});
+    told.attempt_timeout_factor = in.number("forwarders", "try_factor", 0.8, {0.01, 100});
+    told.proxy_ejection_failures = in.whole("forwarders", "ejects_after", 5, {0, 1000});
     config.eject_time = in.time("forwarders", "eject_time", 4s, 100ms, 1h);
-    told.bare_most = in.time("forwarders", "bare_most", 5s, 0s, 1h);
-    told.connection_idle = in.time("forwarders", "connection_idle", 15s, 100ms, 1h);
-    told.settle = in.time("forwarders", "settle", 4s, 0s, 1h);
+    told.max_time_without_server = in.time("forwarders", "bare_most", 5s, 0s, 1h);
+    told.connection_idle_timeout = in.time("forwarders", "connection_idle", 15s, 100ms, 1h);
+    told.shard_settle_time = in.time("forwarders", "settle", 4s, 0s, 1h);
     // Nothing that may have run is sent again on the general setting: rule 2, "no effect twice".
-    if (told.default_again >= Again::Once) {
+    if (told.default_retry_mode >= RetryMode::Once) {
         for (const Operation& op : told.operations) {
             if (op.effect == Effect::SideEffecting) {
                 in.wrong("forwarders", "further_tries",
@@ -103,40 +104,40 @@
 }
 
 void read_servers(IniReader& in, Settings& told) {
-    told.listed = static_cast<Listed>(
+    told.listed_weights = static_cast<ListedWeights>(
         in.choice("servers", "weights", 0, {"none", "nominal", "rough", "live"}));
-    told.cold_from = in.number("servers", "cold_from", 0.2, {0.001, 1});
-    told.cold_time = in.time("servers", "cold_time", 15s, 0s, 1h);
-    told.fall_multiple = in.number("servers", "fall_multiple", 3, {0, 1e4});
-    told.fall_time = in.time("servers", "fall_time", 1500ms, 0s, 1h);
-    told.grace = in.time("servers", "drain_grace", 3s, 100ms, 1h);
-    told.gone_may_stay = in.yes("servers", "gone_may_stay", false);
+    told.initial_capacity_fraction = in.number("servers", "cold_from", 0.2, {0.001, 1});
+    told.slow_start_window = in.time("servers", "cold_time", 15s, 0s, 1h);
+    told.overload_collapse_factor = in.number("servers", "fall_multiple", 3, {0, 1e4});
+    told.overload_collapse_time = in.time("servers", "fall_time", 1500ms, 0s, 1h);
+    told.drain_grace = in.time("servers", "drain_grace", 3s, 100ms, 1h);
+    told.vanished_may_stay = in.yes("servers", "gone_may_stay", false);
 }
 
 // Removals are merged so that the messages last: with too few of them they wait past the grace for
 // drains (our day cold-return with 6 in 10 s and a grace of 3 s: broken on every seed).
 void check_removals(IniReader& in, const Settings& told) {
-    if (told.messages_most <= 0) {
+    if (told.max_messages <= 0) {
         return;
     }
     const auto merged = [&](std::int64_t messages) {
-        return 2 * told.messages_window / messages + told.way_most;
+        return 2 * told.message_window / messages + told.max_network_delay;
     };
-    if (merged(told.messages_most) <= told.grace) {
+    if (merged(told.max_messages) <= told.drain_grace) {
         return;
     }
     const auto ms = [](Micros t) {
         return std::to_string(t.count() / 1000) + " ms";
     };
-    const Micros room = told.grace - told.way_most;
+    const Micros room = told.drain_grace - told.max_network_delay;
     const std::string right =
-        room > 0us ? "at least " + std::to_string((2 * told.messages_window + room - 1us) / room) +
+        room > 0us ? "at least " + std::to_string((2 * told.message_window + room - 1us) / room) +
                          " messages, or a longer grace"
                    : "a grace longer than way_most";
     in.wrong("channel", "messages_most",
-             "lets removals wait " + ms(2 * told.messages_window / told.messages_most) + " and " +
-                 ms(told.way_most) + " on the way, past [servers] drain_grace of " +
-                 ms(told.grace) + "; right would be " + right);
+             "lets removals wait " + ms(2 * told.message_window / told.max_messages) + " and " +
+                 ms(told.max_network_delay) + " on the way, past [servers] drain_grace of " +
+                 ms(told.drain_grace) + "; right would be " + right);
 }
 
 }  // namespace
@@ -148,7 +149,7 @@
     config.id = in.text("governor", "id", config.id);
     in.need("governor", "zones", "north, south");
     config.zones = in.list("governor", "zones", {});
-    told.zones = std::max(1, static_cast<int>(config.zones.size()));
+    told.zone_count = std::max(1, static_cast<int>(config.zones.size()));
     if (config.zones.size() > 64) {
         in.wrong("governor", "zones", "64 zones at most");
     }
@@ -159,9 +160,9 @@
         in.wrong("governor", "zone", "'" + zone + "' is none of the zones");
     }
     told.zone = {static_cast<int>(at - config.zones.begin())};
-    told.governors = in.whole("governor", "governors", 1, {1, 64});
+    told.instance_count = in.whole("governor", "governors", 1, {1, 64});
     told.ordinal = in.whole("governor", "ordinal", 0, {0, 63});
-    if (told.ordinal >= told.governors) {
+    if (told.ordinal >= told.instance_count) {
         in.wrong("governor", "ordinal", "counts from 0 and stays under governors");
     }
     config.seed = static_cast<std::uint64_t>(in.number("governor", "seed", 1, {0, 9e15}));
@@ -182,7 +183,7 @@
                             ? EmptyList::Refuse
                             : EmptyList::Take;
     config.shrink_refused = in.number("registry", "shrink_doubted", 0, {0, 1});
-    told.ask_for_list = in.yes("registry", "ask", false);
+    told.endpoints_on_request = in.yes("registry", "ask", false);
 
     for (const std::string& section : in.sections_like("operation.")) {
         told.operations.push_back(operation(in, section));
@@ -195,13 +196,13 @@
     }
 
     read_channel(in, told);
-    told.report_period = in.time("reports", "period", 2s, 50ms, 10min);
-    told.intake_per_s = in.number("reports", "lines_per_second", 500, {1, 1e9});
-    told.load_columns = in.list("reports", "load_columns", {});
-    if (told.load_columns.size() > 4) {
+    told.report_interval = in.time("reports", "period", 2s, 50ms, 10min);
+    told.max_reports_per_second = in.number("reports", "lines_per_second", 500, {1, 1e9});
+    told.load_metric_names = in.list("reports", "load_columns", {});
+    if (told.load_metric_names.size() > 4) {
         in.wrong("reports", "load_columns", "four at most");
     }
-    for (auto& column : told.load_columns) {
+    for (auto& column : told.load_metric_names) {
         const std::vector<std::string> known{"active", "waiting", "cpu",
                                              "avg_ms", "rps",     "err_rps"};
         if (std::find(known.begin(), known.end(), column) == known.end()) {
@@ -212,7 +213,7 @@
     read_forwarders(in, told, config);
     read_servers(in, told);
     check_removals(in, told);
-    told.may_probe = in.yes("probes", "allowed", false);
+    told.health_checks_allowed = in.yes("probes", "allowed", false);
     config.probe_timeout = in.time("probes", "timeout", 400ms, 1ms, 1min);
     config.log_level = in.choice("log", "level", 1, {"debug", "info", "warning", "error"});
     config.log_json = in.choice("log", "form", 0, {"text", "json"}) == 1;
--- a/src/config/governor_config.h
+++ b/src/config/governor_config.h
@@ -5,7 +5,8 @@
 #include <vector>
 
 #include "config/ini.h"
-#include "types.h"
+#include "policy/ids.h"
+#include "policy/settings.h"
 
 namespace badgergrade::config {
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -75,9 +75,9 @@
 };
 
 // One writer with its name on it.
-class Voice {
+class Logger {
 public:
-    Voice(Log& log, std::string who) : log_(&log), who_(std::move(who)) {}
+    Logger(Log& log, std::string who) : log_(&log), who_(std::move(who)) {}
 
     void debug(std::string_view event, std::initializer_list<Field> f = {}) {
         log_->write(Level::Debug, who_, event, f);
--- a/src/node/line_limit.h
+++ b/src/log/log_rate_limiter.h
@@ -7,9 +7,9 @@
 
 #include "base/clock.h"
 
-namespace badgergrade::node {
+namespace badgergrade::platform_server {
 
-class LineLimit {
+class LogRateLimiter {
 public:
     // Whether a line of this event may be written now; `unsaid` gets how many were not since the
     // last one. Events are fixed names: there are only so many.
@@ -41,4 +41,4 @@
     std::map<std::string_view, Event> events_;
 };
 
-}  // namespace badgergrade::node
+}  // namespace badgergrade::platform_server
--- a/src/net/ledger.cpp
+++ b/src/net/ledger.cpp
@@ -4,8 +4,8 @@
 
 namespace badgergrade::net {
 
-Ledger::PairId Ledger::dial(std::uint16_t local_port, std::uint16_t to_port,
-                            std::string from_host) {
+InFlightBytes::PairId InFlightBytes::dial(std::uint16_t local_port, std::uint16_t to_port,
+                                          std::string from_host) {
     const PairId id = ++ids_;
     Pair& pair = pairs_[id];
     pair.ports = {local_port, to_port};
@@ -15,7 +15,7 @@
     return id;
 }
 
-void Ledger::connected(PairId id) {
+void InFlightBytes::connected(PairId id) {
     const auto it = pairs_.find(id);
     if (it == pairs_.end()) {
         return;
@@ -24,7 +24,7 @@
     review(id, it->second);
 }
 
-void Ledger::failed(PairId id) {
+void InFlightBytes::failed(PairId id) {
     const auto it = pairs_.find(id);
     if (it == pairs_.end()) {
         return;
@@ -33,8 +33,8 @@
     review(id, it->second);
 }
 
-Ledger::PairId Ledger::accept(std::uint16_t remote_port, std::uint16_t at_port,
-                              std::string at_host) {
+InFlightBytes::PairId InFlightBytes::accept(std::uint16_t remote_port, std::uint16_t at_port,
+                                            std::string at_host) {
     const auto it = by_ports_.find({remote_port, at_port});
     if (it == by_ports_.end()) {
         return 0;
@@ -47,7 +47,7 @@
     return id;
 }
 
-void Ledger::wrote(PairId id, Side from, std::size_t bytes) {
+void InFlightBytes::wrote(PairId id, Side from, std::size_t bytes) {
     const auto it = pairs_.find(id);
     if (it == pairs_.end()) {
         return;
@@ -56,7 +56,7 @@
     review(id, it->second);
 }
 
-void Ledger::read(PairId id, Side at, std::size_t bytes) {
+void InFlightBytes::read(PairId id, Side at, std::size_t bytes) {
     const auto it = pairs_.find(id);
     if (it == pairs_.end()) {
         return;
@@ -65,7 +65,7 @@
     review(id, it->second);
 }
 
-void Ledger::closed(PairId id, Side by) {
+void InFlightBytes::closed(PairId id, Side by) {
     const auto it = pairs_.find(id);
     if (it == pairs_.end()) {
         return;
@@ -74,7 +74,7 @@
     review(id, it->second);
 }
 
-void Ledger::saw_end(PairId id, Side at) {
+void InFlightBytes::saw_end(PairId id, Side at) {
     const auto it = pairs_.find(id);
     if (it == pairs_.end()) {
         return;
@@ -83,7 +83,7 @@
     review(id, it->second);
 }
 
-void Ledger::paused(PairId id, Side at, bool now) {
+void InFlightBytes::paused(PairId id, Side at, bool now) {
     const auto it = pairs_.find(id);
     if (it == pairs_.end()) {
         return;
@@ -92,12 +92,12 @@
     review(id, it->second);
 }
 
-std::string Ledger::host(PairId id, Side side) const {
+std::string InFlightBytes::host(PairId id, Side side) const {
     const auto it = pairs_.find(id);
     return it == pairs_.end() ? std::string{} : it->second.ends[static_cast<int>(side)].host;
 }
 
-bool Ledger::open_business(const Pair& pair) {
+bool InFlightBytes::open_business(const Pair& pair) {
     if (pair.failed) {
         return false;
     }
@@ -120,7 +120,7 @@
     return false;
 }
 
-void Ledger::review(PairId id, Pair& pair) {
+void InFlightBytes::review(PairId id, Pair& pair) {
     const bool open = open_business(pair);
     if (open != pair.counted) {
         pair.counted = open;
@@ -140,7 +140,7 @@
     }
 }
 
-std::string Ledger::unsettled() const {
+std::string InFlightBytes::unsettled() const {
     std::string out;
     for (const auto& [id, pair] : pairs_) {
         if (pair.counted) {
@@ -153,11 +153,11 @@
     return out;
 }
 
-void Ledger::hold(PairId id, Side at, std::function<void()> event) {
+void InFlightBytes::hold(PairId id, Side at, std::function<void()> event) {
     held_.emplace(std::tuple(id, at, ++events_), std::move(event));
 }
 
-void Ledger::deliver() {
+void InFlightBytes::deliver() {
     auto round = std::exchange(held_, {});
     for (auto& [key, event] : round) {
         event();
--- a/src/net/ledger.h
+++ b/src/net/ledger.h
@@ -22,7 +22,7 @@
     return s == Side::Dialler ? Side::Accepter : Side::Dialler;
 }
 
-class Ledger {
+class InFlightBytes {
 public:
     using PairId = std::uint64_t;
 
--- a/src/net/network.cpp
+++ b/src/net/network.cpp
@@ -132,7 +132,7 @@
 // ---- Stream
 
 Stream::Stream(Loop& loop, base::ActorId actor, std::string host, tcp::socket socket,
-               Ledger::PairId pair, Side side)
+               InFlightBytes::PairId pair, Side side)
     : loop_(loop),
       host_(std::move(host)),
       socket_(std::move(socket)),
@@ -519,8 +519,9 @@
         if (wrong) {
             return;
         }
-        Ledger& ledger = loop.ledger();
-        const Ledger::PairId pair = loop.keeps_ledger ? ledger.accept(far.port(), port, host) : 0;
+        InFlightBytes& ledger = loop.ledger();
+        const InFlightBytes::PairId pair =
+            loop.keeps_ledger ? ledger.accept(far.port(), port, host) : 0;
         auto stream =
             std::make_shared<Stream>(loop, actor, host, std::move(socket), pair, Side::Accepter);
         if (loop.is_virtual() && pair) {
@@ -639,7 +640,7 @@
         if (over) {
             return;
         }
-        Ledger& ledger = loop.ledger();
+        InFlightBytes& ledger = loop.ledger();
         if (failed) {
             if (loop.is_virtual() && pair) {
                 ledger.hold(pair, Side::Dialler,
@@ -712,7 +713,7 @@
     std::function<void(StreamPtr, std::string)> done;
     tcp::socket socket;
     base::Timer limit, way;
-    Ledger::PairId pair = 0;
+    InFlightBytes::PairId pair = 0;
     bool over = false;
 };
 
--- a/src/net/network.h
+++ b/src/net/network.h
@@ -56,7 +56,7 @@
 
     asio::io_context& io() { return io_; }
 
-    Ledger& ledger() { return ledger_; }
+    InFlightBytes& ledger() { return ledger_; }
 
     bool is_virtual() const { return virtual_ != nullptr; }
 
@@ -79,7 +79,7 @@
     asio::executor_work_guard<asio::io_context::executor_type> work_;
     std::unique_ptr<base::Clock> clock_;
     base::VirtualClock* virtual_ = nullptr;
-    Ledger ledger_;
+    InFlightBytes ledger_;
     bool stopped_ = false;
 };
 
@@ -87,7 +87,7 @@
 public:
     // `host` is the name of the host this end belongs to, for the weather.
     Stream(Loop& loop, base::ActorId actor, std::string host, asio::ip::tcp::socket socket,
-           Ledger::PairId pair, Side side);
+           InFlightBytes::PairId pair, Side side);
     ~Stream();
 
     // Called with what came; never after close().
@@ -147,7 +147,7 @@
     Loop& loop_;
     std::string host_;
     asio::ip::tcp::socket socket_;
-    Ledger::PairId pair_;
+    InFlightBytes::PairId pair_;
     Side side_;
     std::string peer_;
     std::deque<std::string> queue_;
--- a/src/channel/channel.cpp
+++ b/src/pacing/paced_send_queue.cpp
@@ -1,15 +1,15 @@
-#include "channel/channel.h"
+#include "pacing/paced_send_queue.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace badgergrade::channel {
+namespace badgergrade::pacing {
 
-Micros Channel::time_for(double lines) const {
+Micros PacedSendQueue::time_for(double lines) const {
     return Micros(static_cast<std::int64_t>(std::ceil(lines / (rate_ * pace_) * 1e6)));
 }
 
-void Channel::put(Micros now, xds::Message message) {
+void PacedSendQueue::put(Micros now, xds::Message message) {
     if (queue_.empty()) {
         since_ = now;
         left_lines_ = message.lines;
@@ -19,14 +19,14 @@
     queue_.push_back({std::move(message), false});
 }
 
-std::optional<Micros> Channel::due() const {
+std::optional<Micros> PacedSendQueue::due() const {
     if (queue_.empty()) {
         return std::nullopt;
     }
     return since_ + time_for(left_lines_);
 }
 
-std::optional<xds::Message> Channel::take(Micros now) {
+std::optional<xds::Message> PacedSendQueue::take(Micros now) {
     while (!queue_.empty()) {
         const auto when = due();
         if (*when > now) {
@@ -49,7 +49,7 @@
     return std::nullopt;
 }
 
-void Channel::drop(ProxyId proxy) {
+void PacedSendQueue::drop(ProxyId proxy) {
     for (Waiting& waiting : queue_) {
         if (waiting.message.proxy == proxy) {
             waiting.lost = true;
@@ -57,7 +57,7 @@
     }
 }
 
-void Channel::set_pace(Micros now, double part) {
+void PacedSendQueue::set_pace(Micros now, double part) {
     if (!queue_.empty() && now > since_) {
         left_lines_ = std::max(
             0.0, left_lines_ - static_cast<double>((now - since_).count()) / 1e6 * rate_ * pace_);
@@ -66,4 +66,4 @@
     pace_ = std::max(1e-3, part);
 }
 
-}  // namespace badgergrade::channel
+}  // namespace badgergrade::pacing
--- a/src/channel/channel.h
+++ b/src/pacing/paced_send_queue.h
@@ -8,20 +8,20 @@
 #include <optional>
 #include <vector>
 
-#include "types.h"
-#include "xds/board.h"
+#include "policy/ids.h"
+#include "xds/snapshot_cache.h"
 
-namespace badgergrade::channel {
+namespace badgergrade::pacing {
 
-struct ChannelFigures {
+struct SendQueueMetrics {
     std::int64_t messages = 0, dropped = 0;
     double lines = 0, waiting_most = 0;
     Micros longest_wait{};
 };
 
-class Channel {
+class PacedSendQueue {
 public:
-    explicit Channel(double lines_per_second) : rate_(lines_per_second) {}
+    explicit PacedSendQueue(double lines_per_second) : rate_(lines_per_second) {}
 
     void put(Micros now, xds::Message message);
     // When the first message has left; nothing where none waits.
@@ -37,7 +37,7 @@
     // The pace as a part of the told one (1 is usual), for trials of a slow channel.
     void set_pace(Micros now, double part);
 
-    const ChannelFigures& figures() const { return figures_; }
+    const SendQueueMetrics& figures() const { return figures_; }
 
 private:
     struct Waiting {
@@ -52,7 +52,7 @@
     double waiting_ = 0,
            left_lines_ = 0;  // lines of the first message that have not left yet, at since_
     Micros since_{};
-    ChannelFigures figures_;
+    SendQueueMetrics figures_;
 };
 
-}  // namespace badgergrade::channel
+}  // namespace badgergrade::pacing
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -27,7 +27,7 @@
 
 void add_to_line(std::string& line, const std::string& path, const Json& value, std::size_t depth) {
     if (depth > kDepthMost) {
-        throw Unreadable("settings are nested too deeply at " + path);
+        throw ParseError("settings are nested too deeply at " + path);
     }
     if (value.is_null()) {
         return;
@@ -92,7 +92,7 @@
     std::uint64_t seed = 0;
     const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
     if (wrong != std::errc{} || end != text.data() + text.size()) {
-        throw Unreadable("seed is no hexadecimal number: '" + text.substr(0, 40) + "'");
+        throw ParseError("seed is no hexadecimal number: '" + text.substr(0, 40) + "'");
     }
     return seed;
 }
@@ -101,7 +101,7 @@
     Instance out;
     out.id = row.at("instanceId").get<std::string>();
     if (out.id.empty() || out.id.size() > kIdMost) {
-        throw Unreadable("an instanceId is 1 to 128 bytes");
+        throw ParseError("an instanceId is 1 to 128 bytes");
     }
     out.zone = row.value("zone", "");
     const std::string state = row.at("lifecycle").get<std::string>();
@@ -112,15 +112,15 @@
     } else if (state == "Gone") {
         out.state = ServerState::Gone;
     } else {
-        throw Unreadable(out.id + ": lifecycle '" + state.substr(0, 40) + "'");
+        throw ParseError(out.id + ": lifecycle '" + state.substr(0, 40) + "'");
     }
     out.weight = row.value("weight", 1.0);
     if (!std::isfinite(out.weight) || out.weight < 0 || out.weight > 1e9) {
-        throw Unreadable(out.id + ": weight is out of range");
+        throw ParseError(out.id + ": weight is out of range");
     }
     out.started_ms = row.value("startedAtMs", 0.0);
     if (!(out.started_ms >= 0) || out.started_ms > kStartedMost) {
-        throw Unreadable(out.id + ": startedAtMs is out of range");
+        throw ParseError(out.id + ": startedAtMs is out of range");
     }
     return out;
 }
@@ -131,10 +131,10 @@
     out.whole = json.value("reset", false);
     const Json& rows = json.at("instances");
     if (!rows.is_array()) {
-        throw Unreadable("instances is no list");
+        throw ParseError("instances is no list");
     }
     if (rows.size() > kInstancesMost) {
-        throw Unreadable("a list names more than 65535 instances");
+        throw ParseError("a list names more than 65535 instances");
     }
     const auto leave_out = [&](const Json& row, const char* why) {
         out.left_out.emplace_back(why);
@@ -149,7 +149,7 @@
             out.instances.push_back(instance_of(row));
         } catch (const Json::exception& wrong) {
             leave_out(row, wrong.what());
-        } catch (const Unreadable& wrong) {
+        } catch (const ParseError& wrong) {
             leave_out(row, wrong.what());
         }
     }
@@ -165,7 +165,7 @@
 Micros batch_of(const Json& settings) {
     const double ms = settings.value("quantum", 4.0);
     if (!(ms >= 0) || ms > 1000) {
-        throw Unreadable("settings.quantum is out of range");
+        throw ParseError("settings.quantum is out of range");
     }
     return Micros(std::llround(ms * 1000));
 }
@@ -181,26 +181,26 @@
     if (const auto limits = json.find("limits"); limits != json.end()) {
         out.sockets = limits->value("sockets", out.sockets);
         if (out.sockets < 16) {
-            throw Unreadable("limits.sockets is below 16");
+            throw ParseError("limits.sockets is below 16");
         }
     }
     const Json& settings = json.at("settings");
     if (!settings.is_object()) {
-        throw Unreadable("settings is no object");
+        throw ParseError("settings is no object");
     }
     out.settings = settings_of(settings);
     out.batch = batch_of(settings);
     out.names.zones = texts(settings.at("zones"), nullptr);
     out.names.operations = texts(settings.at("request_classes"), "name");
-    out.names.proxies = out.settings.proxies;
-    for (const std::string& column : out.settings.load_columns) {
+    out.names.proxies = out.settings.proxy_count;
+    for (const std::string& column : out.settings.load_metric_names) {
         out.names.load_columns.push_back(platform_column(column));
     }
     if (out.names.zones.empty()) {
-        throw Unreadable("settings.zones is empty");
+        throw ParseError("settings.zones is empty");
     }
     if (out.names.operations.empty()) {
-        throw Unreadable("settings.request_classes is empty");
+        throw ParseError("settings.request_classes is empty");
     }
     if (const auto known = json.find("known"); known != json.end() && !known->is_null()) {
         out.known = instances_of(*known);
@@ -214,11 +214,11 @@
     try {
         return read(Json::parse(text));
     } catch (const Json::exception& wrong) {
-        throw Unreadable(wrong.what());
+        throw ParseError(wrong.what());
     } catch (const wire::Malformed& wrong) {
-        throw Unreadable(std::string("settings: ") + wrong.what());
+        throw ParseError(std::string("settings: ") + wrong.what());
     } catch (const std::invalid_argument& wrong) {
-        throw Unreadable(wrong.what());
+        throw ParseError(wrong.what());
     }
 }
 
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -11,12 +11,14 @@
 #include <vector>
 
 #include "net/network.h"
-#include "types.h"
+#include "policy/event.h"
+#include "policy/ids.h"
+#include "policy/settings.h"
 
 namespace badgergrade::platform {
 
 // What is wrong with a configuration or an answer, in plain words.
-struct Unreadable : std::runtime_error {
+struct ParseError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -54,7 +56,7 @@
     InstanceList known;
 };
 
-// Throw Unreadable.
+// Throw ParseError.
 NodeConfig read_config(const std::string& json);
 InstanceList read_instances(const std::string& json);
 
--- a/src/platform/orders_text.cpp
+++ b/src/platform/config_writer.cpp
@@ -1,4 +1,4 @@
-#include "platform/orders_text.h"
+#include "platform/config_writer.h"
 
 #include <charconv>
 
@@ -21,7 +21,7 @@
 
 using Words = std::vector<std::string>;
 
-std::string classes(OpMask ops, const Names& names) {
+std::string classes(OperationMask ops, const Names& names) {
     std::string out;
     for (std::size_t k = 0; k < names.operations.size(); ++k) {
         if (ops >> k & 1) {
@@ -31,7 +31,7 @@
     return out;
 }
 
-Words opening(OpMask ops, const Names& names) {
+Words opening(OperationMask ops, const Names& names) {
     Words words{"CONFIG"};
     if (ops != 0) {
         words.insert(words.end(), {"for", classes(ops, names)});
@@ -39,8 +39,8 @@
     return words;
 }
 
-void add_lines(std::vector<Words>& parts, const drive::TablePart& part, const Names& names,
-               const Servers& servers) {
+void add_lines(std::vector<Words>& parts, const runtime::TableUpdate& part, const Names& names,
+               const ServerIds& servers) {
     if (!part.whole && part.lines.empty()) {
         return;
     }
@@ -64,10 +64,10 @@
 }
 
 // Operations with the same level share a part.
-void add_levels(std::vector<Words>& parts, const drive::TablePart& part, const Names& names) {
-    std::vector<std::pair<drive::LevelSet, OpMask>> groups;
+void add_levels(std::vector<Words>& parts, const runtime::TableUpdate& part, const Names& names) {
+    std::vector<std::pair<runtime::AdmissionSetting, OperationMask>> groups;
     for (const auto& [op, level] : part.levels) {
-        const OpMask bit = OpMask{1} << op.v;
+        const OperationMask bit = OperationMask{1} << op.value;
         bool found = false;
         for (auto& [known, ops] : groups) {
             if (known == level) {
@@ -87,7 +87,7 @@
     }
 }
 
-std::string ids(const std::vector<ServerId>& list, const Servers& servers) {
+std::string ids(const std::vector<ServerId>& list, const ServerIds& servers) {
     std::string out;
     for (const ServerId server : list) {
         out += (out.empty() ? "" : ",") + servers.id(server);
@@ -97,8 +97,8 @@
 
 }  // namespace
 
-std::optional<std::string> to_config(const drive::Order& order, const Names& names,
-                                     const Servers& servers) {
+std::optional<std::string> to_config(const runtime::ProxyUpdate& order, const Names& names,
+                                     const ServerIds& servers) {
     std::vector<Words> parts;
     for (const auto& part : order.parts) {
         add_lines(parts, *part, names, servers);
@@ -116,7 +116,7 @@
         last.insert(last.end(), {"undrop", ids(order.back, servers)});
     }
     if (order.mark) {
-        last.insert(last.end(), {"stamp", std::to_string(order.mark->v)});
+        last.insert(last.end(), {"stamp", std::to_string(order.mark->value)});
     }
     if (parts.size() > kPartsMost) {
         return std::nullopt;
--- a/src/platform/orders_text.h
+++ b/src/platform/config_writer.h
@@ -4,14 +4,14 @@
 #include <optional>
 #include <string>
 
-#include "drive/orders.h"
 #include "platform/config.h"
-#include "platform/servers.h"
+#include "platform/server_ids.h"
+#include "runtime/config_state.h"
 
 namespace badgergrade::platform {
 
 // Nothing where the order takes more than the 64 parts that one message may have.
-std::optional<std::string> to_config(const drive::Order& order, const Names& names,
-                                     const Servers& servers);
+std::optional<std::string> to_config(const runtime::ProxyUpdate& order, const Names& names,
+                                     const ServerIds& servers);
 
 }  // namespace badgergrade::platform
--- a/src/platform/messages.cpp
+++ b/src/platform/message_reader.cpp
@@ -1,4 +1,4 @@
-#include "platform/messages.h"
+#include "platform/message_reader.h"
 
 #include <algorithm>
 #include <charconv>
@@ -19,13 +19,13 @@
 public:
     explicit Fields(const resp::Message& message) : words_(message.words) {
         if (!message.plain) {
-            throw Spoilt("holds something other than strings");
+            throw InvalidMessage("holds something other than strings");
         }
         if (words_.empty()) {
-            throw Spoilt("is empty");
+            throw InvalidMessage("is empty");
         }
         if (words_.size() % 2 == 0) {
-            throw Spoilt("has a name without a value");
+            throw InvalidMessage("has a name without a value");
         }
     }
 
@@ -38,7 +38,7 @@
                 continue;
             }
             if (found) {
-                throw Spoilt(std::string(name) + " stands twice");
+                throw InvalidMessage(std::string(name) + " stands twice");
             }
             found = &words_[k + 1];
         }
@@ -48,7 +48,7 @@
     const std::string& text(std::string_view name) const {
         const std::string* found = find(name);
         if (!found) {
-            throw Spoilt(std::string(name) + " is missing");
+            throw InvalidMessage(std::string(name) + " is missing");
         }
         return *found;
     }
@@ -60,7 +60,7 @@
     std::int64_t whole(std::string_view name, double most) const {
         const double value = number(name, most);
         if (value != std::floor(value)) {
-            throw Spoilt(std::string(name) + " is no whole number: " + quoted(text(name)));
+            throw InvalidMessage(std::string(name) + " is no whole number: " + quoted(text(name)));
         }
         return static_cast<std::int64_t>(value);
     }
@@ -72,7 +72,7 @@
     bool yes(std::string_view name) const {
         const std::string& value = text(name);
         if (value != "0" && value != "1") {
-            throw Spoilt(std::string(name) + " is neither 0 nor 1: " + quoted(value));
+            throw InvalidMessage(std::string(name) + " is neither 0 nor 1: " + quoted(value));
         }
         return value == "1";
     }
@@ -82,7 +82,7 @@
         const std::string& value = text(name);
         const auto it = std::find(known.begin(), known.end(), value);
         if (it == known.end()) {
-            throw Spoilt(std::string(name) + " is not known: " + quoted(value));
+            throw InvalidMessage(std::string(name) + " is not known: " + quoted(value));
         }
         return static_cast<int>(it - known.begin());
     }
@@ -91,10 +91,10 @@
         double value = 0;
         const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), value);
         if (wrong != std::errc{} || end != text.data() + text.size() || !std::isfinite(value)) {
-            throw Spoilt(std::string(name) + " is no number: " + quoted(text));
+            throw InvalidMessage(std::string(name) + " is no number: " + quoted(text));
         }
         if (value < 0 || value > most) {
-            throw Spoilt(std::string(name) + " is out of range: " + quoted(text));
+            throw InvalidMessage(std::string(name) + " is out of range: " + quoted(text));
         }
         return value;
     }
@@ -105,7 +105,7 @@
 
 ProxyId proxy_of(const Fields& fields, const Names& names) {
     if (names.proxies < 1) {
-        throw Spoilt("proxy is out of range: there is none");
+        throw InvalidMessage("proxy is out of range: there is none");
     }
     return {static_cast<int>(fields.whole("proxy", names.proxies - 1))};
 }
@@ -113,7 +113,7 @@
 Micros span_of(const Fields& fields) {
     const Micros span = fields.ms("span_ms");
     if (span <= Micros{0}) {
-        throw Spoilt("span_ms is out of range: '0'");
+        throw InvalidMessage("span_ms is out of range: '0'");
     }
     return span;
 }
@@ -131,7 +131,7 @@
         const std::string_view pair = std::string_view(text).substr(at, end - at);
         const std::size_t colon = pair.find(':');
         if (colon == std::string_view::npos || colon == 0) {
-            throw Spoilt("load is no list of pairs: " + quoted(text));
+            throw InvalidMessage("load is no list of pairs: " + quoted(text));
         }
         const double value = Fields::in_range("load", pair.substr(colon + 1), kGaugeMost);
         const auto column =
@@ -144,38 +144,38 @@
     return values;
 }
 
-ev::Heard heard(const Fields& fields, const Names& names, const Servers& servers) {
+event::ServerLoadReport heard(const Fields& fields, const Names& names, const ServerIds& servers) {
     const std::string& id = fields.text("server");
     const auto server = servers.number(id);
     if (!server) {
-        throw Spoilt("server is not known: " + quoted(id));
+        throw InvalidMessage("server is not known: " + quoted(id));
     }
-    ev::Heard out{};
+    event::ServerLoadReport out{};
     out.zone = {fields.place("zone", names.zones)};
     out.server = *server;
-    out.tries = fields.whole("tries", kCountMost);
-    out.errored = fields.whole("failed", kCountMost);
-    out.mean = fields.ms("mean_ms");
-    out.span = span_of(fields);
+    out.attempts = fields.whole("tries", kCountMost);
+    out.failures = fields.whole("failed", kCountMost);
+    out.mean_latency = fields.ms("mean_ms");
+    out.interval = span_of(fields);
     if (const std::string* load = fields.find("load")) {
-        out.load = gauges(*load, names);
+        out.load_metrics = gauges(*load, names);
     }
     return out;
 }
 
-ev::Demand demand(const Fields& fields, const Names& names) {
-    ev::Demand out{};
+event::ProxyDemandReport demand(const Fields& fields, const Names& names) {
+    event::ProxyDemandReport out{};
     out.proxy = proxy_of(fields, names);
-    out.op = {fields.place("class", names.operations)};
-    out.count = fields.whole("tries", kCountMost);
-    out.errored = fields.whole("failed", kCountMost);
-    out.span = span_of(fields);
+    out.operation = {fields.place("class", names.operations)};
+    out.attempts = fields.whole("tries", kCountMost);
+    out.failures = fields.whole("failed", kCountMost);
+    out.interval = span_of(fields);
     return out;
 }
 
 }  // namespace
 
-Message read_message(const resp::Message& message, const Names& names, const Servers& servers) {
+Message read_message(const resp::Message& message, const Names& names, const ServerIds& servers) {
     const Fields fields(message);
     const std::string& kind = fields.kind();
     if (kind == "PING") {
@@ -185,14 +185,14 @@
         return Source{{fields.place("zone", names.zones)}};
     }
     if (kind == "SUBSCRIBE") {
-        return ev::Joined{proxy_of(fields, names),
-                          fields.yes("fresh"),
-                          {fields.place("zone", names.zones)},
-                          fields.number("weight", kRateMost)};
+        return event::ProxyConnected{proxy_of(fields, names),
+                                     fields.yes("fresh"),
+                                     {fields.place("zone", names.zones)},
+                                     fields.number("weight", kRateMost)};
     }
     if (kind == "ACK") {
         const auto mark = static_cast<int>(fields.whole("mark", kMarkMost));
-        return ev::Applied{proxy_of(fields, names), {mark}, fields.ms("took_ms")};
+        return event::ConfigAcknowledged{proxy_of(fields, names), {mark}, fields.ms("took_ms")};
     }
     if (kind == "LOAD") {
         return heard(fields, names, servers);
@@ -200,7 +200,7 @@
     if (kind == "RATE") {
         return demand(fields, names);
     }
-    throw Spoilt("is of no known kind: " + quoted(kind));
+    throw InvalidMessage("is of no known kind: " + quoted(kind));
 }
 
 }  // namespace badgergrade::platform
--- a/src/platform/messages.h
+++ b/src/platform/message_reader.h
@@ -6,15 +6,16 @@
 #include <variant>
 
 #include "platform/config.h"
-#include "platform/servers.h"
+#include "platform/server_ids.h"
+#include "policy/event.h"
+#include "policy/ids.h"
 #include "resp/resp.h"
-#include "types.h"
 
 namespace badgergrade::platform {
 
 // A message whose frame is good but whose contents can't be used: it is dropped, those around it
 // count.
-struct Spoilt : std::runtime_error {
+struct InvalidMessage : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -24,10 +25,11 @@
     ZoneId zone;
 };
 
-using Message = std::variant<Ping, Source, ev::Joined, ev::Applied, ev::Heard, ev::Demand>;
+using Message = std::variant<Ping, Source, event::ProxyConnected, event::ConfigAcknowledged,
+                             event::ServerLoadReport, event::ProxyDemandReport>;
 
-// Throws Spoilt. Fields that are not known are skipped; one that is missing, doubled, no number,
-// out of range, or that names what does not exist spoils the message.
-Message read_message(const resp::Message& message, const Names& names, const Servers& servers);
+// Throws InvalidMessage. Fields that are not known are skipped; one that is missing, doubled, no
+// number, out of range, or that names what does not exist spoils the message.
+Message read_message(const resp::Message& message, const Names& names, const ServerIds& servers);
 
 }  // namespace badgergrade::platform
--- a/src/platform/servers.cpp
+++ b/src/platform/server_ids.cpp
@@ -1,4 +1,4 @@
-#include "platform/servers.h"
+#include "platform/server_ids.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,14 +12,14 @@
 
 // The module takes 0 for "long ago"; a start before this clock began is just as long ago, but stays
 // a start, and the same one whenever a list repeats it.
-Micros Servers::start_of(double started_ms) const {
+Micros ServerIds::start_of(double started_ms) const {
     if (!(started_ms > 0)) {
         return Micros{0};
     }
     return std::max(Micros{1}, Micros(std::llround(started_ms * 1000)) - wall_ahead_);
 }
 
-ServerId Servers::new_number() {
+ServerId ServerIds::new_number() {
     if (free_.empty()) {
         return {++last_};
     }
@@ -28,9 +28,9 @@
     return number;
 }
 
-ev::List Servers::take(const InstanceList& list, ListForm form, Micros now) {
-    ev::List out{form, {}};
-    if (form != ListForm::Delta) {
+event::EndpointListUpdate ServerIds::take(const InstanceList& list, UpdateKind form, Micros now) {
+    event::EndpointListUpdate out{form, {}};
+    if (form != UpdateKind::Delta) {
         for (auto& [id, known] : by_id_) {
             if (known.gone) {
                 known.row.state = ServerState::Gone;
@@ -63,43 +63,43 @@
             instance.state,
             instance.weight,
             start_of(instance.started_ms)};
-        out.rows.push_back(known.row);
+        out.endpoints.push_back(known.row);
     }
-    if (form != ListForm::Delta) {
+    if (form != UpdateKind::Delta) {
         keep_unreadable(list, out);
     }
     return out;
 }
 
 // Whose entry can't be read is named all the same: a whole list does not say that it is gone.
-void Servers::keep_unreadable(const InstanceList& list, ev::List& out) {
+void ServerIds::keep_unreadable(const InstanceList& list, event::EndpointListUpdate& out) {
     for (const std::string& id : list.unreadable) {
         const auto it = by_id_.find(id);
         if (it == by_id_.end() || !it->second.gone || it->second.row.state == ServerState::Gone) {
             continue;
         }
         it->second.gone = false;
-        out.rows.push_back(it->second.row);
+        out.endpoints.push_back(it->second.row);
     }
 }
 
-bool Servers::any() const {
+bool ServerIds::any() const {
     return std::any_of(by_id_.begin(), by_id_.end(),
                        [](const auto& one) { return !one.second.gone; });
 }
 
-std::optional<ServerId> Servers::number(std::string_view id) const {
+std::optional<ServerId> ServerIds::number(std::string_view id) const {
     const auto it = by_id_.find(id);
     return it == by_id_.end() ? std::nullopt : std::optional(it->second.row.server);
 }
 
-const std::string& Servers::id(ServerId server) const {
+const std::string& ServerIds::id(ServerId server) const {
     static const std::string none;
     const auto it = ids_.find(server);
     return it == ids_.end() ? none : it->second;
 }
 
-void Servers::forget(Micros now, const std::function<bool(ServerId)>& named) {
+void ServerIds::forget(Micros now, const std::function<bool(ServerId)>& named) {
     for (auto it = by_id_.begin(); it != by_id_.end();) {
         const Known& known = it->second;
         if (!known.gone || now - known.gone_since < kRemembered || named(known.row.server)) {
--- a/src/platform/servers.h
+++ b/src/platform/server_ids.h
@@ -9,18 +9,19 @@
 #include <string_view>
 
 #include "platform/config.h"
-#include "types.h"
+#include "policy/event.h"
+#include "policy/ids.h"
 
 namespace badgergrade::platform {
 
-class Servers {
+class ServerIds {
 public:
     // `wall_ahead`: Unix time less the module's clock, read once, so that each start has one stable
     // time.
-    Servers(const Names& names, Micros wall_ahead) : names_(names), wall_ahead_(wall_ahead) {}
+    ServerIds(const Names& names, Micros wall_ahead) : names_(names), wall_ahead_(wall_ahead) {}
 
     // The list as the module is told it. New ids get numbers; one that comes back keeps its own.
-    ev::List take(const InstanceList& list, ListForm form, Micros now);
+    event::EndpointListUpdate take(const InstanceList& list, UpdateKind form, Micros now);
 
     std::optional<ServerId> number(std::string_view id) const;
     // Empty where there is none.
@@ -37,13 +38,13 @@
 
 private:
     struct Known {
-        ServerRow row;  // as the module was told last
+        Endpoint row;  // as the module was told last
         bool gone = false;
         Micros gone_since{};
     };
 
     ServerId new_number();
-    void keep_unreadable(const InstanceList& list, ev::List& out);
+    void keep_unreadable(const InstanceList& list, event::EndpointListUpdate& out);
     Micros start_of(double started_ms) const;
 
     const Names& names_;
--- a/src/node/config_reload.h
+++ b/src/platform_server/config_reload.h
@@ -12,14 +12,14 @@
 #include "log/log.h"
 #include "platform/config.h"
 
-namespace badgergrade::node {
+namespace badgergrade::platform_server {
 
 class ConfigReload {
 public:
     using Read = std::function<platform::NodeConfig()>;  // throws what says why it can't be read
     using Apply = std::function<void(const platform::NodeConfig&)>;
 
-    ConfigReload(base::Clock& clock, base::ActorId actor, log::Voice log, Read read, Apply apply)
+    ConfigReload(base::Clock& clock, base::ActorId actor, log::Logger log, Read read, Apply apply)
         : clock_(clock),
           log_(std::move(log)),
           read_(std::move(read)),
@@ -60,7 +60,7 @@
     }
 
     base::Clock& clock_;
-    log::Voice log_;
+    log::Logger log_;
     Read read_;
     Apply apply_;
     base::Timer again_;
@@ -68,4 +68,4 @@
     bool told_ = false;
 };
 
-}  // namespace badgergrade::node
+}  // namespace badgergrade::platform_server
--- a/src/node/discovery_watch.cpp
+++ b/src/platform_server/discovery_watch.cpp
@@ -1,9 +1,9 @@
-#include "node/discovery_watch.h"
+#include "platform_server/discovery_watch.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace badgergrade::node {
+namespace badgergrade::platform_server {
 
 using namespace std::chrono_literals;
 
@@ -89,7 +89,7 @@
     platform::InstanceList list;
     try {
         list = platform::read_instances(outcome.response.body);
-    } catch (const platform::Unreadable& wrong) {
+    } catch (const platform::ParseError& wrong) {
         return later(std::string("the answer can't be read: ") + wrong.what());
     }
     if (list.whole && list.instances.empty() && list.unreadable.empty() && knows_servers &&
@@ -122,4 +122,4 @@
     }
 }
 
-}  // namespace badgergrade::node
+}  // namespace badgergrade::platform_server
--- a/src/node/discovery_watch.h
+++ b/src/platform_server/discovery_watch.h
@@ -11,7 +11,7 @@
 #include "net/http_server.h"
 #include "platform/config.h"
 
-namespace badgergrade::node {
+namespace badgergrade::platform_server {
 
 class DiscoveryWatch {
 public:
@@ -48,7 +48,7 @@
     std::string host_;
     net::Address at_;
     std::uint64_t generation_;
-    base::Chance chance_;
+    base::SequentialRandom chance_;
     std::unique_ptr<net::HttpPool> pool_;
     net::HttpPool::TryId now_ = 0;
     base::Timer again_;
@@ -56,4 +56,4 @@
     bool ask_whole_ = false;
 };
 
-}  // namespace badgergrade::node
+}  // namespace badgergrade::platform_server
--- a/src/node/open_marks.h
+++ b/src/platform_server/pending_acks.h
@@ -5,15 +5,15 @@
 #include <algorithm>
 #include <deque>
 
-#include "types.h"
+#include "policy/ids.h"
 
-namespace badgergrade::node {
+namespace badgergrade::platform_server {
 
-class OpenMarks {
+class PendingAcks {
 public:
     enum class Answer { Awaited, Late, Unknown };
 
-    void written(MarkId mark) {
+    void written(ConfigVersion mark) {
         open_.push_back(mark);
         if (open_.size() > kMost) {
             open_.pop_front();
@@ -23,7 +23,7 @@
 
     // A mark is answered once. Where some were forgotten, an answer to none that is known may be a
     // late one.
-    Answer answered(MarkId mark) {
+    Answer answered(ConfigVersion mark) {
         const auto it = std::find(open_.begin(), open_.end(), mark);
         if (it == open_.end()) {
             return forgot_ ? Answer::Late : Answer::Unknown;
@@ -36,8 +36,8 @@
 
 private:
     static constexpr std::size_t kMost = 256;
-    std::deque<MarkId> open_;
+    std::deque<ConfigVersion> open_;
     bool forgot_ = false;
 };
 
-}  // namespace badgergrade::node
+}  // namespace badgergrade::platform_server
--- a/src/node/service.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -1,4 +1,4 @@
-#include "node/service.h"
+#include "platform_server/platform_server.h"
 
 #include <algorithm>
 #include <asio/error.hpp>
@@ -7,9 +7,9 @@
 #include <utility>
 
 #include "base/real_clock.h"
-#include "platform/orders_text.h"
+#include "platform/config_writer.h"
 
-namespace badgergrade::node {
+namespace badgergrade::platform_server {
 
 using namespace std::chrono_literals;
 
@@ -35,8 +35,8 @@
 
 }  // namespace
 
-Service::Service(net::Loop& loop, base::ActorId actor, const platform::NodeConfig& config,
-                 log::Log& log, Micros wall_ahead)
+PlatformServer::PlatformServer(net::Loop& loop, base::ActorId actor,
+                               const platform::NodeConfig& config, log::Log& log, Micros wall_ahead)
     : clock_(loop.clock()),
       log_(log, config.name),
       config_(config),
@@ -49,11 +49,11 @@
       listen_again_(clock_, actor),
       listen_until_(clock_.now() + kListenFor),
       discovery_(loop, actor, config.name, config.discovery, config.known.generation, config.seed) {
-    driver_.on_actions = [this](std::vector<Action> actions) {
+    driver_.on_actions = [this](std::vector<Command> actions) {
         carry_out(actions);
     };
     discovery_.on_list = [this](const platform::InstanceList& list) {
-        on_list(list, list.whole ? ListForm::Full : ListForm::Delta);
+        on_list(list, list.whole ? UpdateKind::Snapshot : UpdateKind::Delta);
     };
     discovery_.on_trouble = [this](const std::string& why) {
         warn("discovery.trouble", {{"at", net::to_text(discovery_.at())}, {"why", why}});
@@ -62,7 +62,7 @@
         return servers_.any();
     };
     // The list as it was last held comes before anything else.
-    on_list(config_.known, ListForm::Cached);
+    on_list(config_.known, UpdateKind::Cached);
     config_.known = {};
     make_listener_ = [this, &loop, actor] {
         return std::make_unique<net::Listener>(
@@ -75,7 +75,7 @@
     look();
 }
 
-void Service::listen() {
+void PlatformServer::listen() {
     try {
         listener_ = make_listener_();
     } catch (const std::system_error& wrong) {
@@ -98,11 +98,11 @@
                                {"servers", servers_.size()}});
 }
 
-Service::~Service() {
+PlatformServer::~PlatformServer() {
     stop();
 }
 
-void Service::stop() {
+void PlatformServer::stop() {
     if (std::exchange(stopping_, true)) {
         return;
     }
@@ -127,7 +127,7 @@
     streams_.clear();
 }
 
-void Service::reload(const platform::NodeConfig& config) {
+void PlatformServer::reload(const platform::NodeConfig& config) {
     if (stopping_) {
         return;
     }
@@ -145,7 +145,7 @@
     }
 }
 
-Figures Service::figures() const {
+Figures PlatformServer::figures() const {
     Figures out = figures_;
     out.connections = connections_.size();
     out.strangers = strangers_.size();
@@ -156,7 +156,7 @@
     return out;
 }
 
-void Service::warn(std::string_view event, std::initializer_list<log::Field> fields) {
+void PlatformServer::warn(std::string_view event, std::initializer_list<log::Field> fields) {
     std::int64_t unsaid = 0;
     if (!limit_.allows(event, clock_.now(), unsaid)) {
         return;
@@ -169,7 +169,7 @@
 
 // ---- connections
 
-void Service::accept(net::StreamPtr stream) {
+void PlatformServer::accept(net::StreamPtr stream) {
     make_room();
     if (connections_.size() >= connections_most_) {
         warn("connection.no_room",
@@ -192,7 +192,7 @@
 
 // Whoever only holds a place loses it to a newcomer, the oldest first: a proxy that wants to join
 // always finds one.
-void Service::make_room() {
+void PlatformServer::make_room() {
     while (connections_.size() >= connections_most_) {
         if (!leaving_.empty()) {
             end(leaving_.front(), "its place is wanted");
@@ -207,13 +207,13 @@
 // Whether a stranger has not said who it is. What it said may lie unread since this governor was
 // busy with others, for as long as a whole time-out where hundreds dial at once on part of a core:
 // that is not the peer's lateness.
-bool Service::still_silent(ConnectionId id) {
+bool PlatformServer::still_silent(ConnectionId id) {
     const net::StreamPtr stream = connections_.at(id).stream;
     stream->take_unread();
     return strangers_.contains(id);
 }
 
-void Service::end_strangers() {
+void PlatformServer::end_strangers() {
     strangers_timer_.after(kStrangersLook, [this] { end_strangers(); });
     end_leaving();
     const Micros now = clock_.now();
@@ -228,14 +228,14 @@
     }
 }
 
-void Service::end_leaving() {
+void PlatformServer::end_leaving() {
     while (!leaving_.empty() &&
            clock_.now() - connections_.at(leaving_.front()).since >= kLeaveWithin) {
         end(leaving_.front(), "was refused");
     }
 }
 
-void Service::refuse(ConnectionId id, const std::string& why) {
+void PlatformServer::refuse(ConnectionId id, const std::string& why) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) {
         return;
@@ -254,7 +254,7 @@
     connection.stream->finish_sending();
 }
 
-void Service::end(ConnectionId id, const std::string& why) {
+void PlatformServer::end(ConnectionId id, const std::string& why) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) {
         return;
@@ -270,24 +270,25 @@
 }
 
 // Nothing of what this connection stood for is left.
-void Service::give_up(ConnectionId id, const Connection& connection, const std::string& why) {
+void PlatformServer::give_up(ConnectionId id, const Connection& connection,
+                             const std::string& why) {
     strangers_.erase(id);
     held_bytes_ -= connection.reader.held();
     if (connection.role == Role::Proxy) {
-        log_.info(
-            "proxy.left",
-            {{"proxy", connection.proxy.v}, {"why", why}, {"unanswered", connection.marks.size()}});
+        log_.info("proxy.left", {{"proxy", connection.proxy.value},
+                                 {"why", why},
+                                 {"unanswered", connection.marks.size()}});
         forget_proxy(id, connection);
     } else if (connection.role == Role::Collector) {
         log_.info("collector.left",
-                  {{"zone", config_.names.zones[static_cast<std::size_t>(connection.zone.v)]},
+                  {{"zone", config_.names.zones[static_cast<std::size_t>(connection.zone.value)]},
                    {"why", why}});
         collectors_[connection.zone].erase(id);
     }
 }
 
 // The newest stream of a proxy stands: the end of an older one, seen late, does not unjoin it.
-void Service::forget_proxy(ConnectionId id, const Connection& connection) {
+void PlatformServer::forget_proxy(ConnectionId id, const Connection& connection) {
     const auto stands = streams_.find(connection.proxy);
     if (stands == streams_.end() || stands->second != id) {
         return;
@@ -296,13 +297,13 @@
     orders_.left(connection.proxy);
     ++figures_.leaves;
     if (!stopping_) {
-        driver_.tell(ev::Left{connection.proxy});
+        driver_.tell(event::ProxyDisconnected{connection.proxy});
     }
 }
 
 // ---- messages
 
-void Service::came(ConnectionId id, std::string_view bytes) {
+void PlatformServer::came(ConnectionId id, std::string_view bytes) {
     for (;;) {
         const auto it = connections_.find(id);
         if (it == connections_.end() || it->second.role == Role::Leaving) {
@@ -319,7 +320,7 @@
     }
 }
 
-void Service::check_reader(ConnectionId id, const resp::Reader& reader) {
+void PlatformServer::check_reader(ConnectionId id, const resp::Reader& reader) {
     if (!reader.error().empty()) {
         return refuse(id, "can't be read: " + reader.error());
     }
@@ -328,7 +329,7 @@
     }
 }
 
-void Service::handle(ConnectionId id, Connection& connection, const resp::Message& raw) {
+void PlatformServer::handle(ConnectionId id, Connection& connection, const resp::Message& raw) {
     try {
         const platform::Message message = platform::read_message(raw, config_.names, servers_);
         if (std::holds_alternative<platform::Ping>(message)) {
@@ -344,7 +345,7 @@
             case Role::Leaving:
                 return;
         }
-    } catch (const platform::Spoilt& wrong) {
+    } catch (const platform::InvalidMessage& wrong) {
         ++figures_.spoilt;
         const std::string kind = raw.words.empty() ? "" : raw.words.front().substr(0, 20);
         if (connection.role == Role::Stranger) {
@@ -355,7 +356,7 @@
     }
 }
 
-void Service::answer_ping(ConnectionId id, Connection& connection) {
+void PlatformServer::answer_ping(ConnectionId id, Connection& connection) {
     std::string pong;
     resp::write(pong, {"PONG"});
     connection.stream->write(pong);
@@ -364,9 +365,9 @@
     }
 }
 
-void Service::handle_stranger(ConnectionId id, Connection& connection,
-                              const platform::Message& message) {
-    if (const auto* joined = std::get_if<ev::Joined>(&message)) {
+void PlatformServer::handle_stranger(ConnectionId id, Connection& connection,
+                                     const platform::Message& message) {
+    if (const auto* joined = std::get_if<event::ProxyConnected>(&message)) {
         return join(id, connection, *joined);
     }
     const auto* source = std::get_if<platform::Source>(&message);
@@ -376,14 +377,15 @@
     add_collector(id, connection, source->zone);
 }
 
-void Service::add_collector(ConnectionId id, Connection& connection, ZoneId zone) {
+void PlatformServer::add_collector(ConnectionId id, Connection& connection, ZoneId zone) {
     strangers_.erase(id);
     connection.role = Role::Collector;
     connection.zone = zone;
     connection.since = clock_.now();
     connection.reader.set_limits({});
-    log_.info("collector.joined", {{"zone", config_.names.zones[static_cast<std::size_t>(zone.v)]},
-                                   {"peer", connection.stream->peer()}});
+    log_.info("collector.joined",
+              {{"zone", config_.names.zones[static_cast<std::size_t>(zone.value)]},
+               {"peer", connection.stream->peer()}});
     std::set<ConnectionId>& all = collectors_[zone];
     const auto longest_silent = [&](ConnectionId a, ConnectionId b) {
         return connections_.at(a).since < connections_.at(b).since;
@@ -395,7 +397,8 @@
     all.insert(id);
 }
 
-void Service::join(ConnectionId id, Connection& connection, const ev::Joined& joined) {
+void PlatformServer::join(ConnectionId id, Connection& connection,
+                          const event::ProxyConnected& joined) {
     strangers_.erase(id);
     connection.role = Role::Proxy;
     connection.proxy = joined.proxy;
@@ -406,97 +409,97 @@
     streams_[joined.proxy] = id;
     orders_.joined(joined.proxy);
     ++figures_.joins;
-    log_.info("proxy.joined", {{"proxy", joined.proxy.v},
-                               {"zone", joined.zone.v},
-                               {"fresh", joined.fresh},
+    log_.info("proxy.joined", {{"proxy", joined.proxy.value},
+                               {"zone", joined.zone.value},
+                               {"fresh", joined.fresh_start},
                                {"peer", connection.stream->peer()}});
     driver_.tell(joined);
 }
 
-void Service::handle_proxy(Connection& connection, const platform::Message& message) {
-    if (const auto* applied = std::get_if<ev::Applied>(&message)) {
+void PlatformServer::handle_proxy(Connection& connection, const platform::Message& message) {
+    if (const auto* applied = std::get_if<event::ConfigAcknowledged>(&message)) {
         if (applied->proxy != connection.proxy) {
-            throw platform::Spoilt("an ACK in another proxy's name");
+            throw platform::InvalidMessage("an ACK in another proxy's name");
         }
-        const OpenMarks::Answer answer = connection.marks.answered(applied->mark);
-        if (answer == OpenMarks::Answer::Unknown) {
-            throw platform::Spoilt("an ACK of a mark that was not written on this stream");
+        const PendingAcks::Answer answer = connection.marks.answered(applied->version);
+        if (answer == PendingAcks::Answer::Unknown) {
+            throw platform::InvalidMessage("an ACK of a mark that was not written on this stream");
         }
-        if (answer == OpenMarks::Answer::Late) {
+        if (answer == PendingAcks::Answer::Late) {
             return;
         }
         ++figures_.applied;
         driver_.tell(*applied);
-    } else if (const auto* demand = std::get_if<ev::Demand>(&message)) {
+    } else if (const auto* demand = std::get_if<event::ProxyDemandReport>(&message)) {
         if (demand->proxy != connection.proxy) {
-            throw platform::Spoilt("a RATE in another proxy's name");
+            throw platform::InvalidMessage("a RATE in another proxy's name");
         }
-        log_.debug("asked", {{"proxy", demand->proxy.v},
-                             {"operation", demand->op.v},
-                             {"tries", demand->count},
-                             {"failed", demand->errored},
-                             {"span_us", demand->span.count()}});
+        log_.debug("asked", {{"proxy", demand->proxy.value},
+                             {"operation", demand->operation.value},
+                             {"tries", demand->attempts},
+                             {"failed", demand->failures},
+                             {"span_us", demand->interval.count()}});
         driver_.tell(*demand);
     } else {
-        throw platform::Spoilt("a message that is not a proxy's");
+        throw platform::InvalidMessage("a message that is not a proxy's");
     }
 }
 
-void Service::handle_collector(Connection& connection, const platform::Message& message) {
+void PlatformServer::handle_collector(Connection& connection, const platform::Message& message) {
     connection.since = clock_.now();
-    if (const auto* heard = std::get_if<ev::Heard>(&message)) {
+    if (const auto* heard = std::get_if<event::ServerLoadReport>(&message)) {
         if (heard->zone != connection.zone) {
-            throw platform::Spoilt("a LOAD of another zone");
+            throw platform::InvalidMessage("a LOAD of another zone");
         }
-        log_.debug("heard", {{"zone", heard->zone.v},
+        log_.debug("heard", {{"zone", heard->zone.value},
                              {"server", servers_.id(heard->server)},
-                             {"number", heard->server.v},
-                             {"tries", heard->tries},
-                             {"failed", heard->errored},
-                             {"mean_us", heard->mean.count()},
-                             {"span_us", heard->span.count()}});
+                             {"number", heard->server.value},
+                             {"tries", heard->attempts},
+                             {"failed", heard->failures},
+                             {"mean_us", heard->mean_latency.count()},
+                             {"span_us", heard->interval.count()}});
         driver_.tell(*heard);
-    } else if (const auto* demand = std::get_if<ev::Demand>(&message)) {
+    } else if (const auto* demand = std::get_if<event::ProxyDemandReport>(&message)) {
         driver_.tell(*demand);
     } else {
-        throw platform::Spoilt("a message that is not a collector's");
+        throw platform::InvalidMessage("a message that is not a collector's");
     }
 }
 
 // ---- the list
 
-void Service::on_list(const platform::InstanceList& list, ListForm form) {
-    const ev::List event = servers_.take(list, form, clock_.now());
+void PlatformServer::on_list(const platform::InstanceList& list, UpdateKind form) {
+    const event::EndpointListUpdate event = servers_.take(list, form, clock_.now());
     std::size_t ready = 0;
-    for (const ServerRow& row : event.rows) {
+    for (const Endpoint& row : event.endpoints) {
         ready += row.state == ServerState::Ready;
     }
     log_.info("list.taken", {{"generation", list.generation},
-                             {"whole", form != ListForm::Delta},
-                             {"rows", event.rows.size()},
+                             {"whole", form != UpdateKind::Delta},
+                             {"rows", event.endpoints.size()},
                              {"ready", ready}});
     driver_.tell(event);
 }
 
 // ---- orders
 
-void Service::carry_out(const std::vector<Action>& actions) {
-    for (const Action& action : actions) {
-        if (const auto* line = std::get_if<act::Log>(&action)) {
+void PlatformServer::carry_out(const std::vector<Command>& actions) {
+    for (const Command& action : actions) {
+        if (const auto* line = std::get_if<command::LogMessage>(&action)) {
             log_.info("module.says", {{"text", line->text}});
         }
     }
     std::vector<std::string> refused;
-    const std::vector<drive::Order> orders = orders_.take(actions, refused);
+    const std::vector<runtime::ProxyUpdate> orders = orders_.take(actions, refused);
     for (const std::string& why : refused) {
         warn("order.refused", {{"why", why}});
     }
     // Proxies with the same order get the same bytes.
-    std::map<
-        std::tuple<std::vector<drive::TablePartPtr>, std::vector<ServerId>, std::vector<ServerId>>,
-        std::optional<std::string>>
+    std::map<std::tuple<std::vector<runtime::TableUpdatePtr>, std::vector<ServerId>,
+                        std::vector<ServerId>>,
+             std::optional<std::string>>
         written;
-    for (const drive::Order& order : orders) {
+    for (const runtime::ProxyUpdate& order : orders) {
         const auto [known, fresh] = written.try_emplace({order.parts, order.out, order.back});
         if (fresh) {
             known->second = platform::to_config(order, config_.names, servers_);
@@ -504,13 +507,13 @@
         if (known->second) {
             send(order, *known->second);
         } else {
-            warn("order.refused",
-                 {{"why", "takes more parts than a message may have"}, {"proxy", order.proxy.v}});
+            warn("order.refused", {{"why", "takes more parts than a message may have"},
+                                   {"proxy", order.proxy.value}});
         }
     }
 }
 
-void Service::send(const drive::Order& order, const std::string& bytes) {
+void PlatformServer::send(const runtime::ProxyUpdate& order, const std::string& bytes) {
     const auto stands = streams_.find(order.proxy);
     if (stands == streams_.end()) {
         return;
@@ -527,7 +530,7 @@
     }
 }
 
-void Service::look() {
+void PlatformServer::look() {
     look_.after(kLook, [this] { look(); });
     servers_.forget(clock_.now(), [this](ServerId server) { return orders_.names(server); });
     const Figures now = figures();
@@ -546,4 +549,4 @@
                              {"memory_kb", base::process_memory_bytes() / 1024}});
 }
 
-}  // namespace badgergrade::node
+}  // namespace badgergrade::platform_server
--- a/src/node/service.h
+++ b/src/platform_server/platform_server.h
@@ -10,19 +10,19 @@
 #include <string>
 #include <vector>
 
-#include "drive/driver.h"
-#include "drive/orders.h"
 #include "log/log.h"
+#include "log/log_rate_limiter.h"
 #include "net/network.h"
-#include "node/discovery_watch.h"
-#include "node/line_limit.h"
-#include "node/open_marks.h"
 #include "platform/config.h"
-#include "platform/messages.h"
-#include "platform/servers.h"
+#include "platform/message_reader.h"
+#include "platform/server_ids.h"
+#include "platform_server/discovery_watch.h"
+#include "platform_server/pending_acks.h"
 #include "resp/resp.h"
+#include "runtime/config_state.h"
+#include "runtime/policy_runner.h"
 
-namespace badgergrade::node {
+namespace badgergrade::platform_server {
 
 struct Figures {
     std::int64_t joins = 0, leaves = 0, orders = 0, applied = 0, spoilt = 0, refused = 0;
@@ -34,15 +34,15 @@
     using std::runtime_error::runtime_error;
 };
 
-class Service {
+class PlatformServer {
 public:
     // Listens at once, or once the life before has let go of the address: it is asked for again for
     // a while. Throws CannotListen where it can't be had, then out of the loop. `wall_ahead` is
     // Unix time less the loop's clock.
-    Service(net::Loop& loop, base::ActorId actor, const platform::NodeConfig& config, log::Log& log,
-            Micros wall_ahead);
-    ~Service();
-    Service(const Service&) = delete;
+    PlatformServer(net::Loop& loop, base::ActorId actor, const platform::NodeConfig& config,
+                   log::Log& log, Micros wall_ahead);
+    ~PlatformServer();
+    PlatformServer(const PlatformServer&) = delete;
 
     // Where it listens, or will once the address is free.
     net::Address address() const { return listener_ ? listener_->address() : config_.listen; }
@@ -67,7 +67,7 @@
         Micros since{};  // accepted, last heard (collectors), or leaving
         ProxyId proxy;
         ZoneId zone;
-        OpenMarks marks;
+        PendingAcks marks;
     };
 
     void listen();
@@ -81,7 +81,7 @@
     void handle_proxy(Connection& connection, const platform::Message& message);
     void handle_collector(Connection& connection, const platform::Message& message);
     void add_collector(ConnectionId id, Connection& connection, ZoneId zone);
-    void join(ConnectionId id, Connection& connection, const ev::Joined& joined);
+    void join(ConnectionId id, Connection& connection, const event::ProxyConnected& joined);
     void refuse(ConnectionId id, const std::string& why);
     void end(ConnectionId id, const std::string& why);
     void give_up(ConnectionId id, const Connection& connection, const std::string& why);
@@ -91,18 +91,18 @@
     void end_leaving();
     void look();
 
-    void on_list(const platform::InstanceList& list, ListForm form);
-    void carry_out(const std::vector<Action>& actions);
-    void send(const drive::Order& order, const std::string& bytes);
+    void on_list(const platform::InstanceList& list, UpdateKind form);
+    void carry_out(const std::vector<Command>& actions);
+    void send(const runtime::ProxyUpdate& order, const std::string& bytes);
     void warn(std::string_view event, std::initializer_list<log::Field> fields);
 
     base::Clock& clock_;
-    log::Voice log_;
-    LineLimit limit_;
+    log::Logger log_;
+    LogRateLimiter limit_;
     platform::NodeConfig config_;
-    platform::Servers servers_;
-    drive::OrderBook orders_;
-    drive::Driver driver_;
+    platform::ServerIds servers_;
+    runtime::ConfigState orders_;
+    runtime::PolicyRunner driver_;
     std::size_t connections_most_;
     std::map<ConnectionId, Connection> connections_;
     std::set<ConnectionId> strangers_;
@@ -120,4 +120,4 @@
     bool stopping_ = false;
 };
 
-}  // namespace badgergrade::node
+}  // namespace badgergrade::platform_server
--- a/src/logic.cpp
+++ b/src/policy/planner.cpp
@@ -1,4 +1,4 @@
-// The decisions of badgergrade. The interface is logic.h: make one Governor an instance, take()
+// The decisions of badgergrade. The interface is logic.h: make one Planner an instance, take()
 // each event, then decide() once a moment. The ordinary path is the zone allotment of the design
 // page (docs/design.md). Mechanisms beside the design, six at most:
 //   1. verdicts: servers that fail or crawl for a zone's proxies leave its table and come back by
@@ -16,7 +16,7 @@
 //      work; the same orders keep an own-zone table of cold servers from its zone's whole demand;
 //   6. channel guard: what is lost goes first, the rest in the portions that lines and messages
 //   bear.
-#include "logic.h"
+#include "policy/planner.h"
 
 #include <algorithm>
 #include <array>
@@ -29,7 +29,7 @@
 #include <set>
 #include <utility>
 
-namespace badgergrade {
+namespace badgergrade::policy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -162,8 +162,8 @@
     ZoneId zone;
     double told = 0;
     Micros since{}, left{};
-    std::map<OpId, Ring<Came, 8>> came;
-    std::map<OpMask, TableId> bound;
+    std::map<OperationId, Ring<Came, 8>> came;
+    std::map<OperationMask, TableId> bound;
     int shelf = -1;
     Ring<Came, 16> messages;
     std::deque<std::pair<int, double>> sent;  // lines by mark, until their answer comes
@@ -179,7 +179,7 @@
     std::map<ServerId, double> want, have;
     Micros pushed{};
     int mark = 0;
-    std::map<OpId, double> level_want, level_have;
+    std::map<OperationId, double> level_want, level_have;
 };
 
 struct Allotment {
@@ -209,7 +209,7 @@
     double carried = 0;
     double minimums = 0;
     for (const Share& s : servers) {
-        if (s.zone.v < 0 || s.zone.v >= static_cast<int>(zones)) {
+        if (s.zone.value < 0 || s.zone.value >= static_cast<int>(zones)) {
             out.full_because = "a server without a zone";
         }
         listed += s.listed;
@@ -236,7 +236,7 @@
     }
     for (const Share& s : servers) {
         out.at[s.server] = s.zone;
-        over[static_cast<std::size_t>(s.zone.v)] += s.carries;
+        over[static_cast<std::size_t>(s.zone.value)] += s.carries;
     }
     for (std::size_t moves = 0; moves < servers.size(); ++moves) {
         const auto most = std::max_element(over.begin(), over.end());
@@ -271,21 +271,21 @@
     }
     out.carried.assign(zones, 0.0);
     for (const Share& s : servers) {
-        out.carried[static_cast<std::size_t>(out.at[s.server].v)] += s.carries;
+        out.carried[static_cast<std::size_t>(out.at[s.server].value)] += s.carries;
     }
     return out;
 }
 
 }  // namespace
 
-struct Governor::Mind {
+struct Planner::Mind {
     std::ranlux24_base chance;
     // Derived at the start; the settings as told are not kept.
     int zones;
-    OpMask all_ops = 0, own_ops = 0, open_ops = 0;
-    Admit admit;
+    OperationMask all_ops = 0, own_ops = 0, open_ops = 0;
+    AdmissionMode admit;
     bool equal_weights, ask, slices, exclusive, gone_may_stay, only;
-    std::vector<OpId> cheap_first;
+    std::vector<OperationId> cheap_first;
     std::vector<double> work;
     double cold_from, fall_room;
     int proxies, messages_most;
@@ -312,34 +312,35 @@
     Micros rush_until{}, next_round{}, next_haste{}, next_shed{}, watch_at{}, drained_at{};
     double waiting = 0, unproven = 0, lost = 0, overtaken = 0;
     std::set<ProxyId> planned;
-    std::vector<Action> out;
+    std::vector<Command> out;
 
     Mind(const Settings& s, std::uint64_t seed, Micros now)
         : chance(static_cast<std::ranlux24_base::result_type>(seed ^ seed >> 32)),
-          zones(s.zones),
-          admit(s.admit),
-          equal_weights(s.listed == Listed::None || s.listed == Listed::Live),
-          ask(s.ask_for_list),
-          slices(s.slices > 0),
-          exclusive(s.exclusive),
-          gone_may_stay(s.gone_may_stay && s.slices == 0),
-          only(s.governors == 1),
-          cold_from(s.cold_from),
-          fall_room(s.fall_multiple / (s.pick == Pick::Two ? 2 : 1)),
-          proxies(s.proxies),
-          messages_most(s.messages_most),
-          cpu_at(static_cast<std::size_t>(std::ranges::find(s.load_columns, "cpu") -
-                                          s.load_columns.begin())),
-          cold_time(s.cold_time),
-          fall_time(s.fall_time),
-          messages_bucket(std::max(Micros{1000}, s.messages_window / 14)),
-          messages_gap(s.messages_most > 0 ? 2 * s.messages_window / s.messages_most : Micros{0}),
-          owner_wait(s.settle + s.way_most),
-          rate(std::max(1.0, s.channel_rate)),
-          head(s.head_lines),
-          lines_most(s.lines_most > 0 ? s.lines_most : 1e18),
-          idle_time(seconds(s.connection_idle)),
-          share(static_cast<std::size_t>(s.zones), 0.0),
+          zones(s.zone_count),
+          admit(s.admission_mode),
+          equal_weights(s.listed_weights == ListedWeights::None ||
+                        s.listed_weights == ListedWeights::Live),
+          ask(s.endpoints_on_request),
+          slices(s.shard_count > 0),
+          exclusive(s.exclusive_shards),
+          gone_may_stay(s.vanished_may_stay && s.shard_count == 0),
+          only(s.instance_count == 1),
+          cold_from(s.initial_capacity_fraction),
+          fall_room(s.overload_collapse_factor / (s.pick_policy == PickPolicy::LeastOfTwo ? 2 : 1)),
+          proxies(s.proxy_count),
+          messages_most(s.max_messages),
+          cpu_at(static_cast<std::size_t>(std::ranges::find(s.load_metric_names, "cpu") -
+                                          s.load_metric_names.begin())),
+          cold_time(s.slow_start_window),
+          fall_time(s.overload_collapse_time),
+          messages_bucket(std::max(Micros{1000}, s.message_window / 14)),
+          messages_gap(s.max_messages > 0 ? 2 * s.message_window / s.max_messages : Micros{0}),
+          owner_wait(s.shard_settle_time + s.max_network_delay),
+          rate(std::max(1.0, s.channel_lines_per_second)),
+          head(s.message_head_lines),
+          lines_most(s.max_queued_lines > 0 ? s.max_queued_lines : 1e18),
+          idle_time(seconds(s.connection_idle_timeout)),
+          share(static_cast<std::size_t>(s.zone_count), 0.0),
           shed(share),
           pressure(share),
           hurt(share.size(), 0),
@@ -351,64 +352,64 @@
         std::vector<double> value;
         for (std::size_t k = 0; k < s.operations.size(); ++k) {
             const Operation& op = s.operations[k];
-            const OpMask bit = OpMask{1} << k;
+            const OperationMask bit = OperationMask{1} << k;
             all_ops |= bit;
-            (op.own_zone ? own_ops : open_ops) |= bit;
+            (op.local_only ? own_ops : open_ops) |= bit;
             work.push_back(std::max(1e-3, seconds(op.latency_objective)));
-            value.push_back(op.billed_value / work.back());
+            value.push_back(op.priority_weight / work.back());
             cheap_first.push_back({static_cast<int>(k)});
             quick_objective = std::min(quick_objective, op.latency_objective);
         }
-        std::stable_sort(cheap_first.begin(), cheap_first.end(), [&](OpId a, OpId b) {
-            return value[static_cast<std::size_t>(a.v)] < value[static_cast<std::size_t>(b.v)];
+        std::stable_sort(cheap_first.begin(), cheap_first.end(), [&](OperationId a, OperationId b) {
+            return value[static_cast<std::size_t>(a.value)] <
+                   value[static_cast<std::size_t>(b.value)];
         });
     }
 
-    bool knows(ZoneId z) const { return z.v >= 0 && z.v < zones; }
+    bool knows(ZoneId z) const { return z.value >= 0 && z.value < zones; }
 
-    static std::size_t at(ZoneId z) { return static_cast<std::size_t>(z.v); }
+    static std::size_t at(ZoneId z) { return static_cast<std::size_t>(z.value); }
 
-    void log(std::string text) { out.emplace_back(act::Log{std::move(text)}); }
+    void log(std::string text) { out.emplace_back(command::LogMessage{std::move(text)}); }
 
-    TableId zone_table(ZoneId z) const { return {z.v}; }
+    TableId zone_table(ZoneId z) const { return {z.value}; }
 
     TableId full_table() const { return {zones}; }
 
-    TableId own_table(ZoneId z) const { return {zones + 1 + z.v}; }
+    TableId own_table(ZoneId z) const { return {zones + 1 + z.value}; }
 
     // Behind the tables of the design: the zone's shelves, each with one more for own-zone
     // operations.
     TableId shelf_table(ZoneId z, int shelf, bool own) const {
-        return {2 * zones + 1 + (z.v * kShelvesMost + shelf) * 2 + own};
+        return {2 * zones + 1 + (z.value * kShelvesMost + shelf) * 2 + own};
     }
 
-    void on(Micros now, const ev::List& e) {
-        if (e.form == ListForm::Failed) {
+    void on(Micros now, const event::EndpointListUpdate& e) {
+        if (e.kind == UpdateKind::WatchFailed) {
             return void(watching = false);
         }
-        if (e.form != ListForm::Delta) {
+        if (e.kind != UpdateKind::Delta) {
             for (auto& [id, server] : servers) {
                 vanish(server);
             }
         }
-        for (const ServerRow& row : e.rows) {
+        for (const Endpoint& row : e.endpoints) {
             const auto [it, fresh] = servers.try_emplace(row.server);
             Server& server = it->second;
             if (fresh) {
-                server.lot = std::generate_canonical < double;
-                24 > (chance);
+                server.lot = std::generate_canonical<double, 24>(chance);
             }
-            if (row.state == ServerState::Ready && server.started != row.started) {
+            if (row.state == ServerState::Ready && server.started != row.started_at) {
                 for (int z = 0; z < zones; ++z) {
                     standings.erase({ZoneId{z}, row.server});
                 }
             }
             const double weight = equal_weights || !(row.weight > 0) ? 1.0 : row.weight;
-            const Micros known = server.started == row.started ? server.known : now;
+            const Micros known = server.started == row.started_at ? server.known : now;
             if (row.state == ServerState::Gone) {
                 vanish(server);
             } else {
-                server = {row.zone, row.state, weight, row.started, known, false, server.lot};
+                server = {row.zone, row.state, weight, row.started_at, known, false, server.lot};
             }
         }
     }
@@ -430,7 +431,7 @@
             }
             Met last;
             Met all;
-            for (ZoneId z{0}; z.v < zones; ++z.v) {
+            for (ZoneId z{0}; z.value < zones; ++z.value) {
                 if (const auto it = standings.find({z, id}); it != standings.end()) {
                     all += it->second.met.sum(now, kMetBucket);
                     last += it->second.met.sum(now, kMetBucket, kMetWindow);
@@ -447,22 +448,22 @@
     template <class Unused>
     void on(Micros, const Unused&) {}
 
-    void on(Micros, const ev::Timer&) { beating = false; }
+    void on(Micros, const event::TimerFired&) { beating = false; }
 
-    void on(Micros now, const ev::Joined& e) {
+    void on(Micros now, const event::ProxyConnected& e) {
         Proxy& proxy = fleet[e.proxy];
         proxy.joined = true;
         proxy.zone = e.zone;
-        proxy.told = e.rate;
+        proxy.told = e.announced_rate;
         proxy.bound.clear();
         proxy.messages = {};
-        if (e.fresh) {
+        if (e.fresh_start) {
             proxy.since = now;
             proxy.came.clear();
         }
     }
 
-    void on(Micros now, const ev::Left& e) {
+    void on(Micros now, const event::ProxyDisconnected& e) {
         const auto it = fleet.find(e.proxy);
         if (it == fleet.end()) {
             return;
@@ -473,52 +474,53 @@
         left_channel(it->second, mark, false);
     }
 
-    void on(Micros now, const ev::Heard& e) {
+    void on(Micros now, const event::ServerLoadReport& e) {
         const auto it = servers.find(e.server);
         if (it == servers.end() || !knows(e.zone)) {
             return;
         }
-        Met met{static_cast<double>(e.tries), static_cast<double>(std::min(e.errored, e.tries)), 0};
-        met.time = seconds(e.mean) * (met.tries - met.errored);
-        met.used = met.tries * (cpu_at < e.load.size() ? e.load[cpu_at] : 1);
+        Met met{static_cast<double>(e.attempts),
+                static_cast<double>(std::min(e.failures, e.attempts)), 0};
+        met.time = seconds(e.mean_latency) * (met.tries - met.errored);
+        met.used = met.tries * (cpu_at < e.load_metrics.size() ? e.load_metrics[cpu_at] : 1);
         standings[{e.zone, e.server}].met.at(now, kMetBucket) += met;
     }
 
-    void on(Micros now, const ev::Demand& e) {
+    void on(Micros now, const event::ProxyDemandReport& e) {
         const auto it = fleet.find(e.proxy);
-        if (it == fleet.end() || e.span <= Micros{0}) {
+        if (it == fleet.end() || e.interval <= Micros{0}) {
             return;
         }
         // A restarted proxy's first sums reach back over the time it was dead; taken whole, its
         // zone seemed to ask for a fifth and lost its servers (bkk-render, rule hunt hbad0d9).
         const Micros span = std::max(now - it->second.since, kDemandBucket);
-        it->second.came[e.op].at(now, kDemandBucket) +=
-            {static_cast<double>(e.count), seconds(std::min(span, e.span))};
+        it->second.came[e.operation].at(now, kDemandBucket) +=
+            {static_cast<double>(e.attempts), seconds(std::min(span, e.interval))};
     }
 
-    void on(Micros, const ev::SliceGiven& e) {
-        if (e.given) {
-            tables[e.slice] = {};
+    void on(Micros, const event::ShardAssignmentChanged& e) {
+        if (e.assigned) {
+            tables[e.shard] = {};
         } else {
-            tables.erase(e.slice);
+            tables.erase(e.shard);
         }
-        vacant.erase(e.slice);
+        vacant.erase(e.shard);
     }
 
-    void on(Micros, const ev::SliceLine& e) {
-        if (const auto it = tables.find(e.slice); it != tables.end()) {
+    void on(Micros, const event::ShardReplica& e) {
+        if (const auto it = tables.find(e.shard); it != tables.end()) {
             it->second.have[e.server] = e.weight;
         }
     }
 
-    void on(Micros, const ev::Applied& e) {
+    void on(Micros, const event::ConfigAcknowledged& e) {
         if (const auto it = fleet.find(e.proxy); it != fleet.end()) {
-            left_channel(it->second, e.mark.v, true);
+            left_channel(it->second, e.version.value, true);
         }
-        if (lost > 0 || !after(e.mark.v, proven)) {
+        if (lost > 0 || !after(e.version.value, proven)) {
             return;
         }
-        proven = e.mark.v;
+        proven = e.version.value;
         for (auto& [id, proxy] : fleet) {
             left_channel(proxy, proven - 1, true);
         }
@@ -634,7 +636,7 @@
 
     int zones_without(ServerId id) const {
         int out = 0;
-        for (ZoneId z{0}; z.v < zones; ++z.v) {
+        for (ZoneId z{0}; z.value < zones; ++z.value) {
             out += is_out(z, id);
         }
         return out;
@@ -775,13 +777,14 @@
                 const auto n = [](double v) {
                     return std::to_string(std::lround(v));
                 };
-                log("server " + std::to_string(id.v) + " out of zone " + std::to_string(z.v) +
-                    ": errored " + n(met.errored) + " of " + n(met.tries) +
-                    " tries, answers take " + n(met.mean() * 1e3) + " ms, usual " +
+                log("server " + std::to_string(id.value) + " out of zone " +
+                    std::to_string(z.value) + ": errored " + n(met.errored) + " of " +
+                    n(met.tries) + " tries, answers take " + n(met.mean() * 1e3) + " ms, usual " +
                     n(usual_mean * 1e3));
             } else if (standing.phase == Phase::Trial && now >= standing.until) {
                 standing.phase = Phase::In;
-                log("server " + std::to_string(id.v) + " back in zone " + std::to_string(z.v));
+                log("server " + std::to_string(id.value) + " back in zone " +
+                    std::to_string(z.value));
             } else if (standing.phase == Phase::In && met.tries >= 4 * kFewTries) {
                 standing.stay = std::max(kOutFirst, standing.stay - kBeat);
             }
@@ -790,11 +793,11 @@
 
     // Of the zone's asked-for work the part `cut` stays out, the operation that bills least for its
     // work first. -1 as zone means all zones together.
-    void set_levels(Micros now, TableId id, int z, OpMask ops, double cut, double own_part) {
+    void set_levels(Micros now, TableId id, int z, OperationMask ops, double cut, double own_part) {
         std::vector<std::vector<double>> rates(work.size());
         double asked = 0;
         for (const auto& [pid, proxy] : fleet) {
-            if (!proxy.joined || (z >= 0 && proxy.zone.v != z)) {
+            if (!proxy.joined || (z >= 0 && proxy.zone.value != z)) {
                 continue;
             }
             for (std::size_t k = 0; k < work.size(); ++k) {
@@ -806,8 +809,8 @@
             }
         }
         double to_cut = cut * asked;
-        for (const OpId op : cheap_first) {
-            const auto k = static_cast<std::size_t>(op.v);
+        for (const OperationId op : cheap_first) {
+            const auto k = static_cast<std::size_t>(op.value);
             const double sum = std::accumulate(rates[k].begin(), rates[k].end(), 0.0);
             double in =
                 sum > 0 && to_cut > 0 ? std::max(kLeastIn, 1 - to_cut / (sum * work[k])) : 1;
@@ -816,9 +819,9 @@
                 continue;
             }
             in = std::floor(std::min(in, own_ops >> k & 1 ? own_part : 1.0) * 20) / 20;
-            tables[id].level_want[op] = admit == Admit::Share ? in
-                                        : in >= 1             ? kAnyRate
-                                                              : cap_for(rates[k], in);
+            tables[id].level_want[op] = admit == AdmissionMode::Fraction ? in
+                                        : in >= 1                        ? kAnyRate
+                                                                         : cap_for(rates[k], in);
         }
     }
 
@@ -838,7 +841,7 @@
     }
 
     void want_levels(Micros now) {
-        if (admit == Admit::None || work.empty()) {
+        if (admit == AdmissionMode::None || work.empty()) {
             return;
         }
         // An overload shows in a zone's middle server, whatever its cause; single bad ones do not
@@ -862,8 +865,8 @@
             }
         }
         set_levels(now, full_table(), -1, open_ops, heads > 0 ? mean / heads : 0, 1);
-        for (ZoneId z{0}; z.v < zones; ++z.v) {
-            set_levels(now, zone_table(z), z.v, open_ops, shed[at(z)], 1);
+        for (ZoneId z{0}; z.value < zones; ++z.value) {
+            set_levels(now, zone_table(z), z.value, open_ops, shed[at(z)], 1);
             if (!own_ops) {
                 continue;
             }
@@ -878,7 +881,7 @@
             // The last cold server of a lost hall met the own-zone calls of five (cnx-labels, a
             // fresh day).
             const double warm = std::min(1.0, 2 * carried / std::max(1e-9, share[at(z)] * all));
-            set_levels(now, own_table(z), z.v, own_ops, shed[at(z)], warm);
+            set_levels(now, own_table(z), z.value, own_ops, shed[at(z)], warm);
         }
     }
 
@@ -1001,7 +1004,7 @@
         // Whether spreading a hurt zone's demand has somewhere to go, as far as this governor
         // hears.
         const bool calm = std::count(hurt.begin(), hurt.end(), kCalm) > 0;
-        const double most = calm && admit != Admit::None ? kSpreadAt : kSpreadLateAt;
+        const double most = calm && admit != AdmissionMode::None ? kSpreadAt : kSpreadLateAt;
         if (next.full_because.empty() && worst_load(share, next.carried, true) > most) {
             next.full_because = "a zone stays over the ceiling after all moves";
         }
@@ -1045,7 +1048,7 @@
     // out).
     void refill(const std::vector<Share>& ready) {
         std::set<TableId> bare;
-        for (TableId t = full_table(); t.v <= 2 * zones; ++t.v) {
+        for (TableId t = full_table(); t.value <= 2 * zones; ++t.value) {
             if (tables[t].want.empty()) {
                 bare.insert(t);
             }
@@ -1065,7 +1068,7 @@
     // servers short of connections turn its tries away. While such a zone hurts, its table is dealt
     // into shelves by lot, and its proxies over the shelves.
     void deal(Micros now) {
-        for (ZoneId z{0}; z.v < zones; ++z.v) {
+        for (ZoneId z{0}; z.value < zones; ++z.value) {
             Dealt& d = dealt[at(z)];
             double asked = 0;
             double heads = 0;
@@ -1094,7 +1097,7 @@
                 d.shelves = 1;
             }
             if (d.shelves != was) {
-                log("zone " + std::to_string(z.v) + " dealt into " + std::to_string(d.shelves) +
+                log("zone " + std::to_string(z.value) + " dealt into " + std::to_string(d.shelves) +
                     " shelves");
             }
             for (auto& [id, proxy] : fleet) {
@@ -1184,8 +1187,8 @@
         }
     }
 
-    std::map<OpMask, TableId> binding(const Proxy& proxy) {
-        std::map<OpMask, TableId> wanted;
+    std::map<OperationMask, TableId> binding(const Proxy& proxy) {
+        std::map<OperationMask, TableId> wanted;
         const bool known = knows(proxy.zone);
         const bool whole = full || !known || tables[zone_table(proxy.zone)].want.empty();
         if (open_ops) {
@@ -1246,7 +1249,7 @@
             return;
         }
         mark = next_mark();
-        out.emplace_back(act::Mark{{mark}, false});
+        out.emplace_back(command::RequestAck{{mark}, false});
         for (const ProxyId id : planned) {
             fleet[id].messages.at(now, messages_bucket).count += 1;
         }
@@ -1286,19 +1289,20 @@
     // A table's difference, the most urgent first, and last what moved away, so that a part of it
     // leaves the table whole. Sent whole or not at all, a removal waited past the grace
     // (bkk-render-later, i918870).
-    std::vector<Action> due_lines(TableId id, const Table& table, std::size_t& urgent,
-                                  bool& soon) const {
-        std::vector<Action> lost;
-        std::vector<Action> added;
-        std::vector<Action> moved;
+    std::vector<Command> due_lines(TableId id, const Table& table, std::size_t& urgent,
+                                   bool& soon) const {
+        std::vector<Command> lost;
+        std::vector<Command> added;
+        std::vector<Command> moved;
         bool stays = false;
         for (const auto& [server, weight] : table.have) {
             if (table.want.contains(server)) {
                 stays = true;
             } else if (!listed_ready(server)) {
-                lost.emplace_back(act::Line{id, server, 0});
+                lost.emplace_back(command::SetWeight{id, server, 0});
             } else {
-                (zones_without(server) > 0 ? added : moved).emplace_back(act::Line{id, server, 0});
+                (zones_without(server) > 0 ? added : moved)
+                    .emplace_back(command::SetWeight{id, server, 0});
                 soon = true;
             }
         }
@@ -1308,14 +1312,15 @@
                 continue;
             }
             (it != table.have.end() && weight < it->second ? lost : added)
-                .emplace_back(act::Line{id, server, weight});
+                .emplace_back(command::SetWeight{id, server, weight});
         }
         for (const auto& [op, let_in] : table.level_want) {
             const auto it = table.level_have.find(op);
             if (it != table.level_have.end() && it->second == let_in) {
                 continue;
             }
-            added.emplace_back(act::Level{id, OpMask{1} << op.v, let_in, Again::AfterProof});
+            added.emplace_back(command::SetAdmission{id, OperationMask{1} << op.value, let_in,
+                                                     RetryMode::OnlyUnprocessed});
         }
         // A table that loses all it has gets newcomers before it is emptied.
         urgent = lost.empty() ? 0 : lost.size() + (stays ? 0 : added.size());
@@ -1341,7 +1346,7 @@
         }
         std::size_t count = 0;
         bool soon = false;
-        const std::vector<Action> lines = due_lines(id, table, count, soon);
+        const std::vector<Command> lines = due_lines(id, table, count, soon);
         // Removals go at once and newcomers with them, but only what is lost may use the reserve,
         // merged so that messages last (bkk-render-later, a rule-test day: verdicts had used up
         // what drains needed).
@@ -1365,14 +1370,15 @@
             return;
         }
         for (std::size_t k = 0; k < count; ++k) {
-            if (const auto* line = std::get_if<act::Line>(&lines[k])) {
+            if (const auto* line = std::get_if<command::SetWeight>(&lines[k])) {
                 if (line->weight > 0) {
                     table.have[line->server] = line->weight;
                 } else {
                     table.have.erase(line->server);
                 }
             } else {
-                const OpId op{std::countr_zero(std::get<act::Level>(lines[k]).ops)};
+                const OperationId op{
+                    std::countr_zero(std::get<command::SetAdmission>(lines[k]).operations)};
                 table.level_have[op] = table.level_want[op];
             }
             out.push_back(lines[k]);
@@ -1404,7 +1410,7 @@
         for (const auto& [ops, table] : wanted) {
             if (const auto it = proxy.bound.find(ops);
                 it == proxy.bound.end() || it->second != table) {
-                out.emplace_back(act::Bind{table, ops, id});
+                out.emplace_back(command::AssignTable{table, ops, id});
             }
         }
         proxy.bound = wanted;
@@ -1432,7 +1438,7 @@
                 if (held.contains(line.first)) {
                     return false;
                 }
-                out.emplace_back(act::Line{id, line.first, 0});
+                out.emplace_back(command::SetWeight{id, line.first, 0});
                 vacant[id] = exclusive ? now + owner_wait : now;
                 return true;
             });
@@ -1448,13 +1454,13 @@
             const auto least = std::min_element(held.begin(), held.end(), fewer);
             ++least->second;
             table.have[least->first] = 1;
-            out.emplace_back(act::Line{id, least->first, 1});
+            out.emplace_back(command::SetWeight{id, least->first, 1});
         }
     }
 
-    std::vector<Action> decide(Micros now) {
+    std::vector<Command> decide(Micros now) {
         if (ask && !watching && now >= watch_at) {
-            out.emplace_back(act::Watch{true});
+            out.emplace_back(command::WatchEndpoints{true});
             watching = true;
             watch_at = now + kRound;
         }
@@ -1475,25 +1481,25 @@
             emit(now);
         }
         if (!std::exchange(beating, true)) {
-            out.emplace_back(act::Timer{"beat", kBeat});
+            out.emplace_back(command::SetTimer{"beat", kBeat});
         }
         return std::exchange(out, {});
     }
 };
 
-Governor::Governor(const Settings& told, std::uint64_t seed, Micros now)
+Planner::Planner(const Settings& told, std::uint64_t seed, Micros now)
     : mind_(std::make_unique<Mind>(told, seed, now)) {}
 
-Governor::~Governor() = default;
-Governor::Governor(Governor&&) noexcept = default;
-Governor& Governor::operator=(Governor&&) noexcept = default;
+Planner::~Planner() = default;
+Planner::Planner(Planner&&) noexcept = default;
+Planner& Planner::operator=(Planner&&) noexcept = default;
 
-void Governor::take(Micros now, const Event& event) {
+void Planner::take(Micros now, const Event& event) {
     std::visit([&](const auto& e) { mind_->on(now, e); }, event);
 }
 
-std::vector<Action> Governor::decide(Micros now) {
+std::vector<Command> Planner::decide(Micros now) {
     return mind_->decide(now);
 }
 
-}  // namespace badgergrade
+}  // namespace badgergrade::policy
--- a/src/record/frames.cpp
+++ b/src/recording/frames.cpp
@@ -1,4 +1,4 @@
-#include "record/frames.h"
+#include "recording/frames.h"
 
 #include <xxhash.h>
 #include <zstd.h>
@@ -6,7 +6,7 @@
 #include <memory>
 #include <stdexcept>
 
-namespace badgergrade::record {
+namespace badgergrade::recording {
 
 namespace {
 
@@ -120,4 +120,4 @@
     return get(bytes, 0, 8);
 }
 
-}  // namespace badgergrade::record
+}  // namespace badgergrade::recording
--- a/src/record/frames.h
+++ b/src/recording/frames.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <string_view>
 
-namespace badgergrade::record {
+namespace badgergrade::recording {
 
 enum class FrameKind : char { Header = 'H', Block = 'B', Index = 'I' };
 
@@ -42,4 +42,4 @@
 std::string pack_trailer(std::uint64_t index_at);
 std::optional<std::uint64_t> read_trailer(std::string_view bytes);
 
-}  // namespace badgergrade::record
+}  // namespace badgergrade::recording
--- a/src/record/reader.cpp
+++ b/src/recording/reader.cpp
@@ -1,9 +1,9 @@
-#include "record/reader.h"
+#include "recording/reader.h"
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace badgergrade::record {
+namespace badgergrade::recording {
 
 Reader::Reader(const std::string& path) : path_(path), file_(path, std::ios::binary) {
     if (!file_) {
@@ -163,4 +163,4 @@
     }
 }
 
-}  // namespace badgergrade::record
+}  // namespace badgergrade::recording
--- a/src/record/reader.h
+++ b/src/recording/reader.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "record/frames.h"
-#include "record/writer.h"
+#include "recording/frames.h"
+#include "recording/writer.h"
 
-namespace badgergrade::record {
+namespace badgergrade::recording {
 
 struct BlockPlace {
     std::uint64_t at = 0;
@@ -70,4 +70,4 @@
     std::vector<Damage> damage_;
 };
 
-}  // namespace badgergrade::record
+}  // namespace badgergrade::recording
--- a/src/record/writer.cpp
+++ b/src/recording/writer.cpp
@@ -1,4 +1,4 @@
-#include "record/writer.h"
+#include "recording/writer.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -7,9 +7,9 @@
 #include <stdexcept>
 #include <system_error>
 
-#include "record/frames.h"
+#include "recording/frames.h"
 
-namespace badgergrade::record {
+namespace badgergrade::recording {
 
 namespace {
 
@@ -245,4 +245,4 @@
     return figures_;
 }
 
-}  // namespace badgergrade::record
+}  // namespace badgergrade::recording
--- a/src/record/writer.h
+++ b/src/recording/writer.h
@@ -16,7 +16,7 @@
 #include "badgergrade/recording/v1/recording.pb.h"
 #include "base/clock.h"
 
-namespace badgergrade::record {
+namespace badgergrade::recording {
 
 using base::Micros;
 namespace pb = badgergrade::recording::v1;
@@ -124,4 +124,4 @@
     std::thread thread_;
 };
 
-}  // namespace badgergrade::record
+}  // namespace badgergrade::recording
--- a/src/replay/merge.cpp
+++ b/src/replay/merge.cpp
@@ -12,8 +12,8 @@
 
 #include "base/random.h"
 #include "config/governor_config.h"
-#include "day/moves.h"
 #include "replay/recorder.h"
+#include "scenario/moves.h"
 
 namespace badgergrade::replay {
 
@@ -126,8 +126,8 @@
     }
 };
 
-Life read_life(const std::string& path, std::vector<record::Damage>& damage) {
-    record::Reader reader(path);
+Life read_life(const std::string& path, std::vector<recording::Damage>& damage) {
+    recording::Reader reader(path);
     Life out;
     out.header = reader.header();
     std::vector<config::Mistake> mistakes;
@@ -143,9 +143,9 @@
     }
     reader.each(Micros::min(), Micros::max(), [&](const pb::Block& block) {
         const auto name = [&](std::uint32_t n) {
-            return record::name_in(block, n);
+            return recording::name_in(block, n);
         };
-        record::each_record(block, [&](Micros at, const pb::Record& record) {
+        recording::each_record(block, [&](Micros at, const pb::Record& record) {
             out.last = std::max(out.last, at);
             if (!record.has_told()) {
                 return;
@@ -232,7 +232,7 @@
                    : config_.zones.front();
     }
 
-    void at(Micros when, day::Move move, bool opening = false) {
+    void at(Micros when, scenario::Move move, bool opening = false) {
         moves_.push_back({std::max(0us, when), opening, false, std::move(move)});
     }
 
@@ -339,27 +339,28 @@
         }
     }
 
-    standin::WorkerSettings worker(const std::string& id, const ServerSight& sight) const {
+    testbed::WorkerSettings worker(const std::string& id, const ServerSight& sight) const {
         const Settings& told = config_.told;
-        standin::WorkerSettings s;
-        const bool weighed = told.listed != Listed::None && told.listed != Listed::Live;
+        testbed::WorkerSettings s;
+        const bool weighed = told.listed_weights != ListedWeights::None &&
+                             told.listed_weights != ListedWeights::Live;
         s.id = id;
         s.zone = zone_name(sight.zone);
         s.cores = weighed ? std::clamp(static_cast<int>(std::lround(sight.weight)), 1, 256) : 2;
         // Whole weight is cores times speed; work is reckoned for a server of the middle speed.
         s.speed = std::max(0.05, sight.factor);
-        s.cold_from = told.cold_from;
-        s.cold_time = told.cold_time;
-        s.fall_multiple = told.fall_multiple;
-        s.fall_time = told.fall_time;
+        s.cold_from = told.initial_capacity_fraction;
+        s.cold_time = told.slow_start_window;
+        s.fall_multiple = told.overload_collapse_factor;
+        s.fall_time = told.overload_collapse_time;
         s.handshake_work = 10ms;
-        s.reports_load = !told.load_columns.empty();
+        s.reports_load = !told.load_metric_names.empty();
         s.report_every = 500ms;
         return s;
     }
 
     void open() {
-        using enum day::MoveKind;
+        using enum scenario::MoveKind;
         const auto& first = *lists_.front().second;
         for (const auto& row : first) {
             at(0us,
@@ -419,7 +420,7 @@
     }
 
     void follow_lists() {
-        using enum day::MoveKind;
+        using enum scenario::MoveKind;
         for (const auto& [when, rows] : lists_) {
             std::set<std::string> here;
             for (const auto& row : *rows) {
@@ -459,11 +460,11 @@
 
     void start(const std::string& server, Micros when, bool cold) {
         if (begun_.insert(server).second) {
-            at(when, {.kind = day::MoveKind::AddWorker,
+            at(when, {.kind = scenario::MoveKind::AddWorker,
                       .who = server,
                       .worker = worker(server, servers_.at(server))});
         }
-        at(when, {.kind = day::MoveKind::StartWorker, .who = server, .on = cold});
+        at(when, {.kind = scenario::MoveKind::StartWorker, .who = server, .on = cold});
         runs_.insert(server);
     }
 
@@ -513,16 +514,17 @@
                 }
             }
             for (const auto& span : spans) {
-                at(span.from,
-                   {.kind = day::MoveKind::TroubleWorker, .who = server, .trouble = span.trouble});
-                at(span.to, {.kind = day::MoveKind::TroubleWorker, .who = server});
+                at(span.from, {.kind = scenario::MoveKind::TroubleWorker,
+                               .who = server,
+                               .trouble = span.trouble});
+                at(span.to, {.kind = scenario::MoveKind::TroubleWorker, .who = server});
             }
         }
     }
 
     struct TroubledSpan {
         Micros from{}, to{};
-        standin::WorkerTrouble trouble;
+        testbed::WorkerTrouble trouble;
     };
 
     // Cold servers are slow by nature.
@@ -530,12 +532,12 @@
         const auto starts = starts_.find(server);
         return starts != starts_.end() &&
                std::any_of(starts->second.begin(), starts->second.end(), [&](Micros started) {
-                   return started <= now && now < started + config_.told.cold_time + 2s;
+                   return started <= now && now < started + config_.told.slow_start_window + 2s;
                });
     }
 
     void follow_streams() {
-        using enum day::MoveKind;
+        using enum scenario::MoveKind;
         for (const auto& [forwarder, all] : streams_) {
             for (std::size_t k = 0; k < all.size(); ++k) {
                 if (all[k]->joined) {
@@ -564,7 +566,7 @@
     }
 
     void follow_lives() {
-        using enum day::MoveKind;
+        using enum scenario::MoveKind;
         std::map<int, std::vector<const Life*>> by_governor;
         for (const Life& life : lives_) {
             by_governor[life.config.told.ordinal].push_back(&life);
@@ -625,7 +627,7 @@
             const std::int64_t first =
                 std::max<std::int64_t>(0, one->count - (again ? one->errored : 0));
             for (std::int64_t n = 0; n < first; ++n) {
-                base::Luck luck(lives_.front().header.seed(), ++number);
+                base::CounterRandom luck(lives_.front().header.seed(), ++number);
                 const Micros when =
                     one->at - Micros(std::llround(luck.part() *
                                                   static_cast<double>((one->at - from).count())));
@@ -673,7 +675,7 @@
         };
         std::ostringstream out;
         out << "length " << length_.count() << " us\nworkers " << servers_.size() << "\nforwarders "
-            << forwarders_.size() << "\ngovernors " << config_.told.governors << "\nrate "
+            << forwarders_.size() << "\ngovernors " << config_.told.instance_count << "\nrate "
             << std::max(0.001,
                         static_cast<double>(count) / (static_cast<double>(length_.count()) / 1e6))
             << "\n";
@@ -723,8 +725,8 @@
         for (const auto& note : merged_.notes) {
             header.add_notes(note);
         }
-        record::Writer writer(record::file_sink(path), header,
-                              {.when_full = record::WhenFull::Wait});
+        recording::Writer writer(recording::file_sink(path), header,
+                                 {.when_full = recording::WhenFull::Wait});
         auto move = moves_.begin();
         std::int64_t id = 0;
         const auto write_moves = [&](Micros until) {
@@ -778,7 +780,7 @@
     std::map<std::string, std::set<Micros>> starts_;  // by the chosen lists
     std::map<std::string, std::vector<const Sums*>> by_server_;
     std::map<std::string, std::vector<const StreamChange*>> streams_;
-    std::vector<day::TimedMove> moves_;
+    std::vector<scenario::TimedMove> moves_;
     std::set<std::string> runs_, begun_;
     std::map<std::string, ListedRow> listed_;
 };
--- a/src/replay/merge.h
+++ b/src/replay/merge.h
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-#include "record/reader.h"
+#include "recording/reader.h"
 
 namespace badgergrade::replay {
 
@@ -35,7 +35,7 @@
     std::vector<Alignment> clocks;
     std::vector<std::string> notes;
     std::uint64_t invocations = 0, moves = 0;
-    std::vector<record::Damage> damage;
+    std::vector<recording::Damage> damage;
 };
 
 // Reads governors' recordings and writes the day to `out`. Throws std::runtime_error where they
--- a/src/replay/play.cpp
+++ b/src/replay/play.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "governor/service.h"
 #include "replay/recorder.h"
-#include "xds/order_text.h"
+#include "xds/release_text.h"
+#include "xds_server/xds_server.h"
 
 namespace badgergrade::replay {
 
@@ -13,7 +13,7 @@
 
 // ---- the trail
 
-void Trail::add(Micros now, const governor::Service& service, bool decision, std::string text) {
+void Trail::add(Micros now, const xds_server::XdsServer& service, bool decision, std::string text) {
     if (text_ > kTextMost) {
         text.clear();
     }
@@ -21,17 +21,17 @@
     steps_.push_back({now - begin_, service.id(), decision, std::move(text)});
 }
 
-void Trail::told(Micros now, const governor::Service& service, const Event& event) {
-    if (!std::holds_alternative<ev::Timer>(event)) {
+void Trail::told(Micros now, const xds_server::XdsServer& service, const Event& event) {
+    if (!std::holds_alternative<event::TimerFired>(event)) {
         add(now, service, false, to_text(service, event));
     }
 }
 
-void Trail::decided(Micros now, const governor::Service& service,
-                    const std::vector<Action>& actions) {
+void Trail::decided(Micros now, const xds_server::XdsServer& service,
+                    const std::vector<Command>& actions) {
     std::string text;
-    for (const Action& action : actions) {
-        if (!std::holds_alternative<act::Timer>(action)) {
+    for (const Command& action : actions) {
+        if (!std::holds_alternative<command::SetTimer>(action)) {
             text += (text.empty() ? "" : "; ") + to_text(service, action);
         }
     }
@@ -51,12 +51,12 @@
     return seconds_[k];
 }
 
-void Series::invocation_came(Micros now, const standin::Invocation&) {
+void Series::invocation_came(Micros now, const testbed::Invocation&) {
     ++at(now).came;
 }
 
 void Series::try_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int,
-                      int number, standin::TryEnd) {
+                      int number, testbed::TryEnd) {
     Second& second = at(now);
     ++second.tries;
     second.further += number > 1;
@@ -133,7 +133,7 @@
     // A virtual and a real clock both begin here (day/runner.cpp).
     std::optional<Trail> trail;
     std::optional<Series> series;
-    day::DayOptions how;
+    scenario::DayOptions how;
     how.clock = options.clock;
     how.speed = options.speed;
     how.log = options.log;
@@ -143,15 +143,15 @@
     how.prepare = [&](Micros begin) {
         trail.emplace(begin);
         series.emplace(begin);
-        return std::vector<standin::Observer*>{&*series};
+        return std::vector<testbed::Observer*>{&*series};
     };
-    how.before = [&](day::World& world) {
+    how.before = [&](scenario::World& world) {
         world.governor_watcher = &*trail;
         if (options.before) {
             options.before(world);
         }
     };
-    out.run = day::run_day(playable.script, how);
+    out.run = scenario::run_day(playable.script, how);
     out.script = std::move(playable.script);
     out.trail = trail->steps();
     out.seconds = series->seconds(out.to);
--- a/src/replay/play.h
+++ b/src/replay/play.h
@@ -6,14 +6,14 @@
 #include <string>
 #include <vector>
 
-#include "day/runner.h"
-#include "governor/watcher.h"
 #include "replay/trial.h"
+#include "scenario/runner.h"
+#include "xds_server/xds_server_observer.h"
 
 namespace badgergrade::replay {
 
 // What the governors heard and decided, in order. Beats of the module are left out.
-class Trail final : public governor::Watcher {
+class Trail final : public xds_server::XdsServerObserver {
 public:
     struct Step {
         Micros at{};
@@ -25,8 +25,8 @@
 
     explicit Trail(Micros begin = {}) : begin_(begin) {}
 
-    void told(Micros, const governor::Service&, const Event&) override;
-    void decided(Micros, const governor::Service&, const std::vector<Action>&) override;
+    void told(Micros, const xds_server::XdsServer&, const Event&) override;
+    void decided(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
 
     const std::vector<Step>& steps() const { return steps_; }
 
@@ -34,7 +34,7 @@
     static constexpr std::size_t kTextMost = 256u << 20;
 
 private:
-    void add(Micros now, const governor::Service& service, bool decision, std::string text);
+    void add(Micros now, const xds_server::XdsServer& service, bool decision, std::string text);
 
     Micros begin_;
     std::vector<Step> steps_;
@@ -42,7 +42,7 @@
 };
 
 // By seconds of the day: for plots.
-class Series final : public standin::Observer {
+class Series final : public testbed::Observer {
 public:
     struct Second {
         std::int64_t came = 0, tries = 0, further = 0, pushed_over = 0, joins = 0;
@@ -51,9 +51,9 @@
 
     explicit Series(Micros begin) : begin_(begin) {}
 
-    void invocation_came(Micros, const standin::Invocation&) override;
+    void invocation_came(Micros, const testbed::Invocation&) override;
     void try_sent(Micros, const std::string&, const std::string&, std::uint64_t, int, int number,
-                  standin::TryEnd) override;
+                  testbed::TryEnd) override;
     void joined(Micros, const std::string&, const std::string&) override;
     void response_read(Micros, const std::string&, const std::string&, const std::string& orders,
                        std::size_t, const std::string&) override;
@@ -71,7 +71,7 @@
 };
 
 struct PlayOptions {
-    day::ClockKind clock = day::ClockKind::Virtual;
+    scenario::ClockKind clock = scenario::ClockKind::Virtual;
     double speed = 1;
     std::optional<std::uint64_t> seed;
     Micros from{}, to{};  // to 0: to its end
@@ -80,13 +80,13 @@
     Micros lead = std::chrono::seconds(60);
     log::Level log = log::Level::Off;
     // Taken beside, as by a recorder.
-    std::function<void(day::World&)> before;
-    std::vector<standin::Observer*> watchers;
+    std::function<void(scenario::World&)> before;
+    std::vector<testbed::Observer*> watchers;
 };
 
 struct Played {
-    day::DayScript script;  // as played
-    day::DayRun run;
+    scenario::DayScript script;  // as played
+    scenario::DayRun run;
     std::vector<Trail::Step> trail;
     std::vector<Series::Second> seconds;
     Micros from{}, to{};
--- a/src/replay/recorded_day.cpp
+++ b/src/replay/recorded_day.cpp
@@ -47,8 +47,8 @@
     return "unknown";
 }
 
-standin::WorkerSettings worker_of(const std::string& id, const pb::Worker& w) {
-    standin::WorkerSettings s;
+testbed::WorkerSettings worker_of(const std::string& id, const pb::Worker& w) {
+    testbed::WorkerSettings s;
     s.id = id;
     s.zone = w.zone();
     s.cores = w.cores();
@@ -68,8 +68,8 @@
     return s;
 }
 
-standin::WorkerTrouble trouble_of(const pb::WorkerTrouble& t) {
-    standin::WorkerTrouble out;
+testbed::WorkerTrouble trouble_of(const pb::WorkerTrouble& t) {
+    testbed::WorkerTrouble out;
     out.hangs = t.hangs();
     out.errors = t.errors();
     out.slower = t.slower();
@@ -83,7 +83,7 @@
 // Builds the day out of its records, in their order.
 class Builder {
 public:
-    Builder(RecordedDay& day, const day::DayScript& script)
+    Builder(RecordedDay& day, const scenario::DayScript& script)
         : day_(day),
           script_(script),
           figures_(script, 0us, script.length, {}) {}
@@ -91,7 +91,7 @@
     void take(const pb::Block& block) {
         block_ = &block;
         last_id_ = 0;
-        record::each_record(block, [this](Micros told, const pb::Record& record) {
+        recording::each_record(block, [this](Micros told, const pb::Record& record) {
             ++day_.kinds[kind_of(record)];
             ++day_.records;
             take(steady(told), record);
@@ -123,7 +123,7 @@
         return told + moved_by_;
     }
 
-    std::string name(std::uint32_t number) const { return record::name_in(*block_, number); }
+    std::string name(std::uint32_t number) const { return recording::name_in(*block_, number); }
 
     void take(Micros at, const pb::Record& record) {
         if (record.has_move()) {
@@ -146,13 +146,13 @@
     }
 
     void move(Micros at, const pb::Move& from) {
-        day::TimedMove out;
+        scenario::TimedMove out;
         out.at = at;
         out.opening = from.opening();
         // Only with the move before itself: where that is lost, this one stands alone.
         out.joined = from.joined() && !day_.world.moves.empty() && day_.world.moves.back().at == at;
-        day::Move& m = out.what;
-        m.kind = static_cast<day::MoveKind>(from.kind());
+        scenario::Move& m = out.what;
+        m.kind = static_cast<scenario::MoveKind>(from.kind());
         m.who = name(from.who());
         m.on = from.on();
         m.by = from.by();
@@ -167,7 +167,7 @@
         if (!makes_sense(m)) {
             return void(++senseless_);
         }
-        if (m.kind == day::MoveKind::AddForwarder) {
+        if (m.kind == scenario::MoveKind::AddForwarder) {
             figures_.place(m.who, m.text);
         }
         day_.world.moves.push_back(std::move(out));
@@ -175,8 +175,8 @@
 
     // Where blocks are lost, a move may name a host whose beginning is lost with them, or start
     // what already runs.
-    bool makes_sense(const day::Move& m) {
-        using enum day::MoveKind;
+    bool makes_sense(const scenario::Move& m) {
+        using enum scenario::MoveKind;
         switch (m.kind) {
             case AddWorker:
                 return workers_.try_emplace(m.who, false).second;
@@ -213,7 +213,7 @@
 
     void came(Micros at, const pb::Came& from) {
         last_id_ += from.id_more();
-        standin::Invocation one;
+        testbed::Invocation one;
         one.id = static_cast<std::uint64_t>(last_id_);
         one.operation = static_cast<int>(from.operation());
         if (one.operation >= static_cast<int>(script_.operations.size())) {
@@ -240,7 +240,7 @@
         if (it == open_.end()) {
             return;  // it came in a block that is lost
         }
-        standin::Invocation one;
+        testbed::Invocation one;
         one.id = id;
         one.operation = it->second.operation;
         one.forwarder = it->second.forwarder;
@@ -249,7 +249,7 @@
             figures_.client_try(at, one);
         }
         figures_.invocation_ended(at, one,
-                                  static_cast<standin::Result>(std::min(from.result(), 3u)));
+                                  static_cast<testbed::Result>(std::min(from.result(), 3u)));
         open_.erase(it);
     }
 
@@ -264,8 +264,8 @@
     };
 
     RecordedDay& day_;
-    const day::DayScript& script_;
-    day::Figures figures_;
+    const scenario::DayScript& script_;
+    scenario::Figures figures_;
     const pb::Block* block_ = nullptr;
     std::int64_t last_id_ = 0;
     Micros last_told_ = Micros::min(), moved_by_{};
@@ -288,7 +288,7 @@
 }
 
 RecordedDay load_recording(const std::string& path) {
-    record::Reader reader(path);
+    recording::Reader reader(path);
     RecordedDay out;
     out.path = path;
     out.header = reader.header();
@@ -299,7 +299,7 @@
         throw std::runtime_error(path + ": holds no day, but what " + out.header.made_by() +
                                  " met: make a day of it with replay merge");
     }
-    auto script = day::parse_script(path, out.script, out.settings, mistakes);
+    auto script = scenario::parse_script(path, out.script, out.settings, mistakes);
     if (!mistakes.empty()) {
         throw std::runtime_error(
             path + ": its settings can't be read: " + config::to_text(mistakes.front()));
--- a/src/replay/recorded_day.h
+++ b/src/replay/recorded_day.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "day/figures.h"
-#include "day/moves.h"
-#include "record/reader.h"
+#include "recording/reader.h"
+#include "scenario/figures.h"
+#include "scenario/moves.h"
 
 namespace badgergrade::replay {
 
@@ -25,11 +25,11 @@
     pb::Header header;
     config::IniFile settings;  // as in force when it was recorded
     std::string script;        // the day's text, without its settings
-    day::GivenWorld world;
+    scenario::GivenWorld world;
     std::vector<TroubleSpan> troubles;
     Micros length{};
     std::uint64_t records = 0, lost = 0, invocations = 0;
-    std::vector<record::Damage> damage;
+    std::vector<recording::Damage> damage;
     nlohmann::ordered_json
         figures;  // as recorded; tries and effects of the stand-ins only as far as recorded
     std::map<std::string, std::uint64_t> kinds;  // records by kind
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <sstream>
 
-#include "governor/service.h"
+#include "xds_server/xds_server.h"
 
 namespace badgergrade::replay {
 
@@ -16,7 +16,7 @@
 
 // Zones count from 1, 0 is none.
 std::uint32_t zone_number(ZoneId zone) {
-    return static_cast<std::uint32_t>(zone.v + 1);
+    return static_cast<std::uint32_t>(zone.value + 1);
 }
 
 Micros age_of(Micros now, Micros started) {
@@ -34,9 +34,12 @@
     using Kinds::operator()...;
 };
 
+template <class... Kinds>
+Cases(Kinds...) -> Cases<Kinds...>;
+
 }  // namespace
 
-pb::Header header_of(const day::DayScript& script, Micros begin) {
+pb::Header header_of(const scenario::DayScript& script, Micros begin) {
     pb::Header out;
     out.set_made_by("day " + script.name);
     out.set_settings(script.settings.to_text());
@@ -64,18 +67,18 @@
     return out;
 }
 
-void Recorder::follow(day::World& world) {
-    world.on_move = [this](Micros now, bool opening, bool joined, const day::Move& move) {
+void Recorder::follow(scenario::World& world) {
+    world.on_move = [this](Micros now, bool opening, bool joined, const scenario::Move& move) {
         write_move(writer_, now, {now, opening, joined, move});
     };
-    world.on_trouble = [this](Micros now, const day::Trouble& trouble) {
+    world.on_trouble = [this](Micros now, const scenario::Trouble& trouble) {
         struck(now, trouble);
     };
     world.governor_watcher = this;
 }
 
-void write_move(record::Writer& writer, Micros now, const day::TimedMove& timed) {
-    const day::Move& move = timed.what;
+void write_move(recording::Writer& writer, Micros now, const scenario::TimedMove& timed) {
+    const scenario::Move& move = timed.what;
     auto& out = *writer.add(now).mutable_move();
     out.set_kind(static_cast<std::uint32_t>(move.kind));
     out.set_who(writer.name(move.who));
@@ -85,7 +88,7 @@
     out.set_text(move.text);
     out.set_opening(timed.opening);
     out.set_joined(timed.joined);
-    if (move.kind == day::MoveKind::TroubleWorker) {
+    if (move.kind == scenario::MoveKind::TroubleWorker) {
         auto& t = *out.mutable_trouble();
         t.set_hangs(move.trouble.hangs);
         t.set_errors(move.trouble.errors);
@@ -95,7 +98,7 @@
         t.set_counters(move.trouble.counters);
         t.set_connections_most(move.trouble.connections_most);
     }
-    if (move.kind == day::MoveKind::AddWorker) {
+    if (move.kind == scenario::MoveKind::AddWorker) {
         auto& w = *out.mutable_worker();
         const auto& s = move.worker;
         w.set_zone(s.zone);
@@ -116,7 +119,7 @@
     }
 }
 
-void Recorder::struck(Micros now, const day::Trouble& trouble) {
+void Recorder::struck(Micros now, const scenario::Trouble& trouble) {
     auto& out = *writer_.add(now).mutable_trouble();
     out.set_name(trouble.name);
     out.set_lasts_us(trouble.lasts.count());
@@ -129,7 +132,7 @@
 
 // ---- invocations
 
-void Recorder::invocation_came(Micros now, const standin::Invocation& what) {
+void Recorder::invocation_came(Micros now, const testbed::Invocation& what) {
     auto& out = *writer_.add(now).mutable_came();
     auto& last = writer_.last_id();
     const auto id = static_cast<std::int64_t>(what.id);
@@ -141,8 +144,8 @@
     out.set_work_us(static_cast<std::uint64_t>(what.work.count()));
 }
 
-void Recorder::invocation_ended(Micros now, const standin::Invocation& what,
-                                standin::Result result) {
+void Recorder::invocation_ended(Micros now, const testbed::Invocation& what,
+                                testbed::Result result) {
     const auto first = tries_.lower_bound({what.id, std::string()});
     auto it = first;
     for (; it != tries_.end() && it->first.first == what.id; ++it) {
@@ -156,7 +159,7 @@
 }
 
 void Recorder::try_sent(Micros now, const std::string& forwarder, const std::string& server,
-                        std::uint64_t invocation, int operation, int number, standin::TryEnd) {
+                        std::uint64_t invocation, int operation, int number, testbed::TryEnd) {
     OpenTry one{server, now, operation, number};
     const auto [it, fresh] = tries_.try_emplace({invocation, forwarder}, one);
     if (fresh) {
@@ -168,7 +171,7 @@
 }
 
 void Recorder::try_ended(Micros now, const std::string& forwarder, const std::string&,
-                         std::uint64_t invocation, standin::TryEnd end) {
+                         std::uint64_t invocation, testbed::TryEnd end) {
     const auto it = tries_.find({invocation, forwarder});
     if (it == tries_.end()) {
         return;
@@ -214,21 +217,21 @@
 
 // ---- governors
 
-void Recorder::started(Micros now, const governor::Service& service) {
+void Recorder::started(Micros now, const xds_server::XdsServer& service) {
     auto& out = *writer_.add(now).mutable_started();
     out.set_governor(writer_.name(service.id()));
     out.set_life(service.life());
 }
 
-void Recorder::stopped(Micros now, const governor::Service& service) {
+void Recorder::stopped(Micros now, const xds_server::XdsServer& service) {
     auto& out = *writer_.add(now).mutable_stopped();
     out.set_governor(writer_.name(service.id()));
     out.set_life(service.life());
 }
 
-void Recorder::told(Micros now, const governor::Service& service, const Event& event) {
+void Recorder::told(Micros now, const xds_server::XdsServer& service, const Event& event) {
     // The module's own beat says nothing of the day.
-    if (std::holds_alternative<ev::Timer>(event)) {
+    if (std::holds_alternative<event::TimerFired>(event)) {
         return;
     }
     auto& out = *writer_.add(now).mutable_told();
@@ -239,69 +242,70 @@
     const auto server = [&](ServerId id) {
         return writer_.name(service.server_name(id));
     };
-    std::visit(
-        Cases{
-            [&](const ev::List& e) {
-                auto& list = *out.mutable_list();
-                list.set_form(static_cast<std::uint32_t>(e.form));
-                for (const auto& row : e.rows) {
-                    auto& to = *list.add_rows();
-                    to.set_server(server(row.server));
-                    to.set_zone(zone_number(row.zone));
-                    to.set_state(static_cast<std::uint32_t>(row.state));
-                    to.set_weight(row.weight);
-                    to.set_age_us(age_of(now, row.started).count());
-                }
-            },
-            [&](const ev::Joined& e) {
-                auto& to = *out.mutable_joined();
-                to.set_forwarder(forwarder(e.proxy));
-                to.set_zone(zone_number(e.zone));
-                to.set_fresh(e.fresh);
-                to.set_rate(e.rate);
-            },
-            [&](const ev::Left& e) { out.mutable_left()->set_forwarder(forwarder(e.proxy)); },
-            [&](const ev::Heard& e) {
-                auto& to = *out.mutable_heard();
-                to.set_zone(zone_number(e.zone));
-                to.set_server(server(e.server));
-                to.set_tries(e.tries);
-                to.set_errored(e.errored);
-                to.set_mean_us(e.mean.count());
-                to.set_span_us(e.span.count());
-                for (const double load : e.load) {
-                    to.add_load(load);
-                }
-            },
-            [&](const ev::Demand& e) {
-                auto& to = *out.mutable_demand();
-                to.set_forwarder(forwarder(e.proxy));
-                to.set_operation(static_cast<std::uint32_t>(e.op.v));
-                to.set_count(e.count);
-                to.set_errored(e.errored);
-                to.set_span_us(e.span.count());
-            },
-            [&](const ev::Probed& e) {
-                auto& to = *out.mutable_probed();
-                to.set_server(server(e.server));
-                to.set_outcome(static_cast<std::uint32_t>(e.outcome));
-                to.set_took_us(e.took.count());
-            },
-            [&](const ev::Applied& e) {
-                auto& to = *out.mutable_applied();
-                to.set_forwarder(forwarder(e.proxy));
-                to.set_mark(e.mark.v);
-                to.set_took_us(e.took.count());
-            },
-            [](const auto&) {},
-        },
-        event);
+    std::visit(Cases{
+                   [&](const event::EndpointListUpdate& e) {
+                       auto& list = *out.mutable_list();
+                       list.set_form(static_cast<std::uint32_t>(e.kind));
+                       for (const auto& row : e.endpoints) {
+                           auto& to = *list.add_rows();
+                           to.set_server(server(row.server));
+                           to.set_zone(zone_number(row.zone));
+                           to.set_state(static_cast<std::uint32_t>(row.state));
+                           to.set_weight(row.weight);
+                           to.set_age_us(age_of(now, row.started_at).count());
+                       }
+                   },
+                   [&](const event::ProxyConnected& e) {
+                       auto& to = *out.mutable_joined();
+                       to.set_forwarder(forwarder(e.proxy));
+                       to.set_zone(zone_number(e.zone));
+                       to.set_fresh(e.fresh_start);
+                       to.set_rate(e.announced_rate);
+                   },
+                   [&](const event::ProxyDisconnected& e) {
+                       out.mutable_left()->set_forwarder(forwarder(e.proxy));
+                   },
+                   [&](const event::ServerLoadReport& e) {
+                       auto& to = *out.mutable_heard();
+                       to.set_zone(zone_number(e.zone));
+                       to.set_server(server(e.server));
+                       to.set_tries(e.attempts);
+                       to.set_errored(e.failures);
+                       to.set_mean_us(e.mean_latency.count());
+                       to.set_span_us(e.interval.count());
+                       for (const double load : e.load_metrics) {
+                           to.add_load(load);
+                       }
+                   },
+                   [&](const event::ProxyDemandReport& e) {
+                       auto& to = *out.mutable_demand();
+                       to.set_forwarder(forwarder(e.proxy));
+                       to.set_operation(static_cast<std::uint32_t>(e.operation.value));
+                       to.set_count(e.attempts);
+                       to.set_errored(e.failures);
+                       to.set_span_us(e.interval.count());
+                   },
+                   [&](const event::HealthCheckResult& e) {
+                       auto& to = *out.mutable_probed();
+                       to.set_server(server(e.server));
+                       to.set_outcome(static_cast<std::uint32_t>(e.outcome));
+                       to.set_took_us(e.duration.count());
+                   },
+                   [&](const event::ConfigAcknowledged& e) {
+                       auto& to = *out.mutable_applied();
+                       to.set_forwarder(forwarder(e.proxy));
+                       to.set_mark(e.version.value);
+                       to.set_took_us(e.delay.count());
+                   },
+                   [](const auto&) {},
+               },
+               event);
 }
 
-void Recorder::decided(Micros now, const governor::Service& service,
-                       const std::vector<Action>& actions) {
-    const auto beat = [](const Action& a) {
-        return std::holds_alternative<act::Timer>(a);
+void Recorder::decided(Micros now, const xds_server::XdsServer& service,
+                       const std::vector<Command>& actions) {
+    const auto beat = [](const Command& a) {
+        return std::holds_alternative<command::SetTimer>(a);
     };
     if (std::all_of(actions.begin(), actions.end(), beat)) {
         return;
@@ -309,42 +313,42 @@
     auto& out = *writer_.add(now).mutable_decided();
     out.set_governor(writer_.name(service.id()));
     const auto table = [](TableId t) {
-        return static_cast<std::uint32_t>(t.v);
+        return static_cast<std::uint32_t>(t.value);
     };
-    for (const Action& action : actions) {
+    for (const Command& action : actions) {
         if (beat(action)) {
             continue;
         }
         auto& to = *out.add_actions();
         std::visit(
             Cases{
-                [&](const act::Line& a) {
+                [&](const command::SetWeight& a) {
                     to.mutable_line()->set_table(table(a.table));
                     to.mutable_line()->set_weight(a.weight);
                     to.mutable_line()->set_server(writer_.name(service.server_name(a.server)));
                 },
-                [&](const act::Bind& a) {
+                [&](const command::AssignTable& a) {
                     to.mutable_bind()->set_table(table(a.table));
-                    to.mutable_bind()->set_operations(a.ops);
+                    to.mutable_bind()->set_operations(a.operations);
                     to.mutable_bind()->set_forwarder(writer_.name(service.forwarder_name(a.proxy)));
                 },
-                [&](const act::Level& a) {
+                [&](const command::SetAdmission& a) {
                     to.mutable_level()->set_table(table(a.table));
-                    to.mutable_level()->set_operations(a.ops);
-                    to.mutable_level()->set_let_in(a.let_in);
-                    to.mutable_level()->set_again(static_cast<std::uint32_t>(a.again));
+                    to.mutable_level()->set_operations(a.operations);
+                    to.mutable_level()->set_let_in(a.limit);
+                    to.mutable_level()->set_again(static_cast<std::uint32_t>(a.retry_mode));
                 },
-                [&](const act::Mark& a) { to.set_mark(a.mark.v); },
-                [&](const act::Log& a) { to.set_says(a.text); },
-                [&](const act::Clear& a) { to.set_clear(table(a.table)); },
-                [&](const act::Withdraw& a) {
+                [&](const command::RequestAck& a) { to.set_mark(a.version.value); },
+                [&](const command::LogMessage& a) { to.set_says(a.text); },
+                [&](const command::ClearTable& a) { to.set_clear(table(a.table)); },
+                [&](const command::SetEjected& a) {
                     to.mutable_withdraw()->set_server(writer_.name(service.server_name(a.server)));
-                    to.mutable_withdraw()->set_out(a.out);
+                    to.mutable_withdraw()->set_out(a.ejected);
                 },
-                [&](const act::Probe& a) {
+                [&](const command::CheckHealth& a) {
                     to.set_probe(writer_.name(service.server_name(a.server)));
                 },
-                [&](const act::Watch& a) { to.set_watch(a.on); },
+                [&](const command::WatchEndpoints& a) { to.set_watch(a.enabled); },
                 [&](const auto&) { to.set_other(to_text(service, action)); },
             },
             action);
@@ -353,20 +357,20 @@
 
 // ---- a whole day
 
-day::DayRun record_day(const day::DayScript& script, day::DayOptions options,
-                       const std::string& path, record::WriterOptions how,
-                       record::WriterFigures& figures) {
-    std::optional<record::Writer> writer;
+scenario::DayRun record_day(const scenario::DayScript& script, scenario::DayOptions options,
+                            const std::string& path, recording::WriterOptions how,
+                            recording::WriterFigures& figures) {
+    std::optional<recording::Writer> writer;
     std::optional<Recorder> recorder;
     options.prepare = [&](base::Micros begin) {
-        writer.emplace(record::file_sink(path), header_of(script, begin), how);
+        writer.emplace(recording::file_sink(path), header_of(script, begin), how);
         recorder.emplace(*writer);
-        return std::vector<standin::Observer*>{&*recorder};
+        return std::vector<testbed::Observer*>{&*recorder};
     };
-    options.before = [&](day::World& world) {
+    options.before = [&](scenario::World& world) {
         recorder->follow(world);
     };
-    auto out = day::run_day(script, options);
+    auto out = scenario::run_day(script, options);
     writer->finish();
     figures = writer->figures();
     return out;
@@ -387,13 +391,13 @@
 }
 }  // namespace
 
-GovernorFiles::GovernorFiles(std::string folder, const day::DayScript& script,
+GovernorFiles::GovernorFiles(std::string folder, const scenario::DayScript& script,
                              std::map<std::string, Micros> ahead)
     : folder_(std::move(folder)),
       script_(script),
       ahead_(std::move(ahead)) {}
 
-void GovernorFiles::started(Micros now, const governor::Service& service) {
+void GovernorFiles::started(Micros now, const xds_server::XdsServer& service) {
     auto settings = script_.settings;
     settings.set("governor", "id", service.id());
     settings.set("governor", "ordinal", std::to_string(service.ordinal()));
@@ -405,15 +409,15 @@
     const auto it = ahead_.find(service.id());
     const Micros begin = it == ahead_.end() ? now : now - it->second;
     Open& open = open_[service.id()];
-    open.writer = std::make_unique<record::Writer>(
-        record::file_sink(paths_.back()),
+    open.writer = std::make_unique<recording::Writer>(
+        recording::file_sink(paths_.back()),
         header_of(config, settings.to_text(), begin, wall_text(begin)),
-        record::WriterOptions{.when_full = record::WhenFull::Wait});
+        recording::WriterOptions{.when_full = recording::WhenFull::Wait});
     open.recorder = std::make_unique<Recorder>(*open.writer);
     open.recorder->started(now, service);
 }
 
-void GovernorFiles::stopped(Micros now, const governor::Service& service) {
+void GovernorFiles::stopped(Micros now, const xds_server::XdsServer& service) {
     const auto it = open_.find(service.id());
     if (it == open_.end()) {
         return;
@@ -422,14 +426,14 @@
     open_.erase(it);
 }
 
-void GovernorFiles::told(Micros now, const governor::Service& service, const Event& event) {
+void GovernorFiles::told(Micros now, const xds_server::XdsServer& service, const Event& event) {
     if (const auto it = open_.find(service.id()); it != open_.end()) {
         it->second.recorder->told(now, service, event);
     }
 }
 
-void GovernorFiles::decided(Micros now, const governor::Service& service,
-                            const std::vector<Action>& actions) {
+void GovernorFiles::decided(Micros now, const xds_server::XdsServer& service,
+                            const std::vector<Command>& actions) {
     if (const auto it = open_.find(service.id()); it != open_.end()) {
         it->second.recorder->decided(now, service, actions);
     }
@@ -437,72 +441,77 @@
 
 // ---- in words
 
-std::string to_text(const governor::Service& service, const Event& event) {
+std::string to_text(const xds_server::XdsServer& service, const Event& event) {
     const auto forwarder = [&](ProxyId proxy) {
         return service.forwarder_name(proxy);
     };
     return std::visit(
         Cases{
-            [&](const ev::List& e) {
+            [&](const event::EndpointListUpdate& e) {
                 std::string out = "list:";
-                for (const auto& row : e.rows) {
+                for (const auto& row : e.endpoints) {
                     out += " " + service.server_name(row.server) +
                            (row.state == ServerState::Ready ? "" : " (drains)");
                 }
                 return out;
             },
-            [&](const ev::Timer& e) { return "timer " + e.token; },
-            [&](const ev::Joined& e) { return forwarder(e.proxy) + " joined"; },
-            [&](const ev::Left& e) { return forwarder(e.proxy) + " left"; },
-            [&](const ev::Heard& e) {
-                return service.server_name(e.server) + " met by zone " + std::to_string(e.zone.v) +
-                       ": " + std::to_string(e.tries) + " tries, " + std::to_string(e.errored) +
-                       " errored, " + std::to_string(e.mean.count() / 1000) + " ms";
+            [&](const event::TimerFired& e) { return "timer " + e.token; },
+            [&](const event::ProxyConnected& e) { return forwarder(e.proxy) + " joined"; },
+            [&](const event::ProxyDisconnected& e) { return forwarder(e.proxy) + " left"; },
+            [&](const event::ServerLoadReport& e) {
+                return service.server_name(e.server) + " met by zone " +
+                       std::to_string(e.zone.value) + ": " + std::to_string(e.attempts) +
+                       " tries, " + std::to_string(e.failures) + " errored, " +
+                       std::to_string(e.mean_latency.count() / 1000) + " ms";
+            },
+            [&](const event::ProxyDemandReport& e) {
+                return forwarder(e.proxy) + " asked for operation " +
+                       std::to_string(e.operation.value) + ": " + std::to_string(e.attempts) +
+                       " times in " + std::to_string(e.interval.count() / 1000) + " ms";
             },
-            [&](const ev::Demand& e) {
-                return forwarder(e.proxy) + " asked for operation " + std::to_string(e.op.v) +
-                       ": " + std::to_string(e.count) + " times in " +
-                       std::to_string(e.span.count() / 1000) + " ms";
+            [&](const event::HealthCheckResult& e) {
+                return "probe of " + service.server_name(e.server);
             },
-            [&](const ev::Probed& e) { return "probe of " + service.server_name(e.server); },
-            [&](const ev::Applied& e) {
-                return forwarder(e.proxy) + " applied mark " + std::to_string(e.mark.v);
+            [&](const event::ConfigAcknowledged& e) {
+                return forwarder(e.proxy) + " applied mark " + std::to_string(e.version.value);
             },
             [](const auto&) { return std::string("another event"); },
         },
         event);
 }
 
-std::string to_text(const governor::Service& service, const Action& action) {
+std::string to_text(const xds_server::XdsServer& service, const Command& action) {
     const auto table = [](TableId t) {
-        return "table " + std::to_string(t.v);
+        return "table " + std::to_string(t.value);
     };
     return std::visit(
         Cases{
-            [](const act::Timer& a) { return "timer " + a.token; },
-            [](const act::Log& a) { return "says: " + a.text; },
-            [](const act::Watch& a) {
-                return std::string(a.on ? "watches the list" : "stops watching the list");
+            [](const command::SetTimer& a) { return "timer " + a.token; },
+            [](const command::LogMessage& a) { return "says: " + a.text; },
+            [](const command::WatchEndpoints& a) {
+                return std::string(a.enabled ? "watches the list" : "stops watching the list");
+            },
+            [](const command::FetchEndpoints&) { return std::string("fetches the list"); },
+            [&](const command::CheckHealth& a) {
+                return "probes " + service.server_name(a.server);
             },
-            [](const act::Fetch&) { return std::string("fetches the list"); },
-            [&](const act::Probe& a) { return "probes " + service.server_name(a.server); },
-            [](const act::Tell&) { return std::string("tells another governor"); },
-            [&](const act::Line& a) {
+            [](const command::SendGossip&) { return std::string("tells another governor"); },
+            [&](const command::SetWeight& a) {
                 return table(a.table) + ": " + service.server_name(a.server) +
                        (a.weight > 0 ? " at " + text_of(a.weight) : " leaves");
             },
-            [&](const act::Clear& a) { return table(a.table) + " emptied"; },
-            [&](const act::Bind& a) {
+            [&](const command::ClearTable& a) { return table(a.table) + " emptied"; },
+            [&](const command::AssignTable& a) {
                 return service.forwarder_name(a.proxy) + " to " + table(a.table);
             },
-            [&](const act::Withdraw& a) {
-                return service.server_name(a.server) + (a.out ? " withdrawn" : " back");
+            [&](const command::SetEjected& a) {
+                return service.server_name(a.server) + (a.ejected ? " withdrawn" : " back");
             },
-            [&](const act::Level& a) {
-                return table(a.table) + ": level " + text_of(a.let_in) + " for operations " +
-                       std::to_string(a.ops);
+            [&](const command::SetAdmission& a) {
+                return table(a.table) + ": level " + text_of(a.limit) + " for operations " +
+                       std::to_string(a.operations);
             },
-            [](const act::Mark& a) { return "mark " + std::to_string(a.mark.v); },
+            [](const command::RequestAck& a) { return "mark " + std::to_string(a.version.value); },
         },
         action);
 }
--- a/src/replay/recorder.h
+++ b/src/replay/recorder.h
@@ -7,12 +7,12 @@
 #include <string>
 #include <utility>
 
-#include "day/runner.h"
-#include "day/script.h"
-#include "day/world.h"
-#include "governor/watcher.h"
-#include "record/writer.h"
-#include "standin/observer.h"
+#include "recording/writer.h"
+#include "scenario/runner.h"
+#include "scenario/script.h"
+#include "scenario/world.h"
+#include "testbed/observer.h"
+#include "xds_server/xds_server_observer.h"
 
 namespace badgergrade::replay {
 
@@ -20,40 +20,40 @@
 namespace pb = badgergrade::recording::v1;
 
 // The head of a day's recording, and of a governor's.
-pb::Header header_of(const day::DayScript& script, Micros begin);
+pb::Header header_of(const scenario::DayScript& script, Micros begin);
 pb::Header header_of(const config::GovernorConfig& config, const std::string& settings,
                      Micros begin, const std::string& wall);
 
-// How a try ended that its forwarder gave up with its client: behind standin::TryEnd's own.
+// How a try ended that its forwarder gave up with its client: behind testbed::TryEnd's own.
 inline constexpr std::uint32_t kGivenUp = 100;
 
 // One move of the world; `now` is of the writer's clock, the move's own time is not looked at.
-void write_move(record::Writer& writer, Micros now, const day::TimedMove& move);
+void write_move(recording::Writer& writer, Micros now, const scenario::TimedMove& move);
 
-class Recorder final : public standin::Observer, public governor::Watcher {
+class Recorder final : public testbed::Observer, public xds_server::XdsServerObserver {
 public:
-    explicit Recorder(record::Writer& writer) : writer_(writer) {}
+    explicit Recorder(recording::Writer& writer) : writer_(writer) {}
 
     // Hears of the moves and troubles of this world; called before it starts.
-    void follow(day::World& world);
+    void follow(scenario::World& world);
 
-    void invocation_came(Micros, const standin::Invocation&) override;
-    void invocation_ended(Micros, const standin::Invocation&, standin::Result) override;
+    void invocation_came(Micros, const testbed::Invocation&) override;
+    void invocation_ended(Micros, const testbed::Invocation&, testbed::Result) override;
     void try_sent(Micros, const std::string& forwarder, const std::string& server,
                   std::uint64_t invocation, int operation, int number,
-                  standin::TryEnd before) override;
+                  testbed::TryEnd before) override;
     void try_ended(Micros, const std::string& forwarder, const std::string& server,
-                   std::uint64_t invocation, standin::TryEnd) override;
+                   std::uint64_t invocation, testbed::TryEnd) override;
     void joined(Micros, const std::string& forwarder, const std::string& governor) override;
     void left(Micros, const std::string& forwarder, const std::string& governor) override;
     void response_read(Micros, const std::string& forwarder, const std::string& governor,
                        const std::string& orders, std::size_t bytes,
                        const std::string& why) override;
 
-    void started(Micros, const governor::Service&) override;
-    void stopped(Micros, const governor::Service&) override;
-    void told(Micros, const governor::Service&, const Event&) override;
-    void decided(Micros, const governor::Service&, const std::vector<Action>&) override;
+    void started(Micros, const xds_server::XdsServer&) override;
+    void stopped(Micros, const xds_server::XdsServer&) override;
+    void told(Micros, const xds_server::XdsServer&, const Event&) override;
+    void decided(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
 
 private:
     struct OpenTry {
@@ -62,32 +62,32 @@
         int operation = 0, number = 0;
     };
 
-    void struck(Micros now, const day::Trouble& trouble);
+    void struck(Micros now, const scenario::Trouble& trouble);
     void write_try(Micros now, const std::string& forwarder, std::uint64_t invocation,
                    const OpenTry& one, std::uint32_t end);
 
-    record::Writer& writer_;
+    recording::Writer& writer_;
     // By invocation and forwarder: what is still on its way.
     std::map<std::pair<std::uint64_t, std::string>, OpenTry> tries_;
 };
 
 // Plays the script and records it at this path; what the options watch already is watched still.
-// `figures` is what the writer came to. Throws record::CannotWrite where the file can't be made.
-day::DayRun record_day(const day::DayScript& script, day::DayOptions options,
-                       const std::string& path, record::WriterOptions how,
-                       record::WriterFigures& figures);
+// `figures` is what the writer came to. Throws recording::CannotWrite where the file can't be made.
+scenario::DayRun record_day(const scenario::DayScript& script, scenario::DayOptions options,
+                            const std::string& path, recording::WriterOptions how,
+                            recording::WriterFigures& figures);
 
 // Records each life of each governor of a day in a file of its own, GOVERNOR-N.rec, as the
 // governors themselves would.
-class GovernorFiles final : public governor::Watcher {
+class GovernorFiles final : public xds_server::XdsServerObserver {
 public:
     // `ahead`: how far a governor's clock is ahead of the day's.
-    GovernorFiles(std::string folder, const day::DayScript& script,
+    GovernorFiles(std::string folder, const scenario::DayScript& script,
                   std::map<std::string, Micros> ahead = {});
-    void started(Micros, const governor::Service&) override;
-    void stopped(Micros, const governor::Service&) override;
-    void told(Micros, const governor::Service&, const Event&) override;
-    void decided(Micros, const governor::Service&, const std::vector<Action>&) override;
+    void started(Micros, const xds_server::XdsServer&) override;
+    void stopped(Micros, const xds_server::XdsServer&) override;
+    void told(Micros, const xds_server::XdsServer&, const Event&) override;
+    void decided(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
 
     // Ends those that still run.
     void close() { open_.clear(); }
@@ -96,19 +96,19 @@
 
 private:
     struct Open {
-        std::unique_ptr<record::Writer> writer;
+        std::unique_ptr<recording::Writer> writer;
         std::unique_ptr<Recorder> recorder;
     };
 
     std::string folder_;
-    const day::DayScript& script_;
+    const scenario::DayScript& script_;
     std::map<std::string, Micros> ahead_;
     std::map<std::string, Open> open_;
     std::vector<std::string> paths_;
 };
 
 // What the module heard or decided, in words; names as the governor has them.
-std::string to_text(const governor::Service& service, const Event& event);
-std::string to_text(const governor::Service& service, const Action& action);
+std::string to_text(const xds_server::XdsServer& service, const Event& event);
+std::string to_text(const xds_server::XdsServer& service, const Command& action);
 
 }  // namespace badgergrade::replay
