--- a/src/replay/trial.cpp
+++ b/src/replay/trial.cpp
@@ -60,9 +60,9 @@
 }
 
 std::size_t workers_of(const RecordedDay& day) {
-    return static_cast<std::size_t>(
-        std::count_if(day.world.moves.begin(), day.world.moves.end(), [](const day::TimedMove& m) {
-            return m.opening && m.what.kind == day::MoveKind::AddWorker;
+    return static_cast<std::size_t>(std::count_if(
+        day.world.moves.begin(), day.world.moves.end(), [](const scenario::TimedMove& m) {
+            return m.opening && m.what.kind == scenario::MoveKind::AddWorker;
         }));
 }
 
@@ -154,28 +154,29 @@
 // ---- ready-made changes
 
 // The opening's moves that add one worker like this one, under another name.
-void add_like(day::GivenWorld& world, const standin::WorkerSettings& like, const std::string& id) {
-    using enum day::MoveKind;
-    day::Move add{.kind = AddWorker, .who = id, .worker = like};
+void add_like(scenario::GivenWorld& world, const testbed::WorkerSettings& like,
+              const std::string& id) {
+    using enum scenario::MoveKind;
+    scenario::Move add{.kind = AddWorker, .who = id, .worker = like};
     add.worker.id = id;
-    std::vector<day::TimedMove> moves;
+    std::vector<scenario::TimedMove> moves;
     for (const auto kind : {StartWorker, ListWorker}) {
         moves.push_back({0us, true, true, {.kind = kind, .who = id}});
     }
     moves.insert(moves.begin(), {0us, true, true, std::move(add)});
     // Among the workers, before governors and forwarders start.
     const auto at =
-        std::find_if(world.moves.begin(), world.moves.end(), [](const day::TimedMove& m) {
+        std::find_if(world.moves.begin(), world.moves.end(), [](const scenario::TimedMove& m) {
             return !m.opening || m.what.kind == StartGovernor || m.what.kind == AddForwarder;
         });
     world.moves.insert(at, moves.begin(), moves.end());
 }
 
-void change_workers(day::GivenWorld& world, int more, std::uint64_t seed) {
-    std::vector<standin::WorkerSettings> opening;
+void change_workers(scenario::GivenWorld& world, int more, std::uint64_t seed) {
+    std::vector<testbed::WorkerSettings> opening;
     std::size_t all = 0;
     for (const auto& move : world.moves) {
-        if (move.what.kind != day::MoveKind::AddWorker) {
+        if (move.what.kind != scenario::MoveKind::AddWorker) {
             continue;
         }
         ++all;
@@ -184,23 +185,24 @@
         }
     }
     for (int n = 0; n < more; ++n) {
-        base::Luck luck(base::seed_for(seed, "more workers"), static_cast<std::uint64_t>(n));
+        base::CounterRandom luck(base::seed_for(seed, "more workers"),
+                                 static_cast<std::uint64_t>(n));
         const auto k = static_cast<std::size_t>(luck.part() * static_cast<double>(opening.size()));
         // Zones in turn, so that the fleet stays as even as it was.
-        standin::WorkerSettings like = opening[k];
+        testbed::WorkerSettings like = opening[k];
         like.zone = opening[static_cast<std::size_t>(n) % opening.size()].zone;
-        add_like(world, like, day::numbered("worker", all + static_cast<std::size_t>(n)));
+        add_like(world, like, scenario::numbered("worker", all + static_cast<std::size_t>(n)));
     }
     std::set<std::string> dropped;
     for (int n = 0; n < -more; ++n) {
         dropped.insert(opening[opening.size() - 1 - static_cast<std::size_t>(n)].id);
     }
     std::erase_if(world.moves,
-                  [&](const day::TimedMove& m) { return dropped.contains(m.what.who); });
+                  [&](const scenario::TimedMove& m) { return dropped.contains(m.what.who); });
 }
 
 // Whole times are copies, the rest is drawn by id; copies come within half a second of their first.
-void change_traffic(day::GivenWorld& world, double times, std::uint64_t seed, Micros length) {
+void change_traffic(scenario::GivenWorld& world, double times, std::uint64_t seed, Micros length) {
     const std::uint64_t drawn = base::seed_for(seed, "traffic");
     std::uint64_t next = 1;
     for (const auto& [forwarder, list] : world.traffic) {
@@ -209,9 +211,9 @@
         }
     }
     for (auto& [forwarder, list] : world.traffic) {
-        std::vector<standin::Invocation> out;
+        std::vector<testbed::Invocation> out;
         for (const auto& one : list) {
-            base::Luck luck(drawn, one.id);
+            base::CounterRandom luck(drawn, one.id);
             const double whole = std::floor(times);
             const int copies = static_cast<int>(whole) + (luck.part() < times - whole);
             for (int n = 0; n < copies; ++n) {
@@ -275,9 +277,9 @@
     return out;
 }
 
-day::DayScript make_script(const RecordedDay& day, const Trial& trial,
-                           std::vector<Mistake>& mistakes) {
-    auto out = day::parse_script(day.header.made_by(), day.script, trial.settings, mistakes);
+scenario::DayScript make_script(const RecordedDay& day, const Trial& trial,
+                                std::vector<Mistake>& mistakes) {
+    auto out = scenario::parse_script(day.header.made_by(), day.script, trial.settings, mistakes);
     if (!mistakes.empty()) {
         return out;
     }
@@ -287,7 +289,7 @@
     out.startup = trial.startup.value_or(out.startup);
     out.workers += trial.more_workers;
     out.rate *= trial.traffic;
-    const auto& columns = out.governor.told.load_columns;
+    const auto& columns = out.governor.told.load_metric_names;
     const bool told = std::any_of(day.world.moves.begin(), day.world.moves.end(),
                                   [](const auto& m) { return m.what.worker.reports_load; });
     if (!columns.empty() && !told) {
--- a/src/replay/trial.h
+++ b/src/replay/trial.h
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "config/ini.h"
-#include "day/script.h"
 #include "replay/recorded_day.h"
+#include "scenario/script.h"
 
 namespace badgergrade::replay {
 
@@ -37,12 +37,12 @@
 std::optional<std::pair<std::string, std::string>> read_set(const std::string& text);
 
 // The day's script under the trial's settings, checked against the day once more.
-day::DayScript make_script(const RecordedDay& day, const Trial& trial,
-                           std::vector<config::Mistake>& mistakes);
+scenario::DayScript make_script(const RecordedDay& day, const Trial& trial,
+                                std::vector<config::Mistake>& mistakes);
 
 struct Playable {
-    day::DayScript script;
-    day::GivenWorld world;
+    scenario::DayScript script;
+    scenario::GivenWorld world;
 };
 
 // That script, and the recorded world with the ready-made changes.
--- a/src/drive/orders.cpp
+++ b/src/runtime/config_state.cpp
@@ -1,26 +1,26 @@
-#include "drive/orders.h"
+#include "runtime/config_state.h"
 
 #include <algorithm>
 
-namespace badgergrade::drive {
+namespace badgergrade::runtime {
 
-OrderBook::OrderBook(const Settings& told)
-    : head_lines_(told.head_lines),
-      all_let_in_(told.admit == Admit::Rate ? kAnyRate : 1),
-      usual_again_(told.default_again) {
+ConfigState::ConfigState(const Settings& told)
+    : head_lines_(told.message_head_lines),
+      all_let_in_(told.admission_mode == AdmissionMode::Rate ? kAnyRate : 1),
+      usual_again_(told.default_retry_mode) {
     for (int k = 0; k < static_cast<int>(told.operations.size()); ++k) {
         operations_.push_back({k});
-        all_ops_ |= OpMask{1} << k;
+        all_ops_ |= OperationMask{1} << k;
     }
 }
 
-void OrderBook::joined(ProxyId proxy) {
+void ConfigState::joined(ProxyId proxy) {
     Held& held = proxies_[proxy];
     held.joined = true;
     held.bound.clear();
 }
 
-void OrderBook::left(ProxyId proxy) {
+void ConfigState::left(ProxyId proxy) {
     const auto it = proxies_.find(proxy);
     if (it == proxies_.end()) {
         return;
@@ -29,7 +29,7 @@
     it->second.bound.clear();
 }
 
-void OrderBook::carry_out(const act::Line& a, Turn& turn) {
+void ConfigState::carry_out(const command::SetWeight& a, Turn& turn) {
     Lines& lines = tables_[a.table].lines;
     if (a.weight > 0) {
         lines[a.server] = a.weight;
@@ -39,23 +39,24 @@
     turn.changed[a.table].lines[a.server] = std::max(0.0, a.weight);
 }
 
-void OrderBook::carry_out(const act::Clear& a, Turn& turn) {
+void ConfigState::carry_out(const command::ClearTable& a, Turn& turn) {
     tables_[a.table] = {};
     turn.changed[a.table] = {{}, {}, true};
 }
 
-void OrderBook::carry_out(const act::Bind& a, Turn& turn, std::vector<std::string>& refused) {
+void ConfigState::carry_out(const command::AssignTable& a, Turn& turn,
+                            std::vector<std::string>& refused) {
     const auto it = proxies_.find(a.proxy);
     if (it == proxies_.end() || !it->second.joined) {
-        refused.push_back("a binding for proxy " + std::to_string(a.proxy.v) +
+        refused.push_back("a binding for proxy " + std::to_string(a.proxy.value) +
                           ", which is not joined");
         return;
     }
     // Operations are bound by mask; what this binding names leaves the masks it was in.
-    const OpMask ops = a.ops == 0 ? all_ops_ : a.ops & all_ops_;
-    std::map<OpMask, TableId> rest;
+    const OperationMask ops = a.operations == 0 ? all_ops_ : a.operations & all_ops_;
+    std::map<OperationMask, TableId> rest;
     for (const auto& [mask, table] : it->second.bound) {
-        if (const OpMask kept = mask & ~ops) {
+        if (const OperationMask kept = mask & ~ops) {
             rest[kept] = table;
             if (kept != mask && turn.bound.erase({a.proxy, mask}) > 0) {
                 turn.bound.insert({a.proxy, kept});
@@ -67,13 +68,13 @@
     turn.bound.insert({a.proxy, ops});
 }
 
-void OrderBook::carry_out(const act::Level& a, Turn& turn) {
-    for (const OpId op : operations_) {
-        if (!names_op(a.ops, op)) {
+void ConfigState::carry_out(const command::SetAdmission& a, Turn& turn) {
+    for (const OperationId op : operations_) {
+        if (!names_op(a.operations, op)) {
             continue;
         }
-        const LevelSet level{a.let_in, a.again};
-        if (a.table == kEveryTable) {
+        const AdmissionSetting level{a.limit, a.retry_mode};
+        if (a.table == kAllTables) {
             every_table_[op] = level;
             turn.levels_for_all = true;
         } else {
@@ -85,8 +86,8 @@
 
 // Where a level is set for all and for the table the lower holds, and the table's own manner of
 // trying again.
-LevelSet OrderBook::level(TableId id, OpId op) const {
-    LevelSet out{all_let_in_, usual_again_};
+AdmissionSetting ConfigState::level(TableId id, OperationId op) const {
+    AdmissionSetting out{all_let_in_, usual_again_};
     if (const auto it = every_table_.find(op); it != every_table_.end()) {
         out = it->second;
     }
@@ -100,18 +101,18 @@
     return out;
 }
 
-TablePartPtr OrderBook::part_for(ProxyId proxy, TableId table, OpMask ops, Turn& turn) {
+TableUpdatePtr ConfigState::part_for(ProxyId proxy, TableId table, OperationMask ops, Turn& turn) {
     const auto changed = turn.changed.find(table);
     const bool bound = turn.bound.contains({proxy, ops});
     const bool whole = bound || (changed != turn.changed.end() && changed->second.cleared);
     if (!whole && changed == turn.changed.end() && !turn.levels_for_all) {
         return nullptr;
     }
-    TablePartPtr& made = turn.made[{table, ops, whole}];
+    TableUpdatePtr& made = turn.made[{table, ops, whole}];
     if (made) {
         return made;
     }
-    auto part = std::make_shared<TablePart>();
+    auto part = std::make_shared<TableUpdate>();
     const Table& stands = tables_[table];
     part->table = table;
     part->ops = ops == all_ops_ ? 0 : ops;
@@ -121,7 +122,7 @@
     } else if (changed != turn.changed.end()) {
         part->lines = changed->second.lines;
     }
-    for (const OpId op : operations_) {
+    for (const OperationId op : operations_) {
         if (!names_op(ops, op)) {
             continue;
         }
@@ -137,7 +138,7 @@
 
 // A proxy keeps what it was told to shut out across its streams, while the module takes a proxy to
 // follow the withdrawals of this governor alone: what differs is told, and nothing else.
-void OrderBook::add_withdrawals(Held& held, Order& order) {
+void ConfigState::add_withdrawals(Held& held, ProxyUpdate& order) {
     if (held.shut_out == withdrawn_) {
         return;
     }
@@ -168,38 +169,38 @@
     }
 }
 
-std::vector<Order> OrderBook::take(const std::vector<Action>& actions,
-                                   std::vector<std::string>& refused) {
+std::vector<ProxyUpdate> ConfigState::take(const std::vector<Command>& actions,
+                                           std::vector<std::string>& refused) {
     Turn turn;
-    for (const Action& action : actions) {
-        if (const auto* line = std::get_if<act::Line>(&action)) {
+    for (const Command& action : actions) {
+        if (const auto* line = std::get_if<command::SetWeight>(&action)) {
             carry_out(*line, turn);
-        } else if (const auto* clear = std::get_if<act::Clear>(&action)) {
+        } else if (const auto* clear = std::get_if<command::ClearTable>(&action)) {
             carry_out(*clear, turn);
-        } else if (const auto* bind = std::get_if<act::Bind>(&action)) {
+        } else if (const auto* bind = std::get_if<command::AssignTable>(&action)) {
             carry_out(*bind, turn, refused);
-        } else if (const auto* level = std::get_if<act::Level>(&action)) {
+        } else if (const auto* level = std::get_if<command::SetAdmission>(&action)) {
             carry_out(*level, turn);
-        } else if (const auto* withdraw = std::get_if<act::Withdraw>(&action)) {
-            if (withdraw->out) {
+        } else if (const auto* withdraw = std::get_if<command::SetEjected>(&action)) {
+            if (withdraw->ejected) {
                 withdrawn_.insert(withdraw->server);
             } else {
                 withdrawn_.erase(withdraw->server);
             }
-        } else if (const auto* mark = std::get_if<act::Mark>(&action)) {
-            turn.mark = mark->mark;
-            turn.everyone = turn.everyone || mark->everyone;
+        } else if (const auto* mark = std::get_if<command::RequestAck>(&action)) {
+            turn.mark = mark->version;
+            turn.everyone = turn.everyone || mark->all_proxies;
         }
     }
-    std::vector<Order> out;
+    std::vector<ProxyUpdate> out;
     for (auto& [proxy, held] : proxies_) {
         if (!held.joined) {
             continue;
         }
-        Order order;
+        ProxyUpdate order;
         order.proxy = proxy;
         for (const auto& [ops, table] : held.bound) {
-            if (const TablePartPtr part = part_for(proxy, table, ops, turn)) {
+            if (const TableUpdatePtr part = part_for(proxy, table, ops, turn)) {
                 order.parts.push_back(part);
                 order.lines += (part->whole ? 1.0 : 0.0) +
                                static_cast<double>(part->lines.size() + part->levels.size());
@@ -217,19 +218,19 @@
     return out;
 }
 
-const std::map<OpMask, TableId>& OrderBook::held_by(ProxyId proxy) const {
-    static const std::map<OpMask, TableId> none;
+const std::map<OperationMask, TableId>& ConfigState::held_by(ProxyId proxy) const {
+    static const std::map<OperationMask, TableId> none;
     const auto it = proxies_.find(proxy);
     return it == proxies_.end() ? none : it->second.bound;
 }
 
-const Lines& OrderBook::lines(TableId table) const {
+const Lines& ConfigState::lines(TableId table) const {
     static const Lines none;
     const auto it = tables_.find(table);
     return it == tables_.end() ? none : it->second.lines;
 }
 
-bool OrderBook::names(ServerId server) const {
+bool ConfigState::names(ServerId server) const {
     if (withdrawn_.contains(server)) {
         return true;
     }
@@ -246,4 +247,4 @@
     return false;
 }
 
-}  // namespace badgergrade::drive
+}  // namespace badgergrade::runtime
--- a/src/drive/driver.cpp
+++ b/src/runtime/policy_runner.cpp
@@ -1,20 +1,20 @@
-#include "drive/driver.h"
+#include "runtime/policy_runner.h"
 
 #include <utility>
 
 #include "base/cpu_meter.h"
 
-namespace badgergrade::drive {
+namespace badgergrade::runtime {
 
-Driver::Driver(base::Clock& clock, base::ActorId actor, const Settings& told, std::uint64_t seed,
-               Micros batch)
+PolicyRunner::PolicyRunner(base::Clock& clock, base::ActorId actor, const Settings& told,
+                           std::uint64_t seed, Micros batch)
     : clock_(clock),
       actor_(actor),
       batch_(batch),
       module_(told, seed, clock.now()),
       decide_(clock, actor) {}
 
-void Driver::tell(const Event& event) {
+void PolicyRunner::tell(const Event& event) {
     if (on_event) {
         on_event(event);
     }
@@ -24,33 +24,33 @@
     }
 }
 
-void Driver::decide_soon() {
+void PolicyRunner::decide_soon() {
     decide_.after(Micros{0}, [this] { decide(); });
 }
 
-void Driver::stop() {
+void PolicyRunner::stop() {
     decide_.stop();
     timers_.clear();
 }
 
-void Driver::set_timer(const act::Timer& timer) {
+void PolicyRunner::set_timer(const command::SetTimer& timer) {
     const auto it = timers_.emplace(timers_.end(), clock_, actor_);
     it->after(timer.delay, [this, it, token = timer.token] {
-        const ev::Timer due{token};
+        const event::TimerFired due{token};
         timers_.erase(it);
         tell(due);
     });
 }
 
-void Driver::decide() {
+void PolicyRunner::decide() {
     const base::CpuMeter meter(cpu_us_);
-    std::vector<Action> decided = module_.decide(clock_.now());
-    std::vector<Action> orders;
+    std::vector<Command> decided = module_.decide(clock_.now());
+    std::vector<Command> orders;
     if (on_decided) {
         on_decided(decided);
     }
-    for (Action& action : decided) {
-        if (const auto* timer = std::get_if<act::Timer>(&action)) {
+    for (Command& action : decided) {
+        if (const auto* timer = std::get_if<command::SetTimer>(&action)) {
             set_timer(*timer);
         } else {
             orders.push_back(std::move(action));
@@ -61,4 +61,4 @@
     }
 }
 
-}  // namespace badgergrade::drive
+}  // namespace badgergrade::runtime
--- a/src/drive/driver.h
+++ b/src/runtime/policy_runner.h
@@ -7,23 +7,23 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "logic.h"
+#include "policy/planner.h"
 
-namespace badgergrade::drive {
+namespace badgergrade::runtime {
 
-class Driver {
+class PolicyRunner {
 public:
     // What comes within `batch` is decided on together.
-    Driver(base::Clock& clock, base::ActorId actor, const Settings& told, std::uint64_t seed,
-           Micros batch);
+    PolicyRunner(base::Clock& clock, base::ActorId actor, const Settings& told, std::uint64_t seed,
+                 Micros batch);
 
     // Each event before the module takes it, its own timers included. May be unset.
     std::function<void(const Event&)> on_event;
     // All that was decided, before it is carried out: for those who watch, and for tests. May be
     // unset.
-    std::function<void(std::vector<Action>&)> on_decided;
+    std::function<void(std::vector<Command>&)> on_decided;
     // All that was decided but the timers, which are kept here. Must be set before the first event.
-    std::function<void(std::vector<Action>)> on_actions;
+    std::function<void(std::vector<Command>)> on_actions;
 
     void tell(const Event& event);
     // Decides at the next turn, whether anything happened or not.
@@ -37,16 +37,16 @@
 
 private:
     void decide();
-    void set_timer(const act::Timer& timer);
+    void set_timer(const command::SetTimer& timer);
 
     base::Clock& clock_;
     base::ActorId actor_;
     Micros batch_;
-    badgergrade::Governor module_;
+    policy::Planner module_;
     base::Timer decide_;
     // Each setting is an event of its own, also of a token that is set already.
     std::list<base::Timer> timers_;
     std::int64_t cpu_us_ = 0;
 };
 
-}  // namespace badgergrade::drive
+}  // namespace badgergrade::runtime
--- a/src/day/auditor.cpp
+++ b/src/scenario/auditor.cpp
@@ -1,11 +1,11 @@
-#include "day/auditor.h"
+#include "scenario/auditor.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <sstream>
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 using namespace std::chrono_literals;
 
@@ -17,7 +17,7 @@
     return b > 0us ? static_cast<double>(a.count()) / static_cast<double>(b.count()) : 0;
 }
 
-std::string key_of(const governor::ListedServer& listed) {
+std::string key_of(const xds_server::ListedServer& listed) {
     return listed.incarnation.empty() ? listed.id : listed.id + "/" + listed.incarnation;
 }
 }  // namespace
@@ -75,7 +75,7 @@
     return std::any_of(sight.servers.begin(), sight.servers.end(), [&](const auto& entry) {
         const ListedSight& server = entry.second;
         return server.ready &&
-               (server.started <= 0us || server.started + config_.told.cold_time <= now);
+               (server.started <= 0us || server.started + config_.told.slow_start_window <= now);
     });
 }
 
@@ -100,8 +100,9 @@
             continue;
         }
         const Micros since = sight.bare_since.try_emplace(operation, now).first->second;
-        const Micros most(std::llround(static_cast<double>(config_.told.bare_most.count()) *
-                                       stretch_since(since)));
+        const Micros most(
+            std::llround(static_cast<double>(config_.told.max_time_without_server.count()) *
+                         stretch_since(since)));
         margins_.bare = std::max(margins_.bare, part(now - since, most));
         if (now - since > most) {
             broken("bare", now, name + " of " + sight.governor,
@@ -136,7 +137,7 @@
 
 // ---- the list, and drains
 
-void Auditor::list_told(Micros now, const std::string& name, const governor::ServerList& list) {
+void Auditor::list_told(Micros now, const std::string& name, const xds_server::ServerList& list) {
     GovernorSight& sight = governors_[name];
     // What the settings let a governor refuse has not told it anything: an empty list after a full
     // one, and one older than what the same registry gave before.
@@ -173,7 +174,7 @@
         }
         server.ready = false;
         // Where only a stated drain binds, a server that merely vanished may stay.
-        if (!config_.told.gone_may_stay) {
+        if (!config_.told.vanished_may_stay) {
             sight.gone.try_emplace(key, now);
         }
     }
@@ -181,11 +182,11 @@
 
 void Auditor::try_sent(Micros now, const std::string& name, const std::string& server,
                        std::uint64_t invocation, int operation, int number,
-                       standin::TryEnd before) {
+                       testbed::TryEnd before) {
     const auto& op = config_.told.operations[static_cast<std::size_t>(operation)];
     if (op.effect == Effect::SideEffecting && number > 1) {
         ++checks_["effect"];
-        if (before != standin::TryEnd::NeverSent && before != standin::TryEnd::Refused) {
+        if (before != testbed::TryEnd::NeverSent && before != testbed::TryEnd::Refused) {
             broken("effect", now, name + " to " + server,
                    op.name + " " + std::to_string(invocation) +
                        " sent again after a try that may have run");
@@ -203,7 +204,7 @@
     ++checks_["drain"];
     const Micros since = std::max(told->second, it->second.joined);
     const Micros grace(
-        std::llround(static_cast<double>(config_.told.grace.count()) * stretch_since(since)));
+        std::llround(static_cast<double>(config_.told.drain_grace.count()) * stretch_since(since)));
     margins_.drain = std::max(margins_.drain, part(now - since, grace));
     if (now - since > grace) {
         broken("drain", now, name + " to " + server,
@@ -252,7 +253,7 @@
         if (listed == servers.end()) {
             continue;
         }
-        const Micros grace(std::llround(static_cast<double>(config_.told.grace.count()) *
+        const Micros grace(std::llround(static_cast<double>(config_.told.drain_grace.count()) *
                                         stretch_since(listed->second.told)));
         if (it->second.last_order < listed->second.told &&
             push.when < listed->second.told + grace) {
@@ -269,7 +270,7 @@
                    " after its start by forwarders of " + who + ": " +
                    std::to_string(pushes.size()) + " tries, " +
                    in_seconds(Micros(std::llround(all))) + " of work within " +
-                   in_seconds(config_.told.fall_time) + ", most of it by " +
+                   in_seconds(config_.told.overload_collapse_time) + ", most of it by " +
                    std::max_element(by.begin(), by.end(), [](const auto& a, const auto& b) {
                        return a.second < b.second;
                    })->first);
@@ -293,20 +294,20 @@
     queues_[origin].emplace(order.ordered, order.lines);
     queues_[origin].emplace(order.released, -order.lines);
     const auto& told = config_.told;
-    if (told.messages_most <= 0) {
+    if (told.max_messages <= 0) {
         return;
     }
     ++checks_["queue"];
     sight.messages.push_back(order.released);
-    while (sight.messages.front() + told.messages_window <= order.released) {
+    while (sight.messages.front() + told.message_window <= order.released) {
         sight.messages.pop_front();
     }
-    margins_.messages = std::max(margins_.messages,
-                                 static_cast<double>(sight.messages.size()) / told.messages_most);
-    if (static_cast<int>(sight.messages.size()) > told.messages_most) {
+    margins_.messages =
+        std::max(margins_.messages, static_cast<double>(sight.messages.size()) / told.max_messages);
+    if (static_cast<int>(sight.messages.size()) > told.max_messages) {
         broken("queue", now, origin + " to " + forwarder,
                std::to_string(sight.messages.size()) + " messages within " +
-                   in_seconds(told.messages_window));
+                   in_seconds(told.message_window));
     }
 }
 
@@ -322,8 +323,8 @@
                 waiting += it->second;
             }
             ++checks_["queue"];
-            margins_.lines = std::max(margins_.lines, waiting / config_.told.lines_most);
-            if (waiting > config_.told.lines_most) {
+            margins_.lines = std::max(margins_.lines, waiting / config_.told.max_queued_lines);
+            if (waiting > config_.told.max_queued_lines) {
                 broken("queue", at, origin,
                        std::to_string(std::llround(waiting)) + " lines waited in its channel");
             }
@@ -331,4 +332,4 @@
     }
 }
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/auditor.h
+++ b/src/scenario/auditor.h
@@ -20,11 +20,11 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "day/script.h"
-#include "standin/observer.h"
-#include "xds/order_text.h"
+#include "scenario/script.h"
+#include "testbed/observer.h"
+#include "xds/release_text.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 // The five rules, by name.
 inline constexpr const char* kRules[] = {"bare", "effect", "drain", "cold", "queue"};
@@ -38,7 +38,7 @@
     std::string parties, what;
 };
 
-class Auditor final : public standin::Observer {
+class Auditor final : public testbed::Observer {
 public:
     Auditor(base::Clock& clock, const config::GovernorConfig& config);
 
@@ -68,12 +68,13 @@
     void pickable(Micros, const std::string& forwarder, int operation, bool any) override;
     void try_sent(Micros, const std::string& forwarder, const std::string& server,
                   std::uint64_t invocation, int operation, int number,
-                  standin::TryEnd before) override;
+                  testbed::TryEnd before) override;
     void server_up(Micros, const std::string& server, bool cold) override;
     void server_fell(Micros, const std::string& server, const std::vector<Push>& pushes) override;
     void took_effect(Micros, const std::string& server, std::uint64_t invocation,
                      int operation) override;
-    void list_told(Micros, const std::string& governor, const governor::ServerList& list) override;
+    void list_told(Micros, const std::string& governor,
+                   const xds_server::ServerList& list) override;
 
 private:
     struct ForwarderSight {
@@ -128,4 +129,4 @@
     Margins margins_;
 };
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/figures.cpp
+++ b/src/scenario/figures.cpp
@@ -1,12 +1,12 @@
-#include "day/figures.h"
+#include "scenario/figures.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "xds/order_text.h"
+#include "xds/release_text.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 using namespace std::chrono_literals;
 using nlohmann::ordered_json;
@@ -42,19 +42,19 @@
             {"timed_out", s.timed_out}};
 }
 
-const char* name_of(standin::TryEnd end) {
+const char* name_of(testbed::TryEnd end) {
     switch (end) {
-        case standin::TryEnd::Answered:
+        case testbed::TryEnd::Answered:
             return "answered";
-        case standin::TryEnd::Refused:
+        case testbed::TryEnd::Refused:
             return "refused";
-        case standin::TryEnd::NeverSent:
+        case testbed::TryEnd::NeverSent:
             return "never_sent";
-        case standin::TryEnd::Broken:
+        case testbed::TryEnd::Broken:
             return "broken";
-        case standin::TryEnd::TimedOut:
+        case testbed::TryEnd::TimedOut:
             return "timed_out";
-        case standin::TryEnd::Errored:
+        case testbed::TryEnd::Errored:
             return "errored";
     }
     return "";
@@ -83,45 +83,45 @@
       by_second_(
           static_cast<std::size_t>(std::max<std::int64_t>(0, length.count()) / 1000000 + 1)) {}
 
-void Figures::invocation_came(Micros now, const standin::Invocation& what) {
+void Figures::invocation_came(Micros now, const testbed::Invocation& what) {
     if (now >= begin_) {
         open_[what.id] = what;
     }
 }
 
-void Figures::client_try(Micros, const standin::Invocation&) {
+void Figures::client_try(Micros, const testbed::Invocation&) {
     ++client_tries_;
 }
 
-void Figures::invocation_ended(Micros now, const standin::Invocation& what,
-                               standin::Result result) {
+void Figures::invocation_ended(Micros now, const testbed::Invocation& what,
+                               testbed::Result result) {
     if (open_.erase(what.id) > 0) {
         add(what, result, now - what.came);
     }
 }
 
-void Figures::add(const standin::Invocation& what, standin::Result result, Micros took) {
+void Figures::add(const testbed::Invocation& what, testbed::Result result, Micros took) {
     const auto& op = script_.governor.told.operations[static_cast<std::size_t>(what.operation)];
     Service one;
     one.invocations = 1;
-    one.asked = op.billed_value;
+    one.asked = op.priority_weight;
     switch (result) {
-        case standin::Result::Succeeded:
+        case testbed::Result::Succeeded:
             one.succeeded = 1;
             if (took <= op.latency_objective) {
-                one.within = op.billed_value;
+                one.within = op.priority_weight;
             } else {
                 one.late = 1;
             }
             answered_.push_back(took);
             break;
-        case standin::Result::RateLimited:
+        case testbed::Result::RateLimited:
             one.rate_limited = 1;
             break;
-        case standin::Result::Errored:
+        case testbed::Result::Errored:
             one.errored = 1;
             break;
-        case standin::Result::TimedOut:
+        case testbed::Result::TimedOut:
             one.timed_out = 1;
             break;
     }
@@ -135,7 +135,7 @@
 
 void Figures::close() {
     for (const auto& [id, what] : std::exchange(open_, {})) {
-        add(what, standin::Result::TimedOut, 0us);
+        add(what, testbed::Result::TimedOut, 0us);
     }
 }
 
@@ -189,7 +189,8 @@
     sight.applied = std::max(sight.applied, newest);
 }
 
-void Figures::list_told(Micros now, const std::string& governor, const governor::ServerList& list) {
+void Figures::list_told(Micros now, const std::string& governor,
+                        const xds_server::ServerList& list) {
     GovernorCounts& counts = governors_[governor];
     ++counts.lists;
     std::string ready;
@@ -210,13 +211,13 @@
 // ---- tries
 
 void Figures::try_sent(Micros, const std::string&, const std::string&, std::uint64_t, int,
-                       int number, standin::TryEnd) {
+                       int number, testbed::TryEnd) {
     ++tries_;
     further_ += number > 1;
 }
 
 void Figures::try_ended(Micros, const std::string&, const std::string&, std::uint64_t,
-                        standin::TryEnd end) {
+                        testbed::TryEnd end) {
     ++ends_[name_of(end)];
 }
 
@@ -276,4 +277,4 @@
     return out;
 }
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/figures.h
+++ b/src/scenario/figures.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "day/script.h"
-#include "standin/observer.h"
+#include "scenario/script.h"
+#include "testbed/observer.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 // Billed value asked for and answered within the latency objective.
 struct Service {
@@ -20,15 +20,15 @@
     double part() const { return asked > 0 ? within / asked : 0; }
 };
 
-class Figures final : public standin::Observer {
+class Figures final : public testbed::Observer {
 public:
     // Counts the invocations that come from `begin` on, by seconds over `length`.
     Figures(const DayScript& script, Micros begin, Micros length,
             std::map<std::string, std::string> zone_of_forwarder);
 
-    void invocation_came(Micros, const standin::Invocation&) override;
-    void client_try(Micros, const standin::Invocation&) override;
-    void invocation_ended(Micros, const standin::Invocation&, standin::Result) override;
+    void invocation_came(Micros, const testbed::Invocation&) override;
+    void client_try(Micros, const testbed::Invocation&) override;
+    void invocation_ended(Micros, const testbed::Invocation&, testbed::Result) override;
     void joined(Micros, const std::string& forwarder, const std::string& governor) override;
     void left(Micros, const std::string& forwarder, const std::string& governor) override;
     void response_read(Micros, const std::string& forwarder, const std::string& governor,
@@ -36,14 +36,15 @@
                        const std::string& why) override;
     void try_sent(Micros, const std::string& forwarder, const std::string& server,
                   std::uint64_t invocation, int operation, int number,
-                  standin::TryEnd before) override;
+                  testbed::TryEnd before) override;
     void try_ended(Micros, const std::string&, const std::string&, std::uint64_t,
-                   standin::TryEnd) override;
+                   testbed::TryEnd) override;
     void server_up(Micros, const std::string& server, bool cold) override;
     void server_fell(Micros, const std::string& server, const std::vector<Push>&) override;
     void took_effect(Micros, const std::string& server, std::uint64_t invocation,
                      int operation) override;
-    void list_told(Micros, const std::string& governor, const governor::ServerList& list) override;
+    void list_told(Micros, const std::string& governor,
+                   const xds_server::ServerList& list) override;
 
     // Where a forwarder stands, learnt later.
     void place(const std::string& forwarder, const std::string& zone) { zones_[forwarder] = zone; }
@@ -68,12 +69,12 @@
         Micros applied{};  // list changes up to here are in force
     };
 
-    void add(const standin::Invocation& what, standin::Result result, Micros took);
+    void add(const testbed::Invocation& what, testbed::Result result, Micros took);
 
     const DayScript& script_;
     Micros begin_;
     std::map<std::string, std::string> zones_;
-    std::map<std::uint64_t, standin::Invocation> open_;
+    std::map<std::uint64_t, testbed::Invocation> open_;
     Service whole_;
     std::vector<Service> by_operation_, by_second_;
     std::map<std::string, Service> by_zone_;
@@ -90,4 +91,4 @@
 // The value below which this part lies; sorts its copy.
 Micros quantile(std::vector<Micros> values, double part);
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/moves.h
+++ b/src/scenario/moves.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "day/traffic.h"
-#include "standin/worker.h"
+#include "scenario/traffic.h"
+#include "testbed/worker.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 // The numbers stand in recordings: never give one another meaning.
 enum class MoveKind {
@@ -44,8 +44,8 @@
     double by = 0;
     Micros wait{};
     std::string text{};
-    standin::WorkerTrouble trouble{};
-    standin::WorkerSettings worker{};
+    testbed::WorkerTrouble trouble{};
+    testbed::WorkerSettings worker{};
 };
 
 struct TimedMove {
@@ -58,8 +58,8 @@
 // A world that is told rather than drawn from a script.
 struct GivenWorld {
     std::vector<TimedMove> moves;  // in the order in which they were made
-    std::map<std::string, std::vector<standin::Invocation>>
+    std::map<std::string, std::vector<testbed::Invocation>>
         traffic;  // by forwarder, times since the day's begin
 };
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/runner.cpp
+++ b/src/scenario/runner.cpp
@@ -1,4 +1,4 @@
-#include "day/runner.h"
+#include "scenario/runner.h"
 
 #include <cmath>
 #include <cstdio>
@@ -6,7 +6,7 @@
 
 #include "base/real_clock.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 using namespace std::chrono_literals;
 using nlohmann::ordered_json;
@@ -62,7 +62,7 @@
     Auditor auditor(loop->clock(), script.governor);
     Figures figures(script, clock.now() + options.count_from, script.length - options.count_from,
                     World::forwarder_zones(script, options.given));
-    std::vector<standin::Observer*> watchers{&auditor, &figures};
+    std::vector<testbed::Observer*> watchers{&auditor, &figures};
     watchers.insert(watchers.end(), options.watchers.begin(), options.watchers.end());
     if (options.prepare) {
         for (auto* watcher : options.prepare(clock.now())) {
@@ -172,4 +172,4 @@
     return out.str();
 }
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/runner.h
+++ b/src/scenario/runner.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "day/auditor.h"
-#include "day/figures.h"
-#include "day/script.h"
-#include "day/world.h"
+#include "scenario/auditor.h"
+#include "scenario/figures.h"
+#include "scenario/script.h"
+#include "scenario/world.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 enum class ClockKind { Real, Virtual };
 
@@ -30,10 +30,10 @@
     log::Form log_form = log::Form::Text;
     // For tests: called with the world before it starts.
     std::function<void(World&)> before;
-    std::vector<standin::Observer*> watchers;
+    std::vector<testbed::Observer*> watchers;
     // For tests and recorders: told the clock's time before anything begins; what it names watches
     // too.
-    std::function<std::vector<standin::Observer*>(Micros begin)> prepare;
+    std::function<std::vector<testbed::Observer*>(Micros begin)> prepare;
     // Played in place of the script's fleet, troubles and traffic.
     const GivenWorld* given = nullptr;
     // The figures count what came from here on, up to the script's length.
@@ -47,4 +47,4 @@
 // The run as text for people.
 std::string to_text(const DayScript& script, const DayRun& run);
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/script.cpp
+++ b/src/scenario/script.cpp
@@ -1,4 +1,4 @@
-#include "day/script.h"
+#include "scenario/script.h"
 
 #include <algorithm>
 #include <charconv>
@@ -9,7 +9,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 namespace {
 
 using namespace std::chrono_literals;
@@ -571,4 +571,4 @@
     return parse_script(path, text.str(), file, mistakes);
 }
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/script.h
+++ b/src/scenario/script.h
@@ -24,7 +24,7 @@
 #include "config/governor_config.h"
 #include "config/ini.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 using config::Micros;
 
@@ -122,4 +122,4 @@
 // The settings file that a script names; empty where it names none.
 std::string settings_of(const std::string& text);
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/traffic.cpp
+++ b/src/scenario/traffic.cpp
@@ -1,11 +1,11 @@
-#include "day/traffic.h"
+#include "scenario/traffic.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "base/random.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 namespace {
 
@@ -51,7 +51,7 @@
 }
 
 std::vector<ForwarderPlan> plan_forwarders(const DayScript& script) {
-    base::Chance chance(script.seed, "forwarders");
+    base::SequentialRandom chance(script.seed, "forwarders");
     std::vector<ForwarderPlan> out;
     double sum = 0;
     for (int k = 0; k < script.forwarders; ++k) {
@@ -70,7 +70,7 @@
     return out;
 }
 
-std::map<std::string, std::vector<standin::Invocation>> draw_traffic(
+std::map<std::string, std::vector<testbed::Invocation>> draw_traffic(
     const DayScript& script, const std::vector<ForwarderPlan>& forwarders, Micros begin) {
     const Keys keys(script.keys, script.key_zipf);
     double shares = 0;
@@ -91,9 +91,9 @@
             most *= 1 + t.by * static_cast<double>(script.governor.zones.size());
         }
     }
-    std::map<std::string, std::vector<standin::Invocation>> out;
+    std::map<std::string, std::vector<testbed::Invocation>> out;
     for (const ForwarderPlan& plan : forwarders) {
-        base::Chance chance(script.seed, "traffic/" + plan.id);
+        base::SequentialRandom chance(script.seed, "traffic/" + plan.id);
         auto& list = out[plan.id];
         double zone_rate = 0;
         for (const auto& other : forwarders) {
@@ -129,7 +129,7 @@
             if (chance.part() * most >= factor(when)) {
                 continue;
             }
-            standin::Invocation one;
+            testbed::Invocation one;
             one.forwarder = plan.id;
             double draw = chance.part() * shares;
             while (one.operation + 1 < static_cast<int>(script.operations.size()) &&
@@ -152,7 +152,7 @@
         }
     }
     // Numbered in the order in which they come.
-    std::vector<standin::Invocation*> all;
+    std::vector<testbed::Invocation*> all;
     for (auto& [forwarder, list] : out) {
         for (auto& one : list) {
             all.push_back(&one);
@@ -166,4 +166,4 @@
     return out;
 }
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/traffic.h
+++ b/src/scenario/traffic.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "day/script.h"
-#include "standin/observer.h"
+#include "scenario/script.h"
+#include "testbed/observer.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 struct ForwarderPlan {
     std::string id, zone;
@@ -21,7 +21,7 @@
 std::string numbered(const char* what, std::size_t n);
 std::vector<ForwarderPlan> plan_forwarders(const DayScript& script);
 // By forwarder, in the order of time; times count from `begin`.
-std::map<std::string, std::vector<standin::Invocation>> draw_traffic(
+std::map<std::string, std::vector<testbed::Invocation>> draw_traffic(
     const DayScript& script, const std::vector<ForwarderPlan>& forwarders, Micros begin);
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/weather.cpp
+++ b/src/scenario/weather.cpp
@@ -1,8 +1,8 @@
-#include "day/weather.h"
+#include "scenario/weather.h"
 
 #include <cmath>
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 using namespace std::chrono_literals;
 
@@ -26,8 +26,8 @@
     return it == zones_.end() ? none : it->second;
 }
 
-base::Luck DayWeather::luck(const char* what, const std::string& from,
-                            const std::string& to) const {
+base::CounterRandom DayWeather::luck(const char* what, const std::string& from,
+                                     const std::string& to) const {
     return {base::seed_for(luck_, what + ("/" + from) + "/" + to),
             static_cast<std::uint64_t>(clock_.now() / kMoment)};
 }
@@ -76,4 +76,4 @@
     return out;
 }
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/weather.h
+++ b/src/scenario/weather.h
@@ -10,10 +10,10 @@
 
 #include "base/clock.h"
 #include "base/random.h"
-#include "day/script.h"
 #include "net/network.h"
+#include "scenario/script.h"
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 class DayWeather final : public net::Weather {
 public:
@@ -39,7 +39,8 @@
 
 private:
     const std::string& zone(const std::string& host) const;
-    base::Luck luck(const char* what, const std::string& from, const std::string& to) const;
+    base::CounterRandom luck(const char* what, const std::string& from,
+                             const std::string& to) const;
 
     Micros same_, cross_;
     Range orders_;
@@ -50,4 +51,4 @@
     std::map<std::string, Slow> slow_;
 };
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/world.cpp
+++ b/src/scenario/world.cpp
@@ -1,10 +1,10 @@
-#include "day/world.h"
+#include "scenario/world.h"
 
 #include <algorithm>
 #include <cmath>
 #include <stdexcept>
 
-namespace badgergrade::day {
+namespace badgergrade::scenario {
 
 using namespace std::chrono_literals;
 
@@ -19,7 +19,7 @@
     return {kind + static_cast<std::uint32_t>(k)};
 }
 
-governor::Figures& operator+=(governor::Figures& a, const governor::Figures& b) {
+xds_server::Figures& operator+=(xds_server::Figures& a, const xds_server::Figures& b) {
     a.decisions += b.decisions;
     a.orders += b.orders;
     a.joins += b.joins;
@@ -54,7 +54,7 @@
 }
 
 World::World(net::Loop& loop, const DayScript& script, log::Log& log,
-             const std::vector<standin::Observer*>& watchers, const GivenWorld* given)
+             const std::vector<testbed::Observer*>& watchers, const GivenWorld* given)
     : loop_(loop),
       script_(script),
       given_(given),
@@ -69,7 +69,7 @@
         operations_.push_back(op.name);
     }
     registry_port_ = std::make_unique<net::PortHold>(loop);
-    registry_ = std::make_unique<standin::Registry>(loop, actor(kRegistry), "registry",
+    registry_ = std::make_unique<testbed::Registry>(loop, actor(kRegistry), "registry",
                                                     registry_port_->address(), &watchers_);
 }
 
@@ -180,8 +180,8 @@
     forwarders_.push_back(std::move(slot));
 }
 
-std::vector<standin::ClientSettings::GivesUp> World::gives_up() const {
-    std::vector<standin::ClientSettings::GivesUp> out;
+std::vector<testbed::ClientSettings::GivesUp> World::gives_up() const {
+    std::vector<testbed::ClientSettings::GivesUp> out;
     if (given_) {
         for (const TimedMove& move : given_->moves) {
             if (move.what.kind == MoveKind::GiveUp) {
@@ -198,8 +198,8 @@
     return out;
 }
 
-void World::add_clients(std::map<std::string, std::vector<standin::Invocation>> traffic) {
-    standin::ClientSettings clients;
+void World::add_clients(std::map<std::string, std::vector<testbed::Invocation>> traffic) {
+    testbed::ClientSettings clients;
     clients.retries = script_.client_retries;
     clients.wait = script_.client_wait;
     clients.try_share = script_.client_try_share;
@@ -209,7 +209,7 @@
         ForwarderSlot& slot = forwarders_[k];
         const std::string client = numbered("client", k);
         weather_.place(client, slot.plan.zone);
-        slot.client = std::make_unique<standin::Client>(
+        slot.client = std::make_unique<testbed::Client>(
             loop_, actor(kClients, k), client, clients, slot.port->address(),
             std::move(traffic[slot.plan.id]), &watchers_);
     }
@@ -359,8 +359,8 @@
 
 // ---- workers
 
-standin::WorkerSettings World::draw_worker(std::size_t k) const {
-    base::Chance chance(script_.seed, "worker/" + std::to_string(k));
+testbed::WorkerSettings World::draw_worker(std::size_t k) const {
+    base::SequentialRandom chance(script_.seed, "worker/" + std::to_string(k));
     const Settings& told = script_.governor.told;
     double shares = 0;
     for (const auto& kind : script_.kinds) {
@@ -372,7 +372,7 @@
         ++which;
     }
     const MachineKind& kind = script_.kinds[which];
-    standin::WorkerSettings s;
+    testbed::WorkerSettings s;
     s.id = numbered("worker", k);
     s.zone = script_.governor.zones[k % script_.governor.zones.size()];
     s.cores = kind.cores;
@@ -383,19 +383,19 @@
         std::llround(chance.between(kind.connections.low, kind.connections.high)));
     s.handshake_work = Micros(std::llround(chance.between(8000, 15000)));
     // What the settings tell of cold servers is the least that holds.
-    s.cold_from = std::min(1.0, told.cold_from * chance.between(1, 1.5));
-    s.cold_time =
-        Micros(std::llround(static_cast<double>(told.cold_time.count()) * chance.between(0.7, 1)));
-    s.fall_multiple = told.fall_multiple;
-    s.fall_time = told.fall_time;
+    s.cold_from = std::min(1.0, told.initial_capacity_fraction * chance.between(1, 1.5));
+    s.cold_time = Micros(
+        std::llround(static_cast<double>(told.slow_start_window.count()) * chance.between(0.7, 1)));
+    s.fall_multiple = told.overload_collapse_factor;
+    s.fall_time = told.overload_collapse_time;
     s.key_gain = script_.key_gain;
     s.key_time = script_.key_kept;
-    s.reports_load = !told.load_columns.empty();
+    s.reports_load = !told.load_metric_names.empty();
     s.report_every = Micros(std::llround(chance.between(300e3, 1000e3)));
     return s;
 }
 
-void World::add_worker(const standin::WorkerSettings& settings) {
+void World::add_worker(const testbed::WorkerSettings& settings) {
     WorkerSlot slot;
     slot.settings = settings;
     slot.port = std::make_unique<net::PortHold>(loop_);
@@ -409,11 +409,11 @@
     slot.worker.reset();
     ++slot.incarnation;
     slot.started = cold ? loop_.clock().now() : 0us;
-    standin::WorkerSettings settings = slot.settings;
+    testbed::WorkerSettings settings = slot.settings;
     settings.id += "/" + std::to_string(slot.incarnation);
     weather_.place(settings.id, settings.zone);
     server_names_[settings.listen] = settings.id;
-    slot.worker = std::make_unique<standin::Worker>(loop_, actor(kWorkers, k), settings,
+    slot.worker = std::make_unique<testbed::Worker>(loop_, actor(kWorkers, k), settings,
                                                     base::seed_for(script_.seed, settings.id),
                                                     &watchers_, cold, operations_);
 }
@@ -458,7 +458,7 @@
 
 void World::put_on_list(std::size_t k, bool draining) {
     const WorkerSlot& slot = workers_[k];
-    standin::Registry::Row row;
+    testbed::Registry::Row row;
     row.server.id = slot.settings.id;
     row.server.zone = slot.settings.zone;
     row.server.address = slot.settings.listen;
@@ -480,17 +480,17 @@
     config.id = slot.name;
     config.seed = base::seed_for(script_.seed, slot.name + "/" + std::to_string(slot.life)) >> 12;
     config.told.ordinal = static_cast<int>(k);
-    config.told.governors = script_.governors;
+    config.told.instance_count = script_.governors;
     const auto at = std::find(config.zones.begin(), config.zones.end(), slot.zone);
     config.told.zone = {static_cast<int>(at - config.zones.begin())};
     config.xds_address = net::to_text(slot.port->address());
     config.registry_address = net::to_text(registry_port_->address());
-    slot.service = std::make_unique<governor::Service>(loop_, actor(kGovernors, k), config, log_,
-                                                       "life-" + std::to_string(++slot.life));
+    slot.service = std::make_unique<xds_server::XdsServer>(
+        loop_, actor(kGovernors, k), config, log_, "life-" + std::to_string(++slot.life));
     if (governor_watcher) {
         slot.service->watch(*governor_watcher);
     }
-    slot.service->tamper = [this, k](Micros now, std::vector<Action>& actions) {
+    slot.service->tamper = [this, k](Micros now, std::vector<Command>& actions) {
         if (tamper) {
             tamper(static_cast<int>(k), *governors_[k].service, now, actions);
         }
@@ -506,10 +506,10 @@
     slot.service.reset();
 }
 
-std::vector<governor::Figures> World::governor_figures() const {
-    std::vector<governor::Figures> out;
+std::vector<xds_server::Figures> World::governor_figures() const {
+    std::vector<xds_server::Figures> out;
     for (const GovernorSlot& slot : governors_) {
-        governor::Figures sum = slot.past;
+        xds_server::Figures sum = slot.past;
         if (slot.service) {
             sum += slot.service->figures();
         }
@@ -519,7 +519,7 @@
 }
 
 std::vector<xds::TableLine> World::draw_startup(const std::string& zone,
-                                                base::Chance& chance) const {
+                                                base::SequentialRandom& chance) const {
     std::vector<xds::TableLine> here;
     std::vector<xds::TableLine> all;
     for (const auto& [id, row] : registry_->rows()) {
@@ -547,8 +547,9 @@
     slot.forwarder.reset();
     ++slot.starts;
     const Settings& told = script_.governor.told;
-    base::Chance chance(script_.seed, slot.plan.id + "/start/" + std::to_string(slot.starts));
-    standin::ForwarderSettings s;
+    base::SequentialRandom chance(script_.seed,
+                                  slot.plan.id + "/start/" + std::to_string(slot.starts));
+    testbed::ForwarderSettings s;
     s.id = slot.plan.id;
     s.zone = slot.plan.zone;
     s.rate = slot.plan.rate;
@@ -573,18 +574,18 @@
         s.governor_names.push_back(governors_[g].name);
     }
     s.startup = draw_startup(slot.plan.zone, chance);
-    s.pick = told.pick;
-    s.again = told.default_again;
-    s.ejects_after = told.ejects_after;
+    s.pick = told.pick_policy;
+    s.again = told.default_retry_mode;
+    s.ejects_after = told.proxy_ejection_failures;
     s.eject_time = script_.governor.eject_time;
     s.connect_timeout = 250ms;
     s.dial_timeout = 1s;
-    s.connection_idle = told.connection_idle;
+    s.connection_idle = told.connection_idle_timeout;
     s.redial_least = Micros(std::llround(script_.redial_us.low));
     s.redial_most = Micros(std::llround(script_.redial_us.high));
     // A cut way shows only by silence.
     s.keepalive = 1s;
-    slot.forwarder = std::make_unique<standin::Forwarder>(
+    slot.forwarder = std::make_unique<testbed::Forwarder>(
         loop_, actor(kForwarders, k), s,
         base::seed_for(script_.seed, "start/" + std::to_string(slot.starts)), &watchers_,
         &server_names_);
@@ -598,7 +599,7 @@
 namespace {
 // So many of a row, or a part of it, drawn by chance; in the order of the row.
 std::vector<std::size_t> drawn(std::vector<std::size_t> from, double part, int count,
-                               base::Chance& chance) {
+                               base::SequentialRandom& chance) {
     const auto wanted =
         count > 0 ? static_cast<std::size_t>(count)
                   : static_cast<std::size_t>(std::ceil(part * static_cast<double>(from.size())));
@@ -626,7 +627,7 @@
     if (!trouble.one.empty()) {
         return from;
     }
-    base::Chance chance(script_.seed, "struck/" + std::to_string(trouble.line));
+    base::SequentialRandom chance(script_.seed, "struck/" + std::to_string(trouble.line));
     return drawn(std::move(from), trouble.part, trouble.count, chance);
 }
 
@@ -640,12 +641,12 @@
     if (!trouble.one.empty()) {
         return from;
     }
-    base::Chance chance(script_.seed, "struck/" + std::to_string(trouble.line));
+    base::SequentialRandom chance(script_.seed, "struck/" + std::to_string(trouble.line));
     return drawn(std::move(from), trouble.part, trouble.count, chance);
 }
 
 void World::trouble_worker(std::size_t k,
-                           const std::function<void(standin::WorkerTrouble&)>& change) {
+                           const std::function<void(testbed::WorkerTrouble&)>& change) {
     Move move{.kind = MoveKind::TroubleWorker,
               .who = workers_[k].settings.id,
               .trouble = workers_[k].worker->trouble};
@@ -655,19 +656,19 @@
 
 // Changes those struck, and back when the trouble is over (unless they died meanwhile).
 void World::each_worker(const Trouble& trouble,
-                        const std::function<void(standin::WorkerTrouble&, bool)>& change) {
+                        const std::function<void(testbed::WorkerTrouble&, bool)>& change) {
     for (const std::size_t k : struck_workers(trouble)) {
-        trouble_worker(k, [&](standin::WorkerTrouble& t) { change(t, true); });
+        trouble_worker(k, [&](testbed::WorkerTrouble& t) { change(t, true); });
         later(trouble.lasts, [this, k, change, incarnation = workers_[k].incarnation] {
             if (workers_[k].worker && workers_[k].incarnation == incarnation) {
-                trouble_worker(k, [&](standin::WorkerTrouble& t) { change(t, false); });
+                trouble_worker(k, [&](testbed::WorkerTrouble& t) { change(t, false); });
             }
         });
     }
 }
 
 void World::flap(const Trouble& trouble, std::size_t k, Micros end,
-                 std::shared_ptr<base::Chance> chance) {
+                 std::shared_ptr<base::SequentialRandom> chance) {
     const Micros now = loop_.clock().now();
     if (now >= end) {
         return;
@@ -680,14 +681,14 @@
             return;
         }
         if (trouble.how == "hang" || trouble.how == "errors") {
-            trouble_worker(k, [&](standin::WorkerTrouble& t) {
+            trouble_worker(k, [&](testbed::WorkerTrouble& t) {
                 trouble.how == "hang" ? void(t.hangs = true) : void(t.errors = 0.95);
             });
             later(down, [this, &trouble, k, end, chance, incarnation = workers_[k].incarnation] {
                 if (!workers_[k].worker || workers_[k].incarnation != incarnation) {
                     return;
                 }
-                trouble_worker(k, [](standin::WorkerTrouble& t) { t = {}; });
+                trouble_worker(k, [](testbed::WorkerTrouble& t) { t = {}; });
                 flap(trouble, k, end, chance);
             });
             return;
@@ -712,7 +713,7 @@
                         static_cast<double>(trouble.lasts.count());
     if (part < 1) {
         trouble_worker(k,
-                       [&](standin::WorkerTrouble& t) { t.slower = 1 + (trouble.by - 1) * part; });
+                       [&](testbed::WorkerTrouble& t) { t.slower = 1 + (trouble.by - 1) * part; });
         later(500ms,
               [this, &trouble, k, incarnation, began] { age(trouble, k, incarnation, began); });
         return;
@@ -730,7 +731,7 @@
         return;
     }
     const bool over = loop_.clock().now() >= end;
-    trouble_worker(k, [&](standin::WorkerTrouble& t) { t.taken = on && !over ? trouble.by : 0; });
+    trouble_worker(k, [&](testbed::WorkerTrouble& t) { t.taken = on && !over ? trouble.by : 0; });
     if (over) {
         return;
     }
@@ -740,7 +741,7 @@
 }
 
 void World::strike_workers(const Trouble& trouble) {
-    using T = standin::WorkerTrouble;
+    using T = testbed::WorkerTrouble;
     const double by = trouble.by;
     switch (trouble.kind) {
         case Kind::Hang:
@@ -768,12 +769,12 @@
             strike_neighbour(trouble, k, now + trouble.lasts, true);
         } else if (trouble.kind == Kind::Flapping) {
             flap(trouble, k, now + trouble.lasts,
-                 std::make_shared<base::Chance>(
+                 std::make_shared<base::SequentialRandom>(
                      script_.seed,
                      "flap/" + std::to_string(trouble.line) + "/" + std::to_string(k)));
         } else if (trouble.kind == Kind::Drain) {
             list_worker(k, 1us, true);
-            later(trouble.lasts > 0us ? trouble.lasts : 3 * script_.governor.told.grace,
+            later(trouble.lasts > 0us ? trouble.lasts : 3 * script_.governor.told.drain_grace,
                   [this, k] { stop_worker(k, false); });
         } else {  // crash, and a whole zone lost
             stop_worker(k, trouble.unlisted);
@@ -856,7 +857,7 @@
 
 void World::strike(const Trouble& trouble) {
     using enum MoveKind;
-    log::Voice(log_, "day").info("trouble", {{"kind", trouble.name}, {"line", trouble.line}});
+    log::Logger(log_, "day").info("trouble", {{"kind", trouble.name}, {"line", trouble.line}});
     if (on_trouble) {
         on_trouble(loop_.clock().now(), trouble);
     }
@@ -914,4 +915,4 @@
     }
 }
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/day/world.h
+++ b/src/scenario/world.h
@@ -7,37 +7,37 @@
 #include <string>
 #include <vector>
 
-#include "day/moves.h"
-#include "day/script.h"
-#include "day/traffic.h"
-#include "day/weather.h"
-#include "governor/service.h"
 #include "log/log.h"
-#include "standin/client.h"
-#include "standin/forwarder.h"
-#include "standin/registry.h"
-#include "standin/worker.h"
-
-namespace badgergrade::day {
+#include "scenario/moves.h"
+#include "scenario/script.h"
+#include "scenario/traffic.h"
+#include "scenario/weather.h"
+#include "testbed/client.h"
+#include "testbed/forwarder.h"
+#include "testbed/registry.h"
+#include "testbed/worker.h"
+#include "xds_server/xds_server.h"
+
+namespace badgergrade::scenario {
 
 // Hands what it hears on to several.
-class Watchers final : public standin::Observer {
+class Watchers final : public testbed::Observer {
 public:
-    std::vector<standin::Observer*> all;
+    std::vector<testbed::Observer*> all;
 
-    void invocation_came(Micros t, const standin::Invocation& i) override {
+    void invocation_came(Micros t, const testbed::Invocation& i) override {
         for (auto* o : all) {
             o->invocation_came(t, i);
         }
     }
 
-    void client_try(Micros t, const standin::Invocation& i) override {
+    void client_try(Micros t, const testbed::Invocation& i) override {
         for (auto* o : all) {
             o->client_try(t, i);
         }
     }
 
-    void invocation_ended(Micros t, const standin::Invocation& i, standin::Result r) override {
+    void invocation_ended(Micros t, const testbed::Invocation& i, testbed::Result r) override {
         for (auto* o : all) {
             o->invocation_ended(t, i, r);
         }
@@ -81,14 +81,14 @@
     }
 
     void try_sent(Micros t, const std::string& f, const std::string& s, std::uint64_t i, int op,
-                  int n, standin::TryEnd b) override {
+                  int n, testbed::TryEnd b) override {
         for (auto* o : all) {
             o->try_sent(t, f, s, i, op, n, b);
         }
     }
 
     void try_ended(Micros t, const std::string& f, const std::string& s, std::uint64_t i,
-                   standin::TryEnd e) override {
+                   testbed::TryEnd e) override {
         for (auto* o : all) {
             o->try_ended(t, f, s, i, e);
         }
@@ -118,7 +118,7 @@
         }
     }
 
-    void list_told(Micros t, const std::string& g, const governor::ServerList& l) override {
+    void list_told(Micros t, const std::string& g, const xds_server::ServerList& l) override {
         for (auto* o : all) {
             o->list_told(t, g, l);
         }
@@ -131,7 +131,7 @@
     // With `given`, the fleet, the troubles and the invocations are those, and the script's are not
     // drawn.
     World(net::Loop& loop, const DayScript& script, log::Log& log,
-          const std::vector<standin::Observer*>& watchers, const GivenWorld* given = nullptr);
+          const std::vector<testbed::Observer*>& watchers, const GivenWorld* given = nullptr);
     ~World();
 
     Micros begin() const { return begin_; }
@@ -141,8 +141,8 @@
                                                               const GivenWorld* given);
 
     // For tests: changes what governors decided before it is carried out, and what forwarders do.
-    std::function<void(int governor, governor::Service&, Micros, std::vector<Action>&)> tamper;
-    std::function<void(standin::Forwarder&)> on_forwarder;
+    std::function<void(int governor, xds_server::XdsServer&, Micros, std::vector<Command>&)> tamper;
+    std::function<void(testbed::Forwarder&)> on_forwarder;
     // The channel's pace changed by this factor (the auditor's rules stretch with it).
     std::function<void(double slower)> on_slow_channel;
     // Hears of each move before it is made (`joined`: in one step with the move before), and of
@@ -150,20 +150,20 @@
     std::function<void(Micros now, bool opening, bool joined, const Move&)> on_move;
     std::function<void(Micros now, const Trouble&)> on_trouble;
     // Hears what governors are told and decide.
-    governor::Watcher* governor_watcher = nullptr;
+    xds_server::XdsServerObserver* governor_watcher = nullptr;
 
-    std::vector<governor::Figures> governor_figures() const;
+    std::vector<xds_server::Figures> governor_figures() const;
 
-    standin::Registry& registry() { return *registry_; }
+    testbed::Registry& registry() { return *registry_; }
 
     // Sends all troubles on their way. Called once.
     void start();
 
 private:
     struct WorkerSlot {
-        standin::WorkerSettings settings;
+        testbed::WorkerSettings settings;
         std::unique_ptr<net::PortHold> port;
-        std::unique_ptr<standin::Worker> worker;
+        std::unique_ptr<testbed::Worker> worker;
         int incarnation = 0;
         Micros started{};  // 0: long ago
     };
@@ -171,28 +171,28 @@
     struct ForwarderSlot {
         ForwarderPlan plan;
         std::unique_ptr<net::PortHold> port;
-        std::unique_ptr<standin::Forwarder> forwarder;
-        std::unique_ptr<standin::Client> client;
+        std::unique_ptr<testbed::Forwarder> forwarder;
+        std::unique_ptr<testbed::Client> client;
         int starts = 0;
     };
 
     struct GovernorSlot {
         std::string name, zone;
         std::unique_ptr<net::PortHold> port;
-        std::unique_ptr<governor::Service> service;
+        std::unique_ptr<xds_server::XdsServer> service;
         int life = 0;
-        governor::Figures past;  // of its earlier lives
+        xds_server::Figures past;  // of its earlier lives
     };
 
     void later(Micros delay, std::function<void()> what);
 
     void open_script();
     void open_given();
-    void add_clients(std::map<std::string, std::vector<standin::Invocation>> traffic);
+    void add_clients(std::map<std::string, std::vector<testbed::Invocation>> traffic);
     void add_forwarder(const ForwarderPlan& plan);
     void add_governor(std::size_t k);
-    std::vector<standin::ClientSettings::GivesUp> gives_up() const;
-    standin::WorkerSettings draw_worker(std::size_t k) const;
+    std::vector<testbed::ClientSettings::GivesUp> gives_up() const;
+    testbed::WorkerSettings draw_worker(std::size_t k) const;
 
     void make(const Move& move);
     void apply(const Move& move);
@@ -204,7 +204,7 @@
     std::size_t forwarder_called(const std::string& id) const;
     std::size_t governor_called(const std::string& id) const;
 
-    void add_worker(const standin::WorkerSettings& settings);
+    void add_worker(const testbed::WorkerSettings& settings);
     void start_worker(std::size_t k, bool cold);
     void put_on_list(std::size_t k, bool draining);
     void stop_worker(std::size_t k, bool unlisted);
@@ -213,7 +213,8 @@
     void start_forwarder(std::size_t k);
     void start_governor(std::size_t k);
     void stop_governor(std::size_t k);
-    std::vector<xds::TableLine> draw_startup(const std::string& zone, base::Chance& chance) const;
+    std::vector<xds::TableLine> draw_startup(const std::string& zone,
+                                             base::SequentialRandom& chance) const;
 
     std::vector<std::size_t> struck_workers(const Trouble& trouble);
     std::vector<std::size_t> struck_forwarders(const Trouble& trouble);
@@ -221,12 +222,12 @@
     void strike_forwarders(const Trouble& trouble);
     void lose_zone(const Trouble& trouble);
     void crash_governor(std::size_t k, Micros lasts);
-    void trouble_worker(std::size_t k, const std::function<void(standin::WorkerTrouble&)>& change);
+    void trouble_worker(std::size_t k, const std::function<void(testbed::WorkerTrouble&)>& change);
     void strike_workers(const Trouble& trouble);
     void each_worker(const Trouble& trouble,
-                     const std::function<void(standin::WorkerTrouble&, bool on)>& change);
+                     const std::function<void(testbed::WorkerTrouble&, bool on)>& change);
     void flap(const Trouble& trouble, std::size_t k, Micros end,
-              std::shared_ptr<base::Chance> chance);
+              std::shared_ptr<base::SequentialRandom> chance);
     void age(const Trouble& trouble, std::size_t k, int incarnation, Micros began);
     void strike_neighbour(const Trouble& trouble, std::size_t k, Micros end, bool on);
 
@@ -239,17 +240,17 @@
     Watchers watchers_;
     DayWeather weather_;
     Micros begin_{};
-    base::Chance chance_;
+    base::SequentialRandom chance_;
     std::vector<std::string> operations_;
     std::unique_ptr<net::PortHold> registry_port_;
-    std::unique_ptr<standin::Registry> registry_;
+    std::unique_ptr<testbed::Registry> registry_;
     std::vector<WorkerSlot> workers_;
     std::vector<ForwarderSlot> forwarders_;
     std::vector<GovernorSlot> governors_;
     std::map<net::Address, std::string> server_names_;
-    std::map<Micros, std::map<std::string, standin::Registry::Row>> list_history_;
+    std::map<Micros, std::map<std::string, testbed::Registry::Row>> list_history_;
     std::map<std::uint64_t, base::Timer> timers_;
     std::uint64_t timer_ids_ = 0;
 };
 
-}  // namespace badgergrade::day
+}  // namespace badgergrade::scenario
--- a/src/standin/client.cpp
+++ b/src/testbed/client.cpp
@@ -1,11 +1,11 @@
-#include "standin/client.h"
+#include "testbed/client.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "xds/names.h"
+#include "xds/resource_names.h"
 
-namespace badgergrade::standin {
+namespace badgergrade::testbed {
 
 using namespace std::chrono_literals;
 using How = net::HttpOutcome::How;
@@ -110,4 +110,4 @@
     }
 }
 
-}  // namespace badgergrade::standin
+}  // namespace badgergrade::testbed
--- a/src/standin/client.h
+++ b/src/testbed/client.h
@@ -9,9 +9,9 @@
 
 #include "base/random.h"
 #include "net/http_server.h"
-#include "standin/observer.h"
+#include "testbed/observer.h"
 
-namespace badgergrade::standin {
+namespace badgergrade::testbed {
 
 struct ClientSettings {
     int retries = 1;
@@ -60,4 +60,4 @@
     std::map<std::uint64_t, Open> open_;
 };
 
-}  // namespace badgergrade::standin
+}  // namespace badgergrade::testbed
--- a/src/standin/forwarder.cpp
+++ b/src/testbed/forwarder.cpp
@@ -1,10 +1,10 @@
-#include "standin/forwarder.h"
+#include "testbed/forwarder.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-namespace badgergrade::standin {
+namespace badgergrade::testbed {
 
 using namespace std::chrono_literals;
 using How = net::HttpOutcome::How;
@@ -300,7 +300,8 @@
 
 bool Forwarder::let_in(const std::string& path, const xds::ClientRoute& route,
                        std::uint64_t invocation) {
-    if (route.share < 1 && base::Luck(luck_ ^ kShareLuck, invocation).part() >= route.share) {
+    if (route.share < 1 &&
+        base::CounterRandom(luck_ ^ kShareLuck, invocation).part() >= route.share) {
         return false;
     }
     if (route.rate <= 0) {
@@ -373,7 +374,8 @@
 }
 
 const xds::TableLine* Forwarder::pick(const xds::ClientTable& table,
-                                      const std::set<net::Address>& not_these, base::Luck luck) {
+                                      const std::set<net::Address>& not_these,
+                                      base::CounterRandom luck) {
     const Micros now = loop_.clock().now();
     std::vector<const xds::TableLine*> open;
     std::vector<const xds::TableLine*> good;
@@ -405,10 +407,10 @@
         }
         return from.back();
     };
-    if (table.pick == Pick::Weighted) {
+    if (table.pick == PickPolicy::WeightedRandom) {
         return draw();
     }
-    if (table.pick == Pick::Two) {
+    if (table.pick == PickPolicy::LeastOfTwo) {
         const auto* a = draw();
         const auto* b = draw();
         return standings_[b->address].open < standings_[a->address].open ? b : a;
@@ -431,7 +433,8 @@
     const xds::ClientTable* table = table_for(work);
     const xds::TableLine* line =
         table ? pick(*table, work.tried,
-                     base::Luck(luck_ + static_cast<std::uint64_t>(work.tries), work.invocation))
+                     base::CounterRandom(luck_ + static_cast<std::uint64_t>(work.tries),
+                                         work.invocation))
               : nullptr;
     if (!line) {
         net::HttpMessage none;
@@ -451,7 +454,7 @@
                h.first == "connection";
     });
     Micros limit = work.expires - now;
-    const int more = work.again == Again::Once ? 1 : work.again == Again::Twice ? 2 : 0;
+    const int more = work.again == RetryMode::Once ? 1 : work.again == RetryMode::Twice ? 2 : 0;
     if (more >= work.tries && work.per_try > 0us) {
         limit = std::min(limit, work.per_try);
     }
@@ -518,8 +521,11 @@
     }
     // After proof that it never ran once more, whatever it is; after anything else only as ordered.
     const bool proven = end == TryEnd::NeverSent || end == TryEnd::Refused;
-    const int after_any = work.again == Again::Once ? 1 : work.again == Again::Twice ? 2 : 0;
-    const int most = proven ? (work.again == Again::Never ? 0 : std::max(1, after_any)) : after_any;
+    const int after_any = work.again == RetryMode::Once    ? 1
+                          : work.again == RetryMode::Twice ? 2
+                                                           : 0;
+    const int most =
+        proven ? (work.again == RetryMode::Never ? 0 : std::max(1, after_any)) : after_any;
     const bool may = repeats_all ? work.tries < 3 : work.tries <= most;
     if (may && work.expires - now > 10ms) {
         work.before = end;
@@ -579,4 +585,4 @@
     }
 }
 
-}  // namespace badgergrade::standin
+}  // namespace badgergrade::testbed
--- a/src/standin/forwarder.h
+++ b/src/testbed/forwarder.h
@@ -12,11 +12,11 @@
 #include "base/random.h"
 #include "net/grpc.h"
 #include "net/http_server.h"
-#include "standin/observer.h"
+#include "testbed/observer.h"
 #include "xds/ads_client.h"
-#include "xds/load_sums.h"
+#include "xds/load_report.h"
 
-namespace badgergrade::standin {
+namespace badgergrade::testbed {
 
 struct ForwarderSettings {
     std::string id, zone;
@@ -25,9 +25,9 @@
     std::vector<Operation> operations;
     std::vector<net::Address> governors;  // the preferred one first
     std::vector<std::string> governor_names;
-    std::vector<xds::TableLine> startup;  // its standing table
-    Pick pick = Pick::Two;                // for the start-up table
-    Again again = Again::AfterProof;
+    std::vector<xds::TableLine> startup;       // its standing table
+    PickPolicy pick = PickPolicy::LeastOfTwo;  // for the start-up table
+    RetryMode again = RetryMode::OnlyUnprocessed;
     int ejects_after = 5;
     Micros eject_time{}, connect_timeout{}, connection_idle{}, dial_timeout{}, redial_least{},
         redial_most{};
@@ -76,7 +76,7 @@
         net::Address now;
         net::HttpPool::TryId attempt = 0;
         int tries = 0;
-        Again again = Again::AfterProof;
+        RetryMode again = RetryMode::OnlyUnprocessed;
         Micros per_try{};
         std::string cluster;
         TryEnd before = TryEnd::NeverSent;  // how the try before this one ended
@@ -103,7 +103,7 @@
     bool let_in(const std::string& path, const xds::ClientRoute& route, std::uint64_t invocation);
     const xds::ClientTable* table_for(const Work& work) const;
     const xds::TableLine* pick(const xds::ClientTable& table,
-                               const std::set<net::Address>& not_these, base::Luck luck);
+                               const std::set<net::Address>& not_these, base::CounterRandom luck);
     void attempt(std::uint64_t id);
     void attempted(std::uint64_t id, net::HttpOutcome outcome, Micros sent);
     void finish(std::uint64_t id, net::HttpMessage response);
@@ -117,7 +117,7 @@
     ForwarderSettings settings_;
     Observer* observer_;
     const std::map<net::Address, std::string>* server_names_;
-    base::Chance chance_;
+    base::SequentialRandom chance_;
     std::uint64_t luck_;
     bool fresh_ = true, isolated_ = false,
          stalled_ = false;  // before ads_, whose node tells of the first
@@ -141,4 +141,4 @@
     std::uint64_t ids_ = 0;
 };
 
-}  // namespace badgergrade::standin
+}  // namespace badgergrade::testbed
--- a/src/standin/observer.h
+++ b/src/testbed/observer.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "governor/registry_watch.h"
-#include "types.h"
+#include "policy/ids.h"
+#include "xds_server/endpoint_watch.h"
 
-namespace badgergrade::standin {
+namespace badgergrade::testbed {
 
 enum class Result { Succeeded, RateLimited, Errored, TimedOut };
 enum class TryEnd { Answered, Refused, NeverSent, Broken, TimedOut, Errored };
@@ -77,7 +77,8 @@
                              int /*operation*/) {}
 
     // The registry answered a governor.
-    virtual void list_told(Micros, const std::string& /*governor*/, const governor::ServerList&) {}
+    virtual void list_told(Micros, const std::string& /*governor*/, const xds_server::ServerList&) {
+    }
 };
 
-}  // namespace badgergrade::standin
+}  // namespace badgergrade::testbed
--- a/src/standin/registry.cpp
+++ b/src/testbed/registry.cpp
@@ -1,10 +1,10 @@
-#include "standin/registry.h"
+#include "testbed/registry.h"
 
 #include <algorithm>
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-namespace badgergrade::standin {
+namespace badgergrade::testbed {
 
 namespace {
 std::uint64_t parameter(const std::string& target, const std::string& name) {
@@ -113,14 +113,14 @@
 }
 
 void Registry::answer(const net::HttpExchangePtr& exchange) {
-    governor::ServerList told;
+    xds_server::ServerList told;
     told.about = {host_ + "/" + std::to_string(lives_), index_, 0};
     nlohmann::json json;
     json["registry"] = told.about.registry;
     json["index"] = index_;
     json["servers"] = nlohmann::json::array();
     for (const auto& [id, row] : instead_ ? *instead_ : rows_) {
-        governor::ListedServer listed = row.server;
+        xds_server::ListedServer listed = row.server;
         listed.age = row.started > Micros{0}
                          ? std::max(Micros{1000}, loop_.clock().now() - row.started)
                          : Micros{0};
@@ -146,4 +146,4 @@
     }
 }
 
-}  // namespace badgergrade::standin
+}  // namespace badgergrade::testbed
--- a/src/standin/registry.h
+++ b/src/testbed/registry.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "net/http_server.h"
-#include "standin/observer.h"
+#include "testbed/observer.h"
 
-namespace badgergrade::standin {
+namespace badgergrade::testbed {
 
 class Registry {
 public:
@@ -21,8 +21,8 @@
     net::Address address() const { return server_->address(); }
 
     struct Row {
-        governor::ListedServer server;  // `age` is not used
-        Micros started{};               // 0: long ago
+        xds_server::ListedServer server;  // `age` is not used
+        Micros started{};                 // 0: long ago
     };
 
     // Lists or changes a server, or removes it; seen by the next answer.
@@ -75,4 +75,4 @@
     bool hung_ = false;
 };
 
-}  // namespace badgergrade::standin
+}  // namespace badgergrade::testbed
--- a/src/standin/worker.cpp
+++ b/src/testbed/worker.cpp
@@ -1,11 +1,11 @@
-#include "standin/worker.h"
+#include "testbed/worker.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "xds/names.h"
+#include "xds/resource_names.h"
 
-namespace badgergrade::standin {
+namespace badgergrade::testbed {
 
 using namespace std::chrono_literals;
 
@@ -91,7 +91,7 @@
     }
     // Luck goes by the invocation, not by the order of events, so that two days under other
     // settings meet the same.
-    const double luck = base::Chance(luck_, "errors/" + std::to_string(*id)).part();
+    const double luck = base::SequentialRandom(luck_, "errors/" + std::to_string(*id)).part();
     if (luck < std::max(trouble.errors, settings_.error_rate)) {
         return answer(exchange, 500, nullptr);
     }
@@ -169,7 +169,8 @@
     if (trouble.hangs || fallen_ || !job.exchange->open()) {
         return;
     }
-    const double luck = base::Chance(luck_, "lost/" + std::to_string(job.invocation)).part();
+    const double luck =
+        base::SequentialRandom(luck_, "lost/" + std::to_string(job.invocation)).part();
     if (luck < trouble.answers_lost) {
         return job.exchange->break_off();
     }
@@ -247,4 +248,4 @@
     return report_;
 }
 
-}  // namespace badgergrade::standin
+}  // namespace badgergrade::testbed
--- a/src/standin/worker.h
+++ b/src/testbed/worker.h
@@ -14,9 +14,9 @@
 
 #include "base/random.h"
 #include "net/http_server.h"
-#include "standin/observer.h"
+#include "testbed/observer.h"
 
-namespace badgergrade::standin {
+namespace badgergrade::testbed {
 
 struct WorkerSettings {
     std::string id, zone;
@@ -113,4 +113,4 @@
     std::unique_ptr<net::HttpServer> server_;
 };
 
-}  // namespace badgergrade::standin
+}  // namespace badgergrade::testbed
--- a/src/xds/ads_client.cpp
+++ b/src/xds/ads_client.cpp
@@ -178,13 +178,13 @@
     kept.insert(cluster.name());
     switch (cluster.lb_policy()) {
         case envoy::config::cluster::v3::Cluster::ROUND_ROBIN:
-            table.pick = Pick::Round;
+            table.pick = PickPolicy::RoundRobin;
             break;
         case envoy::config::cluster::v3::Cluster::LEAST_REQUEST:
-            table.pick = Pick::Two;
+            table.pick = PickPolicy::LeastOfTwo;
             break;
         case envoy::config::cluster::v3::Cluster::RANDOM:
-            table.pick = Pick::Weighted;
+            table.pick = PickPolicy::WeightedRandom;
             break;
         default:
             return "cluster " + cluster.name() + ": a way of picking that is not known";
@@ -279,9 +279,9 @@
             if (route.route().has_retry_policy()) {
                 const auto& retry = route.route().retry_policy();
                 const bool any = holds(retry.retry_on(), "5xx") || holds(retry.retry_on(), "reset");
-                out.again = !any                              ? Again::AfterProof
-                            : retry.num_retries().value() > 1 ? Again::Twice
-                                                              : Again::Once;
+                out.again = !any                              ? RetryMode::OnlyUnprocessed
+                            : retry.num_retries().value() > 1 ? RetryMode::Twice
+                                                              : RetryMode::Once;
                 out.per_try = micros(retry.per_try_timeout());
             }
             if (route.match().has_runtime_fraction()) {
--- a/src/xds/ads_client.h
+++ b/src/xds/ads_client.h
@@ -12,8 +12,9 @@
 
 #include "envoy/service/discovery/v3/discovery.pb.h"
 #include "net/network.h"
-#include "types.h"
-#include "xds/names.h"
+#include "policy/ids.h"
+#include "policy/settings.h"
+#include "xds/resource_names.h"
 
 namespace badgergrade::xds {
 
@@ -26,7 +27,7 @@
 };
 
 struct ClientTable {
-    Pick pick = Pick::Weighted;
+    PickPolicy pick = PickPolicy::WeightedRandom;
     int ejects_after = 0;
     Micros eject_time{};
     std::vector<TableLine> lines;
@@ -37,7 +38,7 @@
 struct ClientRoute {
     std::string cluster;
     Micros timeout{};
-    Again again = Again::Never;
+    RetryMode again = RetryMode::Never;
     Micros per_try{};
     double share = 1;  // let in
     double rate = 0;   // tokens a second; 0: no limit
--- a/src/xds/ads_server.h
+++ b/src/xds/ads_server.h
@@ -18,8 +18,8 @@
 #include <vector>
 
 #include "envoy/service/discovery/v3/discovery.pb.h"
-#include "xds/board.h"
-#include "xds/order_text.h"
+#include "xds/release_text.h"
+#include "xds/snapshot_cache.h"
 
 namespace badgergrade::xds {
 
@@ -49,7 +49,7 @@
 
     struct Applied {
         std::uint64_t order = 0;
-        std::optional<MarkId> mark;
+        std::optional<ConfigVersion> mark;
         Micros ordered{};
     };
 
--- a/src/xds/load_sums.cpp
+++ b/src/xds/load_report.cpp
@@ -1,10 +1,10 @@
-#include "xds/load_sums.h"
+#include "xds/load_report.h"
 
 #include <google/protobuf/util/time_util.h>
 
 #include <cmath>
 
-#include "xds/names.h"
+#include "xds/resource_names.h"
 
 namespace badgergrade::xds {
 
--- a/src/xds/load_sums.h
+++ b/src/xds/load_report.h
@@ -8,7 +8,7 @@
 
 #include "envoy/service/load_stats/v3/lrs.pb.h"
 #include "net/network.h"
-#include "types.h"
+#include "policy/ids.h"
 
 namespace badgergrade::xds {
 
--- a/src/xds/order_text.cpp
+++ b/src/xds/release_text.cpp
@@ -1,4 +1,4 @@
-#include "xds/order_text.h"
+#include "xds/release_text.h"
 
 #include <cstdio>
 #include <sstream>
--- a/src/xds/order_text.h
+++ b/src/xds/release_text.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "types.h"
+#include "policy/ids.h"
 
 namespace badgergrade::xds {
 
--- a/src/xds/names.h
+++ b/src/xds/resource_names.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "types.h"
+#include "policy/ids.h"
 
 namespace badgergrade::xds {
 
@@ -46,7 +46,7 @@
 // A table's cluster; the one listener, its routes, and the assignment that carries withdrawals for
 // tables that are not ours (the start-up table).
 inline std::string cluster_name(TableId table) {
-    return "table-" + std::to_string(table.v);
+    return "table-" + std::to_string(table.value);
 }
 
 constexpr std::string_view kListener = "invocations";
--- a/src/xds/board.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -1,4 +1,4 @@
-#include "xds/board.h"
+#include "xds/snapshot_cache.h"
 
 #include <google/protobuf/util/time_util.h>
 
@@ -39,64 +39,65 @@
     return out;
 }
 
-std::string retry_on(Again again) {
+std::string retry_on(RetryMode again) {
     // "connect-failure" and "refused-stream" prove that nothing ran; the others may follow a run.
-    return again == Again::AfterProof ? "connect-failure,refused-stream"
-                                      : "connect-failure,refused-stream,reset,5xx";
+    return again == RetryMode::OnlyUnprocessed ? "connect-failure,refused-stream"
+                                               : "connect-failure,refused-stream,reset,5xx";
 }
 
 }  // namespace
 
-Board::Board(const Settings& told, const std::vector<std::string>& zones, Micros eject_time)
+SnapshotCache::SnapshotCache(const Settings& told, const std::vector<std::string>& zones,
+                             Micros eject_time)
     : operations_(told.operations),
       zones_(zones),
-      pick_(told.pick),
-      admit_(told.admit),
-      try_factor_(told.try_factor),
-      ejects_after_(told.ejects_after),
+      pick_(told.pick_policy),
+      admit_(told.admission_mode),
+      try_factor_(told.attempt_timeout_factor),
+      ejects_after_(told.proxy_ejection_failures),
       eject_time_(eject_time),
       book_(told) {}
 
-void Board::place(ServerId server, ServerPlace place) {
+void SnapshotCache::place(ServerId server, ServerPlace place) {
     places_[server] = std::move(place);
 }
 
-const ServerPlace* Board::place_of(ServerId server) const {
+const ServerPlace* SnapshotCache::place_of(ServerId server) const {
     const auto it = places_.find(server);
     return it == places_.end() ? nullptr : &it->second;
 }
 
-void Board::joined(ProxyId proxy) {
+void SnapshotCache::joined(ProxyId proxy) {
     proxies_[proxy] = {};
     book_.joined(proxy);
 }
 
-void Board::left(ProxyId proxy) {
+void SnapshotCache::left(ProxyId proxy) {
     proxies_.erase(proxy);
     book_.left(proxy);
 }
 
-std::vector<Message> Board::order(Micros now, std::vector<Action> actions,
-                                  std::vector<std::string>& refused) {
+std::vector<Message> SnapshotCache::order(Micros now, std::vector<Command> actions,
+                                          std::vector<std::string>& refused) {
     ++orders_;
     made_.clear();
     const auto known = [&](ServerId server, const char* what) {
         if (places_.contains(server)) {
             return true;
         }
-        refused.push_back(std::string(what) + " server " + std::to_string(server.v) +
+        refused.push_back(std::string(what) + " server " + std::to_string(server.value) +
                           ", which no list named");
         return false;
     };
-    std::erase_if(actions, [&](const Action& action) {
-        if (const auto* line = std::get_if<act::Line>(&action)) {
+    std::erase_if(actions, [&](const Command& action) {
+        if (const auto* line = std::get_if<command::SetWeight>(&action)) {
             return !known(line->server, "a line for");
         }
-        const auto* withdraw = std::get_if<act::Withdraw>(&action);
+        const auto* withdraw = std::get_if<command::SetEjected>(&action);
         return withdraw && !known(withdraw->server, "a withdrawal of");
     });
     std::vector<Message> out;
-    for (const drive::Order& order : book_.take(actions, refused)) {
+    for (const runtime::ProxyUpdate& order : book_.take(actions, refused)) {
         Message message;
         message.proxy = order.proxy;
         message.order = orders_;
@@ -110,7 +111,7 @@
 }
 
 // Tables whose lines an order changes, also by what it shuts out or lets back.
-std::set<TableId> Board::assignments_of(const drive::Order& order) const {
+std::set<TableId> SnapshotCache::assignments_of(const runtime::ProxyUpdate& order) const {
     std::set<TableId> out;
     for (const auto& part : order.parts) {
         if (part->whole || !part->lines.empty()) {
@@ -129,7 +130,7 @@
     return out;
 }
 
-std::vector<Change> Board::changes_for(const drive::Order& order) {
+std::vector<Change> SnapshotCache::changes_for(const runtime::ProxyUpdate& order) {
     Held& held = proxies_.at(order.proxy);
     const auto& bound = book_.held_by(order.proxy);
     const std::set<TableId> assignments = assignments_of(order);
@@ -172,12 +173,12 @@
     return out;
 }
 
-ResourcePtr Board::keep(Type type, std::string name, std::string bytes) {
+ResourcePtr SnapshotCache::keep(Type type, std::string name, std::string bytes) {
     return std::make_shared<const Resource>(
         Resource{type, std::move(name), orders_, std::move(bytes)});
 }
 
-ResourcePtr Board::cluster(TableId table) {
+ResourcePtr SnapshotCache::cluster(TableId table) {
     ResourcePtr& known = clusters_[table];
     if (known) {
         return known;
@@ -187,13 +188,13 @@
     out.set_type(envoy::config::cluster::v3::Cluster::EDS);
     by_ads(out.mutable_eds_cluster_config()->mutable_eds_config());
     switch (pick_) {
-        case Pick::Weighted:
+        case PickPolicy::WeightedRandom:
             out.set_lb_policy(envoy::config::cluster::v3::Cluster::RANDOM);
             break;
-        case Pick::Round:
+        case PickPolicy::RoundRobin:
             out.set_lb_policy(envoy::config::cluster::v3::Cluster::ROUND_ROBIN);
             break;
-        case Pick::Two:
+        case PickPolicy::LeastOfTwo:
             out.set_lb_policy(envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
             out.mutable_least_request_lb_config()->mutable_choice_count()->set_value(2);
             break;
@@ -235,7 +236,7 @@
 }
 }  // namespace
 
-ResourcePtr Board::assignment(TableId table) {
+ResourcePtr SnapshotCache::assignment(TableId table) {
     ResourcePtr& made = made_[cluster_name(table)];
     if (made) {
         return made;
@@ -248,7 +249,7 @@
     return made = keep(Type::Endpoints, out.cluster_name(), stable_bytes(out));
 }
 
-ResourcePtr Board::startup() {
+ResourcePtr SnapshotCache::startup() {
     ResourcePtr& made = made_[std::string(kStartup)];
     if (made) {
         return made;
@@ -261,7 +262,7 @@
     return made = keep(Type::Endpoints, out.cluster_name(), stable_bytes(out));
 }
 
-ResourcePtr Board::listener() {
+ResourcePtr SnapshotCache::listener() {
     if (listener_) {
         return listener_;
     }
@@ -270,7 +271,7 @@
     manager.set_stat_prefix(std::string(kListener));
     by_ads(manager.mutable_rds()->mutable_config_source());
     manager.mutable_rds()->set_route_config_name(std::string(kRoutes));
-    if (admit_ == Admit::Rate) {
+    if (admit_ == AdmissionMode::Rate) {
         auto* limit = manager.add_http_filters();
         limit->set_name("envoy.filters.http.local_ratelimit");
         envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit none;
@@ -287,22 +288,22 @@
     return listener_ = keep(Type::Listener, out.name(), stable_bytes(out));
 }
 
-std::string Board::routes_key(ProxyId proxy) const {
+std::string SnapshotCache::routes_key(ProxyId proxy) const {
     std::string key;
     for (std::size_t k = 0; k < operations_.size(); ++k) {
         for (const auto& [ops, table] : book_.held_by(proxy)) {
-            if (!drive::names_op(ops, {static_cast<int>(k)})) {
+            if (!runtime::names_op(ops, {static_cast<int>(k)})) {
                 continue;
             }
             const auto [let_in, again] = book_.level(table, {static_cast<int>(k)});
-            key += std::to_string(table.v) + ":" + std::to_string(let_in) + ":" +
+            key += std::to_string(table.value) + ":" + std::to_string(let_in) + ":" +
                    std::to_string(static_cast<int>(again)) + ";";
         }
     }
     return key;
 }
 
-ResourcePtr Board::routes(ProxyId proxy) {
+ResourcePtr SnapshotCache::routes(ProxyId proxy) {
     ResourcePtr& made = made_["routes " + routes_key(proxy)];
     if (made) {
         return made;
@@ -315,7 +316,7 @@
     host->add_domains("*");
     for (std::size_t k = 0; k < operations_.size(); ++k) {
         for (const auto& [ops, table] : book_.held_by(proxy)) {
-            if (!drive::names_op(ops, {static_cast<int>(k)})) {
+            if (!runtime::names_op(ops, {static_cast<int>(k)})) {
                 continue;
             }
             const Operation& op = operations_[k];
@@ -329,19 +330,20 @@
                 TimeUtil::MicrosecondsToDuration(op.integration_timeout.count());
             // Rule 2: whatever was ordered, what may have run is not sent again where a repeat has
             // an effect.
-            const Again safe =
-                op.effect == Effect::SideEffecting ? std::min(again, Again::AfterProof) : again;
-            if (safe != Again::Never) {
+            const RetryMode safe = op.effect == Effect::SideEffecting
+                                       ? std::min(again, RetryMode::OnlyUnprocessed)
+                                       : again;
+            if (safe != RetryMode::Never) {
                 auto* retry = to->mutable_retry_policy();
                 retry->set_retry_on(retry_on(safe));
-                retry->mutable_num_retries()->set_value(safe == Again::Twice ? 2 : 1);
-                if (safe != Again::AfterProof) {
+                retry->mutable_num_retries()->set_value(safe == RetryMode::Twice ? 2 : 1);
+                if (safe != RetryMode::OnlyUnprocessed) {
                     *retry->mutable_per_try_timeout() =
                         TimeUtil::MicrosecondsToDuration(static_cast<std::int64_t>(
                             static_cast<double>(op.latency_objective.count()) * try_factor_));
                 }
             }
-            if (admit_ == Admit::Rate && let_in < drive::kAnyRate) {
+            if (admit_ == AdmissionMode::Rate && let_in < runtime::kAnyRate) {
                 limit::LocalRateLimit bucket;
                 bucket.set_stat_prefix(op.name);
                 // Filled ten times a second, so that a rate under one a second still lets single
@@ -356,7 +358,7 @@
                 (*route->mutable_typed_per_filter_config())["envoy.filters.http.local_ratelimit"]
                     .PackFrom(bucket);
             }
-            if (admit_ == Admit::Share && let_in < 1) {
+            if (admit_ == AdmissionMode::Fraction && let_in < 1) {
                 auto* part =
                     route->mutable_match()->mutable_runtime_fraction()->mutable_default_value();
                 part->set_numerator(
--- a/src/xds/board.h
+++ b/src/xds/snapshot_cache.h
@@ -9,10 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "drive/orders.h"
 #include "net/network.h"
-#include "types.h"
-#include "xds/names.h"
+#include "policy/command.h"
+#include "policy/ids.h"
+#include "policy/settings.h"
+#include "runtime/config_state.h"
+#include "xds/resource_names.h"
 
 namespace badgergrade::xds {
 
@@ -38,7 +40,7 @@
     std::uint64_t order = 0;
     Micros ordered{};
     double lines = 0;  // as the channel counts: head, mark and changed lines
-    std::optional<MarkId> mark;
+    std::optional<ConfigVersion> mark;
     std::vector<Change> changes;
 };
 
@@ -47,9 +49,9 @@
     std::string zone;
 };
 
-class Board {
+class SnapshotCache {
 public:
-    Board(const Settings& told, const std::vector<std::string>& zones, Micros eject_time);
+    SnapshotCache(const Settings& told, const std::vector<std::string>& zones, Micros eject_time);
 
     // Where a server is reached; an order may name it from then on.
     void place(ServerId server, ServerPlace place);
@@ -61,7 +63,7 @@
     // Carries out the table orders among `actions` (lines, clears, bindings, withdrawals, levels,
     // mark) and gives a message for each joined proxy concerned, in the order of their ids. Orders
     // that name what is not known are left out and told in `refused`.
-    std::vector<Message> order(Micros now, std::vector<Action> actions,
+    std::vector<Message> order(Micros now, std::vector<Command> actions,
                                std::vector<std::string>& refused);
 
     std::uint64_t orders() const { return orders_; }
@@ -74,8 +76,8 @@
         std::string routes;  // what its routes were made from
     };
 
-    std::vector<Change> changes_for(const drive::Order& order);
-    std::set<TableId> assignments_of(const drive::Order& order) const;
+    std::vector<Change> changes_for(const runtime::ProxyUpdate& order);
+    std::set<TableId> assignments_of(const runtime::ProxyUpdate& order) const;
 
     ResourcePtr cluster(TableId table);
     ResourcePtr assignment(TableId table);
@@ -87,13 +89,13 @@
 
     std::vector<Operation> operations_;
     std::vector<std::string> zones_;
-    Pick pick_;
-    Admit admit_;
+    PickPolicy pick_;
+    AdmissionMode admit_;
     double try_factor_;
     int ejects_after_;
     Micros eject_time_;
     std::map<ServerId, ServerPlace> places_;
-    drive::OrderBook book_;
+    runtime::ConfigState book_;
     std::map<ProxyId, Held> proxies_;
     std::uint64_t orders_ = 0;
     // Resources made in this order, so that many proxies share one.
--- a/src/governor/list_check.cpp
+++ b/src/xds_server/endpoint_list_validator.cpp
@@ -1,8 +1,8 @@
-#include "governor/list_check.h"
+#include "xds_server/endpoint_list_validator.h"
 
-namespace badgergrade::governor {
+namespace badgergrade::xds_server {
 
-ListCheck::Finding ListCheck::look(const ListAnswer& answer) {
+EndpointListValidator::Finding EndpointListValidator::look(const EndpointListHeader& answer) {
     const bool same_life = have_ && answer.registry == last_.registry;
     if (same_life && answer.index == last_.index) {
         return {Verdict::Same, {}};
@@ -33,4 +33,4 @@
     return {Verdict::Take, {}};
 }
 
-}  // namespace badgergrade::governor
+}  // namespace badgergrade::xds_server
--- a/src/governor/list_check.h
+++ b/src/xds_server/endpoint_list_validator.h
@@ -12,17 +12,17 @@
 
 #include "config/governor_config.h"
 
-namespace badgergrade::governor {
+namespace badgergrade::xds_server {
 
-struct ListAnswer {
+struct EndpointListHeader {
     std::string registry;     // which life of the registry speaks
     std::uint64_t index = 0;  // grows with each change of the list
     std::size_t servers = 0;
 };
 
-class ListCheck {
+class EndpointListValidator {
 public:
-    ListCheck(config::EmptyList empty, double shrink_doubted)
+    EndpointListValidator(config::EmptyList empty, double shrink_doubted)
         : empty_(empty),
           shrink_(shrink_doubted) {}
 
@@ -33,15 +33,15 @@
         std::string why;
     };
 
-    Finding look(const ListAnswer& answer);
+    Finding look(const EndpointListHeader& answer);
 
 private:
     config::EmptyList empty_;
     double shrink_;
     bool have_ = false;
-    ListAnswer last_;
-    ListAnswer doubted_;
+    EndpointListHeader last_;
+    EndpointListHeader doubted_;
     bool doubting_ = false;
 };
 
-}  // namespace badgergrade::governor
+}  // namespace badgergrade::xds_server
--- a/src/governor/registry_watch.cpp
+++ b/src/xds_server/endpoint_watch.cpp
@@ -1,4 +1,4 @@
-#include "governor/registry_watch.h"
+#include "xds_server/endpoint_watch.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace badgergrade::governor {
+namespace badgergrade::xds_server {
 
 using namespace std::chrono_literals;
 
@@ -64,7 +64,7 @@
     return out;
 }
 
-RegistryWatch::RegistryWatch(net::Loop& loop, base::ActorId actor, std::string host,
+EndpointWatch::EndpointWatch(net::Loop& loop, base::ActorId actor, std::string host,
                              const config::GovernorConfig& config)
     : loop_(loop),
       id_(config.id),
@@ -75,14 +75,14 @@
             config.registry_timeout, 60s),
       again_(loop.clock(), actor) {}
 
-void RegistryWatch::start() {
+void EndpointWatch::start() {
     if (std::exchange(on_, true)) {
         return;
     }
     poll();
 }
 
-void RegistryWatch::stop() {
+void EndpointWatch::stop() {
     on_ = false;
     again_.stop();
     if (now_) {
@@ -90,7 +90,7 @@
     }
 }
 
-void RegistryWatch::fetch() {
+void EndpointWatch::fetch() {
     whole_ = true;
     const bool was = on_;
     stop();
@@ -98,7 +98,7 @@
     poll();
 }
 
-void RegistryWatch::poll() {
+void EndpointWatch::poll() {
     again_.stop();
     net::HttpMessage request;
     request.method = "GET";
@@ -114,7 +114,7 @@
     });
 }
 
-void RegistryWatch::later(const std::string& why) {
+void EndpointWatch::later(const std::string& why) {
     if (on_trouble) {
         on_trouble(why);
     }
@@ -122,7 +122,7 @@
     again_.after(std::min(kRetryMost, kRetryFirst * factor), [this] { poll(); });
 }
 
-void RegistryWatch::came(net::HttpOutcome outcome) {
+void EndpointWatch::came(net::HttpOutcome outcome) {
     if (outcome.how != net::HttpOutcome::How::Answered) {
         return later("no answer: " + outcome.why);
     }
@@ -136,26 +136,26 @@
         return later(wrong.what());
     }
     const auto finding = check_.look(list.about);
-    if (finding.verdict == ListCheck::Verdict::Refuse) {
+    if (finding.verdict == EndpointListValidator::Verdict::Refuse) {
         // The refused index is not waited behind: a registry that mends itself is heard at once.
         return later("list refused: " + finding.why);
     }
-    if (finding.verdict == ListCheck::Verdict::AskAgain) {
+    if (finding.verdict == EndpointListValidator::Verdict::AskAgain) {
         whole_ = true;
         return later("list doubted: " + finding.why);
     }
     failures_ = 0;
     whole_ = false;
     index_ = list.about.index;
-    if (finding.verdict == ListCheck::Verdict::Take && on_list) {
+    if (finding.verdict == EndpointListValidator::Verdict::Take && on_list) {
         on_list(list);
     }
     if (!on_) {
         return;
     }
     // Answers at once, again and again, would make a busy loop of the watch.
-    again_.after(finding.verdict == ListCheck::Verdict::Same ? 100ms : Micros{1000},
+    again_.after(finding.verdict == EndpointListValidator::Verdict::Same ? 100ms : Micros{1000},
                  [this] { poll(); });
 }
 
-}  // namespace badgergrade::governor
+}  // namespace badgergrade::xds_server
--- a/src/governor/registry_watch.h
+++ b/src/xds_server/endpoint_watch.h
@@ -13,11 +13,12 @@
 #include <string>
 #include <vector>
 
-#include "governor/list_check.h"
 #include "net/http_server.h"
-#include "types.h"
+#include "policy/event.h"
+#include "policy/ids.h"
+#include "xds_server/endpoint_list_validator.h"
 
-namespace badgergrade::governor {
+namespace badgergrade::xds_server {
 
 struct ListedServer {
     std::string id, zone, incarnation;
@@ -28,16 +29,16 @@
 };
 
 struct ServerList {
-    ListAnswer about;
+    EndpointListHeader about;
     std::vector<ListedServer> servers;
 };
 
 // Reads an answer; throws std::runtime_error that says what is wrong with it.
 ServerList parse_list(const std::string& json);
 
-class RegistryWatch {
+class EndpointWatch {
 public:
-    RegistryWatch(net::Loop& loop, base::ActorId actor, std::string host,
+    EndpointWatch(net::Loop& loop, base::ActorId actor, std::string host,
                   const config::GovernorConfig& config);
 
     std::function<void(const ServerList&)> on_list;
@@ -57,7 +58,7 @@
     net::Loop& loop_;
     std::string id_;
     Micros wait_, timeout_;
-    ListCheck check_;
+    EndpointListValidator check_;
     net::HttpPool pool_;
     base::Timer again_;
     std::uint64_t index_ = 0;
@@ -66,4 +67,4 @@
     net::HttpPool::TryId now_ = 0;
 };
 
-}  // namespace badgergrade::governor
+}  // namespace badgergrade::xds_server
--- a/src/governor/reports.h
+++ b/src/xds_server/load_report_queue.h
@@ -8,14 +8,16 @@
 #include <string>
 #include <vector>
 
-#include "types.h"
-#include "xds/load_sums.h"
+#include "policy/event.h"
+#include "policy/ids.h"
+#include "policy/settings.h"
+#include "xds/load_report.h"
 
-namespace badgergrade::governor {
+namespace badgergrade::xds_server {
 
-class Reports {
+class LoadReportQueue {
 public:
-    explicit Reports(const Settings& told);
+    explicit LoadReportQueue(const Settings& told);
 
     // Sums of one forwarder. Servers and operations that are not known are told in `unknown`.
     struct Source {
@@ -39,13 +41,13 @@
     };
 
     std::vector<std::string> columns_;
-    std::map<std::string, OpId> operations_;
+    std::map<std::string, OperationId> operations_;
     double per_second_;
     Micros period_, since_{}, drained_{};
     double allowance_ = 0;
     std::map<std::pair<ZoneId, ServerId>, xds::EndpointSums> met_;
-    std::map<std::pair<ProxyId, OpId>, Asked> asked_;
+    std::map<std::pair<ProxyId, OperationId>, Asked> asked_;
     std::deque<Event> waiting_;
 };
 
-}  // namespace badgergrade::governor
+}  // namespace badgergrade::xds_server
--- a/src/governor/service.cpp
+++ b/src/xds_server/xds_server.cpp
@@ -1,4 +1,4 @@
-#include "governor/service.h"
+#include "xds_server/xds_server.h"
 
 #include <google/protobuf/util/time_util.h>
 
@@ -8,7 +8,7 @@
 #include "base/cpu_meter.h"
 #include "envoy/service/load_stats/v3/lrs.pb.h"
 
-namespace badgergrade::governor {
+namespace badgergrade::xds_server {
 
 using namespace std::chrono_literals;
 using google::protobuf::util::TimeUtil;
@@ -26,21 +26,21 @@
     return limits;
 }
 
-std::string outcome_text(ProbeOutcome outcome) {
+std::string outcome_text(HealthCheckOutcome outcome) {
     switch (outcome) {
-        case ProbeOutcome::Answered:
+        case HealthCheckOutcome::Healthy:
             return "answered";
-        case ProbeOutcome::Errored:
+        case HealthCheckOutcome::Failed:
             return "errored";
-        case ProbeOutcome::Full:
+        case HealthCheckOutcome::Overloaded:
             return "full";
-        case ProbeOutcome::Late:
+        case HealthCheckOutcome::TimedOut:
             return "late";
-        case ProbeOutcome::Unreachable:
+        case HealthCheckOutcome::Unreachable:
             return "unreachable";
-        case ProbeOutcome::Reset:
+        case HealthCheckOutcome::Reset:
             return "reset";
-        case ProbeOutcome::Other:
+        case HealthCheckOutcome::Other:
             return "other";
     }
     return "other";
@@ -49,13 +49,13 @@
 }  // namespace
 
 // What one stream has told of itself so far.
-struct Service::StreamState {
+struct XdsServer::StreamState {
     std::string name;
     bool known = false;
 };
 
-Service::Service(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
-                 log::Log& log, std::string life)
+XdsServer::XdsServer(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
+                     log::Log& log, std::string life)
     : loop_(loop),
       clock_(loop.clock()),
       actor_(actor),
@@ -64,7 +64,7 @@
       life_(std::move(life)),
       driver_(clock_, actor, config.told, config.seed, config.batch),
       board_(config.told, config.zones, config.eject_time),
-      channel_(config.told.channel_rate),
+      channel_(config.told.channel_lines_per_second),
       reports_(config.told),
       server_(loop, actor, config.id, net::parse_address(config.xds_address), grpc_limits(config),
               static_cast<std::size_t>(config.connections_most)),
@@ -77,7 +77,7 @@
             watcher_->told(clock_.now(), *this, event);
         }
     };
-    driver_.on_decided = [this](std::vector<Action>& actions) {
+    driver_.on_decided = [this](std::vector<Command>& actions) {
         ++figures_.decisions;
         if (tamper) {
             tamper(clock_.now(), actions);
@@ -86,7 +86,7 @@
             watcher_->decided(clock_.now(), *this, actions);
         }
     };
-    driver_.on_actions = [this](std::vector<Action> actions) {
+    driver_.on_actions = [this](std::vector<Command> actions) {
         carry_out(std::move(actions));
     };
     server_.on_call = [this](net::GrpcCallPtr call) {
@@ -108,24 +108,24 @@
     };
     registry_.on_trouble = [this](const std::string& why) {
         log_.warn("list.trouble", {{"why", why}});
-        if (config_.told.ask_for_list) {
-            tell(ev::List{ListForm::Failed, {}});
+        if (config_.told.endpoints_on_request) {
+            tell(event::EndpointListUpdate{UpdateKind::WatchFailed, {}});
         }
     };
     log_.info("governor.started", {{"xds", net::to_text(address())},
                                    {"registry", config.registry_address},
                                    {"life", life_},
-                                   {"zones", config.told.zones},
+                                   {"zones", config.told.zone_count},
                                    {"operations", config.told.operations.size()}});
-    if (!config.told.ask_for_list) {
+    if (!config.told.endpoints_on_request) {
         registry_.start();
     }
     tick();
-    period_.after(config.told.report_period, [this] { end_period(); });
+    period_.after(config.told.report_interval, [this] { end_period(); });
     driver_.decide_soon();
 }
 
-Service::~Service() {
+XdsServer::~XdsServer() {
     // As when the process dies: all connections break at once, while what their callbacks touch
     // still stands.
     stopping_ = true;
@@ -135,22 +135,22 @@
     }
 }
 
-void Service::watch(Watcher& watcher) {
+void XdsServer::watch(XdsServerObserver& watcher) {
     watcher_ = &watcher;
     watcher_->started(clock_.now(), *this);
 }
 
-std::string Service::forwarder_name(ProxyId proxy) const {
+std::string XdsServer::forwarder_name(ProxyId proxy) const {
     const auto it = proxy_names_.find(proxy);
     return it == proxy_names_.end() ? std::string{} : it->second;
 }
 
-std::string Service::server_name(ServerId server) const {
+std::string XdsServer::server_name(ServerId server) const {
     const auto it = server_names_.find(server);
     return it == server_names_.end() ? std::string{} : it->second;
 }
 
-void Service::stop() {
+void XdsServer::stop() {
     if (std::exchange(stopping_, true)) {
         return;
     }
@@ -169,21 +169,21 @@
     driver_.stop();
 }
 
-Figures Service::figures() const {
+Figures XdsServer::figures() const {
     Figures out = figures_;
     out.handler_cpu_us += driver_.cpu_us();
     out.channel = channel_.figures();
     return out;
 }
 
-ZoneId Service::zone_of(const std::string& name) const {
+ZoneId XdsServer::zone_of(const std::string& name) const {
     const auto it = std::find(config_.zones.begin(), config_.zones.end(), name);
     return {it == config_.zones.end() ? -1 : static_cast<int>(it - config_.zones.begin())};
 }
 
 // ---- streams
 
-void Service::on_call(const net::GrpcCallPtr& call) {
+void XdsServer::on_call(const net::GrpcCallPtr& call) {
     if (call->path() == xds::kAdsMethod) {
         open_ads(call);
     } else if (call->path() == xds::kLrsMethod) {
@@ -193,7 +193,7 @@
     }
 }
 
-void Service::open_ads(const net::GrpcCallPtr& call) {
+void XdsServer::open_ads(const net::GrpcCallPtr& call) {
     const auto state = std::make_shared<StreamState>();
     call->on_message = [this, weak = std::weak_ptr(call), state](std::string_view bytes) {
         if (const auto strong = weak.lock()) {
@@ -212,8 +212,8 @@
     };
 }
 
-void Service::on_ads_message(const net::GrpcCallPtr& call,
-                             const std::shared_ptr<StreamState>& state, std::string_view bytes) {
+void XdsServer::on_ads_message(const net::GrpcCallPtr& call,
+                               const std::shared_ptr<StreamState>& state, std::string_view bytes) {
     const base::CpuMeter meter(figures_.handler_cpu_us);
     xds::AdsServer::Request request;
     if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
@@ -241,8 +241,8 @@
     }
 }
 
-Service::Forwarder* Service::join(const net::GrpcCallPtr& call,
-                                  const envoy::config::core::v3::Node& node, std::string& why) {
+XdsServer::Forwarder* XdsServer::join(const net::GrpcCallPtr& call,
+                                      const envoy::config::core::v3::Node& node, std::string& why) {
     const std::string& name = node.id();
     if (name.empty() || name.size() > 128) {
         why = "the first request must carry a node with an id of 1 to 128 bytes";
@@ -279,16 +279,16 @@
     ++figures_.joins;
     log_.info("forwarder.joined",
               {{"forwarder", name}, {"zone", node.locality().zone()}, {"peer", call->peer()}});
-    if (forwarder.zone.v < 0) {
+    if (forwarder.zone.value < 0) {
         log_.warn("forwarder.zone_unknown",
                   {{"forwarder", name}, {"zone", node.locality().zone()}});
     }
-    tell(ev::Joined{proxy, fresh != told.end() && fresh->second.bool_value(), forwarder.zone,
-                    std::isfinite(part) && part > 0 ? part : 0});
+    tell(event::ProxyConnected{proxy, fresh != told.end() && fresh->second.bool_value(),
+                               forwarder.zone, std::isfinite(part) && part > 0 ? part : 0});
     return &forwarder;
 }
 
-void Service::leave(const std::string& name, const net::GrpcCall* call, const std::string& why) {
+void XdsServer::leave(const std::string& name, const net::GrpcCall* call, const std::string& why) {
     const auto it = forwarders_.find(name);
     if (it == forwarders_.end() || it->second.call.get() != call) {
         return;
@@ -302,10 +302,10 @@
     }
     board_.left(proxy);
     channel_.drop(proxy);
-    tell(ev::Left{proxy});
+    tell(event::ProxyDisconnected{proxy});
 }
 
-void Service::answer(Forwarder& forwarder, const xds::AdsServer::Request& request) {
+void XdsServer::answer(Forwarder& forwarder, const xds::AdsServer::Request& request) {
     const auto outcome = forwarder.stream->on_request(request);
     if (!outcome.ignored.empty()) {
         log_.warn("request.ignored", {{"forwarder", forwarder.name}, {"why", outcome.ignored}});
@@ -324,13 +324,14 @@
     figures_.applied += static_cast<std::int64_t>(outcome.applied.size());
     for (const auto& applied : outcome.applied) {
         if (applied.mark) {
-            tell(ev::Applied{forwarder.proxy, *applied.mark, clock_.now() - applied.ordered});
+            tell(event::ConfigAcknowledged{forwarder.proxy, *applied.mark,
+                                           clock_.now() - applied.ordered});
         }
     }
     write(forwarder);
 }
 
-void Service::write(Forwarder& forwarder) {
+void XdsServer::write(Forwarder& forwarder) {
     const auto responses = forwarder.stream->take_encoded(responses_);
     if (responses.empty()) {
         return;
@@ -343,7 +344,7 @@
     call->uncork();
 }
 
-void Service::open_lrs(const net::GrpcCallPtr& call) {
+void XdsServer::open_lrs(const net::GrpcCallPtr& call) {
     const auto state = std::make_shared<StreamState>();
     call->on_message = [this, weak = std::weak_ptr(call), state](std::string_view bytes) {
         if (const auto strong = weak.lock()) {
@@ -357,8 +358,8 @@
     };
 }
 
-void Service::on_lrs_message(const net::GrpcCallPtr& call,
-                             const std::shared_ptr<StreamState>& state, std::string_view bytes) {
+void XdsServer::on_lrs_message(const net::GrpcCallPtr& call,
+                               const std::shared_ptr<StreamState>& state, std::string_view bytes) {
     const base::CpuMeter meter(figures_.handler_cpu_us);
     envoy::service::load_stats::v3::LoadStatsRequest request;
     if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
@@ -378,7 +379,7 @@
         response.set_send_all_clusters(true);
         response.set_report_endpoint_granularity(true);
         *response.mutable_load_reporting_interval() =
-            TimeUtil::MicrosecondsToDuration(config_.told.report_period.count());
+            TimeUtil::MicrosecondsToDuration(config_.told.report_interval.count());
         call->send(response.SerializeAsString());
     }
     const auto it = forwarders_.find(state->name);
@@ -396,7 +397,7 @@
     unknown_once(unknown, state->name);
 }
 
-void Service::unknown_once(const std::vector<std::string>& what, const std::string& from) {
+void XdsServer::unknown_once(const std::vector<std::string>& what, const std::string& from) {
     for (const auto& name : what) {
         if (told_unknown_.size() < 1000 && told_unknown_.insert(name).second) {
             log_.info("report.unknown", {{"forwarder", from}, {"what", name}});
@@ -406,7 +407,7 @@
 
 // ---- the list
 
-ServerId Service::server_for(const ListedServer& listed, bool& fresh) {
+ServerId XdsServer::server_for(const ListedServer& listed, bool& fresh) {
     // A server that comes back at another address is another server: lines name addresses.
     const auto [it, added] = servers_.try_emplace({listed.id, listed.address});
     Known& known = it->second;
@@ -428,10 +429,10 @@
     return known.server;
 }
 
-void Service::on_list(const ServerList& list) {
+void XdsServer::on_list(const ServerList& list) {
     const base::CpuMeter meter(figures_.handler_cpu_us);
     ++figures_.lists;
-    ev::List event{ListForm::Full, {}};
+    event::EndpointListUpdate event{UpdateKind::Snapshot, {}};
     int ready = 0;
     int draining = 0;
     for (const ListedServer& listed : list.servers) {
@@ -441,10 +442,10 @@
         if (fresh || !board_.place_of(server)) {
             board_.place(server, {listed.address, listed.zone});
         }
-        if (known.zone.v < 0) {
+        if (known.zone.value < 0) {
             log_.warn("server.zone_unknown", {{"server", listed.id}, {"zone", listed.zone}});
         }
-        event.rows.push_back({server, known.zone, listed.state, listed.weight, known.started});
+        event.endpoints.push_back({server, known.zone, listed.state, listed.weight, known.started});
         ++(listed.state == ServerState::Ready ? ready : draining);
     }
     log_.info("list.taken", {{"registry", list.about.registry},
@@ -454,7 +455,7 @@
     tell(event);
 }
 
-std::optional<ServerId> Service::server_id(const std::string& id) const {
+std::optional<ServerId> XdsServer::server_id(const std::string& id) const {
     std::optional<ServerId> out;
     for (const auto& [key, known] : servers_) {
         if (key.first == id) {
@@ -464,34 +465,34 @@
     return out;
 }
 
-void Service::list_for_trial(const ListedServer& listed) {
+void XdsServer::list_for_trial(const ListedServer& listed) {
     bool fresh = false;
     const ServerId server = server_for(listed, fresh);
     board_.place(server, {listed.address, listed.zone});
-    tell(ev::List{ListForm::Delta,
-                  {{server, zone_of(listed.zone), ServerState::Ready, 1, Micros{0}}}});
+    tell(event::EndpointListUpdate{
+        UpdateKind::Delta, {{server, zone_of(listed.zone), ServerState::Ready, 1, Micros{0}}}});
 }
 
-void Service::change_for_trial(double weight) {
-    std::vector<Action> actions;
-    const TableId full{config_.told.zones};
+void XdsServer::change_for_trial(double weight) {
+    std::vector<Command> actions;
+    const TableId full{config_.told.zone_count};
     for (const auto& [server, name] : server_names_) {
-        actions.emplace_back(act::Line{full, server, weight});
+        actions.emplace_back(command::SetWeight{full, server, weight});
     }
     for (const auto& [name, forwarder] : forwarders_) {
-        actions.emplace_back(act::Bind{full, 0, forwarder.proxy});
+        actions.emplace_back(command::AssignTable{full, 0, forwarder.proxy});
     }
-    actions.emplace_back(act::Mark{{1}, false});
+    actions.emplace_back(command::RequestAck{{1}, false});
     carry_out(std::move(actions));
 }
 
 // ---- the module
 
-void Service::tell(const Event& event) {
+void XdsServer::tell(const Event& event) {
     driver_.tell(event);
 }
 
-void Service::tick() {
+void XdsServer::tick() {
     const base::CpuMeter meter(figures_.handler_cpu_us);
     tick_.after(kIntakeTick, [this] { tick(); });
     for (const Event& event : reports_.take(clock_.now())) {
@@ -499,27 +500,27 @@
     }
 }
 
-void Service::end_period() {
-    period_.after(config_.told.report_period, [this] { end_period(); });
+void XdsServer::end_period() {
+    period_.after(config_.told.report_interval, [this] { end_period(); });
     reports_.close_period(clock_.now());
 }
 
-void Service::carry_out(std::vector<Action> actions) {
+void XdsServer::carry_out(std::vector<Command> actions) {
     bool tables = false;
-    for (const Action& action : actions) {
-        if (const auto* line = std::get_if<act::Log>(&action)) {
+    for (const Command& action : actions) {
+        if (const auto* line = std::get_if<command::LogMessage>(&action)) {
             log_.info("module.says", {{"text", line->text}});
-        } else if (const auto* watch = std::get_if<act::Watch>(&action)) {
-            if (watch->on) {
+        } else if (const auto* watch = std::get_if<command::WatchEndpoints>(&action)) {
+            if (watch->enabled) {
                 registry_.start();
             } else {
                 registry_.stop();
             }
-        } else if (std::holds_alternative<act::Fetch>(action)) {
+        } else if (std::holds_alternative<command::FetchEndpoints>(action)) {
             registry_.fetch();
-        } else if (const auto* one = std::get_if<act::Probe>(&action)) {
+        } else if (const auto* one = std::get_if<command::CheckHealth>(&action)) {
             probe(one->server);
-        } else if (std::holds_alternative<act::Tell>(action)) {
+        } else if (std::holds_alternative<command::SendGossip>(action)) {
             // No way between governors is set up here; the settings tell the module so.
             log_.error("order.refused", {{"why", "messages between governors are not permitted"}});
         } else {
@@ -550,7 +551,7 @@
     arm_channel();
 }
 
-void Service::arm_channel() {
+void XdsServer::arm_channel() {
     if (const auto due = channel_.due()) {
         channel_timer_.at(*due, [this] { run_channel(); });
     } else {
@@ -558,7 +559,7 @@
     }
 }
 
-void Service::run_channel() {
+void XdsServer::run_channel() {
     const base::CpuMeter meter(figures_.handler_cpu_us);
     // One moment for all that is due: what is sent alike then has the same bytes.
     const Micros now = clock_.now();
@@ -573,9 +574,9 @@
     arm_channel();
 }
 
-void Service::probe(ServerId server) {
+void XdsServer::probe(ServerId server) {
     const auto* place = board_.place_of(server);
-    if (!place || !config_.told.may_probe) {
+    if (!place || !config_.told.health_checks_allowed) {
         log_.error("order.refused", {{"why", place ? "probes are not permitted"
                                                    : "a probe of a server that no list named"}});
         return;
@@ -592,22 +593,22 @@
     pool->send(std::move(request), config_.probe_timeout,
                [this, server, sent](net::HttpOutcome outcome) {
                    using How = net::HttpOutcome::How;
-                   ProbeOutcome said = ProbeOutcome::Other;
+                   HealthCheckOutcome said = HealthCheckOutcome::Other;
                    if (outcome.how == How::Answered) {
-                       said = outcome.response.status == 200   ? ProbeOutcome::Answered
-                              : outcome.response.status == 503 ? ProbeOutcome::Full
-                                                               : ProbeOutcome::Errored;
+                       said = outcome.response.status == 200   ? HealthCheckOutcome::Healthy
+                              : outcome.response.status == 503 ? HealthCheckOutcome::Overloaded
+                                                               : HealthCheckOutcome::Failed;
                    } else if (outcome.how == How::TimedOut) {
-                       said = ProbeOutcome::Late;
+                       said = HealthCheckOutcome::TimedOut;
                    } else if (outcome.how == How::NeverSent) {
-                       said = ProbeOutcome::Unreachable;
+                       said = HealthCheckOutcome::Unreachable;
                    } else if (outcome.how == How::Broken) {
-                       said = ProbeOutcome::Reset;
+                       said = HealthCheckOutcome::Reset;
                    }
                    log_.debug("probe.ended",
                               {{"server", server_names_[server]}, {"outcome", outcome_text(said)}});
-                   tell(ev::Probed{server, said, clock_.now() - sent, {}});
+                   tell(event::HealthCheckResult{server, said, clock_.now() - sent, {}});
                });
 }
 
-}  // namespace badgergrade::governor
+}  // namespace badgergrade::xds_server
--- a/src/governor/service.h
+++ b/src/xds_server/xds_server.h
@@ -10,34 +10,34 @@
 #include <string>
 #include <vector>
 
-#include "channel/channel.h"
 #include "config/governor_config.h"
-#include "drive/driver.h"
-#include "governor/registry_watch.h"
-#include "governor/reports.h"
-#include "governor/watcher.h"
 #include "log/log.h"
 #include "net/grpc.h"
 #include "net/http_server.h"
+#include "pacing/paced_send_queue.h"
+#include "runtime/policy_runner.h"
 #include "xds/ads_server.h"
-#include "xds/board.h"
+#include "xds/snapshot_cache.h"
+#include "xds_server/endpoint_watch.h"
+#include "xds_server/load_report_queue.h"
+#include "xds_server/xds_server_observer.h"
 
-namespace badgergrade::governor {
+namespace badgergrade::xds_server {
 
 struct Figures {
     std::int64_t decisions = 0, orders = 0, applied = 0, joins = 0, rejections = 0, lists = 0;
     std::int64_t handler_cpu_us = 0;
-    channel::ChannelFigures channel;
+    pacing::SendQueueMetrics channel;
 };
 
-class Service {
+class XdsServer {
 public:
     // Listens at once; throws std::system_error where the port can't be had. `life` tells this
     // start from earlier ones of the same governor.
-    Service(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
-            log::Log& log, std::string life);
-    ~Service();
-    Service(const Service&) = delete;
+    XdsServer(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
+              log::Log& log, std::string life);
+    ~XdsServer();
+    XdsServer(const XdsServer&) = delete;
 
     net::Address address() const { return server_.address(); }
 
@@ -52,13 +52,13 @@
 
     // For tests alone: changes what the module decided before it is carried out, so that the
     // auditor of the rules can be shown a governor that breaks them.
-    std::function<void(Micros, std::vector<Action>&)> tamper;
+    std::function<void(Micros, std::vector<Command>&)> tamper;
     // For tests alone: the server id of a listed server.
     std::optional<ServerId> server_id(const std::string& id) const;
 
     Figures figures() const;
     // Hears from now on; must outlive the service.
-    void watch(Watcher& watcher);
+    void watch(XdsServerObserver& watcher);
 
     const std::string& id() const { return config_.id; }
 
@@ -110,7 +110,7 @@
     ZoneId zone_of(const std::string& name) const;
 
     void tell(const Event& event);
-    void carry_out(std::vector<Action> actions);
+    void carry_out(std::vector<Command> actions);
     void probe(ServerId server);
     void arm_channel();
     void run_channel();
@@ -122,15 +122,15 @@
     base::Clock& clock_;
     base::ActorId actor_;
     config::GovernorConfig config_;
-    log::Voice log_;
+    log::Logger log_;
     std::string life_;
-    drive::Driver driver_;
-    xds::Board board_;
-    channel::Channel channel_;
-    Reports reports_;
+    runtime::PolicyRunner driver_;
+    xds::SnapshotCache board_;
+    pacing::PacedSendQueue channel_;
+    LoadReportQueue reports_;
     xds::ResponseCache responses_;
     net::GrpcServer server_;
-    RegistryWatch registry_;
+    EndpointWatch registry_;
     std::map<std::string, Forwarder> forwarders_;
     std::map<std::string, ProxyId> proxy_ids_;
     std::map<ProxyId, std::string> proxy_names_;
@@ -141,9 +141,9 @@
     std::set<std::string> told_unknown_;
     base::Timer channel_timer_, tick_, period_;
     Figures figures_;
-    Watcher* watcher_ = nullptr;
+    XdsServerObserver* watcher_ = nullptr;
     Micros exhausted_told_{};
     bool stopping_ = false;
 };
 
-}  // namespace badgergrade::governor
+}  // namespace badgergrade::xds_server
--- a/tests/fuzz/http2_fuzz.cpp
+++ b/tests/fuzz/http2_fuzz.cpp
@@ -3,7 +3,7 @@
 
 #include "net/grpc.h"
 #include "xds/ads_server.h"
-#include "xds/load_sums.h"
+#include "xds/load_report.h"
 
 using namespace badgergrade;
 
--- a/tests/fuzz/messages_fuzz.cpp
+++ b/tests/fuzz/messages_fuzz.cpp
@@ -3,11 +3,11 @@
 #include <cstdint>
 
 #include "config/governor_config.h"
-#include "governor/registry_watch.h"
 #include "xds/ads_client.h"
 #include "xds/ads_server.h"
-#include "xds/board.h"
-#include "xds/load_sums.h"
+#include "xds/load_report.h"
+#include "xds/snapshot_cache.h"
+#include "xds_server/endpoint_watch.h"
 
 using namespace badgergrade;
 
@@ -31,7 +31,7 @@
     Operation op;
     op.name = "x";
     told.operations = {op};
-    xds::Board board(told, {"z"}, Micros{1000000});
+    xds::SnapshotCache board(told, {"z"}, Micros{1000000});
     board.place({1}, {{"127.0.0.1", 80}, "z"});
     board.joined({0});
     xds::AdsServer stream("fuzz");
@@ -39,10 +39,11 @@
     int mark = 0;
     for (const auto& piece : pieces(bytes)) {
         ++mark;
-        for (const auto& message : board.order(Micros{mark},
-                                               {act::Line{{0}, {1}, 1.0 + mark % 3},
-                                                act::Bind{{0}, 0, {0}}, act::Mark{{mark}, false}},
-                                               refused)) {
+        for (const auto& message :
+             board.order(Micros{mark},
+                         {command::SetWeight{{0}, {1}, 1.0 + mark % 3},
+                          command::AssignTable{{0}, 0, {0}}, command::RequestAck{{mark}, false}},
+                         refused)) {
             stream.give(Micros{mark}, message);
         }
         xds::AdsServer::Request request;
@@ -89,7 +90,7 @@
         }
         case 3:
             try {
-                governor::parse_list(std::string(bytes));
+                xds_server::parse_list(std::string(bytes));
             } catch (const std::runtime_error&) {}
             break;
         default:
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "platform/messages.h"
+#include "platform/message_reader.h"
 
 using namespace badgergrade;
 
@@ -12,24 +12,24 @@
 const platform::Names kNames{{"north", "south"}, {"look", "order"}, {"inflight", "util"}, 4};
 
 void read_messages(std::string_view bytes) {
-    platform::Servers servers(kNames, std::chrono::seconds(1));
-    servers.take({1, true, {{"s-a", "north", ServerState::Ready, 1, 0}}, {}}, ListForm::Full,
+    platform::ServerIds servers(kNames, std::chrono::seconds(1));
+    servers.take({1, true, {{"s-a", "north", ServerState::Ready, 1, 0}}, {}}, UpdateKind::Snapshot,
                  std::chrono::seconds(1));
     resp::Reader reader({4096, 64});
     while (const auto raw = reader.next(bytes)) {
         try {
             const auto message = platform::read_message(*raw, kNames, servers);
-            if (const auto* joined = std::get_if<ev::Joined>(&message);
+            if (const auto* joined = std::get_if<event::ProxyConnected>(&message);
                 joined &&
                 (joined->proxy.v < 0 || joined->proxy.v > 3 || !std::isfinite(joined->rate))) {
                 std::abort();
             }
-            if (const auto* heard = std::get_if<ev::Heard>(&message);
+            if (const auto* heard = std::get_if<event::ServerLoadReport>(&message);
                 heard &&
                 (heard->tries < 0 || heard->mean < Micros{0} || heard->span <= Micros{0})) {
                 std::abort();
             }
-        } catch (const platform::Spoilt&) {}
+        } catch (const platform::InvalidMessage&) {}
     }
 }
 }  // namespace
@@ -50,6 +50,6 @@
             default:
                 platform::read_instances(text);
         }
-    } catch (const platform::Unreadable&) {}
+    } catch (const platform::ParseError&) {}
     return 0;
 }
--- a/tests/program/core_test.cpp
+++ b/tests/program/core_test.cpp
@@ -4,13 +4,13 @@
 
 #include "base/clock.h"
 #include "base/random.h"
-#include "channel/channel.h"
-#include "governor/reports.h"
 #include "net/grpc.h"
 #include "net/http1.h"
+#include "pacing/paced_send_queue.h"
 #include "xds/ads_client.h"
 #include "xds/ads_server.h"
-#include "xds/board.h"
+#include "xds/snapshot_cache.h"
+#include "xds_server/load_report_queue.h"
 
 namespace badgergrade::test {
 namespace {
@@ -58,21 +58,21 @@
 }
 
 TEST(Channel, SendsSoManyLinesASecondInOrder) {
-    channel::Channel channel(1000);
+    pacing::PacedSendQueue channel(1000);
     channel.put(0us, message(1, 100, 0us));
     channel.put(0us, message(2, 50, 0us));
     EXPECT_EQ(channel.waiting(), 150);
     EXPECT_EQ(*channel.due(), 100ms);
     EXPECT_FALSE(channel.take(99ms));
-    EXPECT_EQ(channel.take(100ms)->proxy.v, 1);
+    EXPECT_EQ(channel.take(100ms)->proxy.value, 1);
     EXPECT_EQ(channel.waiting(), 50);
     EXPECT_EQ(*channel.due(), 150ms);
-    EXPECT_EQ(channel.take(150ms)->proxy.v, 2);
+    EXPECT_EQ(channel.take(150ms)->proxy.value, 2);
     EXPECT_FALSE(channel.due());
 }
 
 TEST(Channel, SlowsDownInTheMidstOfAMessageAndBack) {
-    channel::Channel channel(1000);
+    pacing::PacedSendQueue channel(1000);
     channel.put(0us, message(1, 100, 0us));
     channel.set_pace(50ms, 0.5);
     EXPECT_EQ(*channel.due(), 150ms);
@@ -81,11 +81,11 @@
 }
 
 TEST(Channel, LosesWhatWasForOneThatLeft) {
-    channel::Channel channel(1000);
+    pacing::PacedSendQueue channel(1000);
     channel.put(0us, message(1, 10, 0us));
     channel.put(0us, message(2, 10, 0us));
     channel.drop({1});
-    EXPECT_EQ(channel.take(1s)->proxy.v, 2);
+    EXPECT_EQ(channel.take(1s)->proxy.value, 2);
     EXPECT_EQ(channel.figures().dropped, 1);
 }
 
@@ -93,7 +93,7 @@
 
 Settings told() {
     Settings s;
-    s.zones = 2;
+    s.zone_count = 2;
     for (const char* name : {"look", "order"}) {
         Operation op;
         op.name = name;
@@ -102,15 +102,15 @@
         s.operations.push_back(op);
     }
     s.operations[0].effect = Effect::Idempotent;
-    s.report_period = 1s;
-    s.intake_per_s = 10;
-    s.head_lines = 3;
-    s.channel_rate = 1000;
+    s.report_interval = 1s;
+    s.max_reports_per_second = 10;
+    s.message_head_lines = 3;
+    s.channel_lines_per_second = 1000;
     return s;
 }
 
 TEST(Reports, SumUpByZoneAndServerAndPassNoFasterThanTheIntake) {
-    governor::Reports reports(told());
+    xds_server::LoadReportQueue reports(told());
     std::vector<std::string> unknown;
     std::map<net::Address, ServerId> servers;
     for (int k = 0; k < 30; ++k) {
@@ -129,17 +129,17 @@
     EXPECT_EQ(reports.waiting(), 32u);
     auto first = reports.take(10s);
     EXPECT_EQ(first.size(), 10u) << "one second's worth at most";
-    const auto& heard = std::get<ev::Heard>(first.at(0));
-    EXPECT_EQ(heard.tries, 8);
-    EXPECT_EQ(heard.errored, 2);
-    EXPECT_EQ(heard.mean, 1000us);
+    const auto& heard = std::get<event::ServerLoadReport>(first.at(0));
+    EXPECT_EQ(heard.attempts, 8);
+    EXPECT_EQ(heard.failures, 2);
+    EXPECT_EQ(heard.mean_latency, 1000us);
     EXPECT_EQ(reports.take(10s + 500ms).size(), 5u);
     EXPECT_EQ(reports.take(20s).size(), 10u);
     EXPECT_EQ(reports.take(30s).size(), 7u);
 }
 
 TEST(Reports, TellWhatTheyDoNotKnow) {
-    governor::Reports reports(told());
+    xds_server::LoadReportQueue reports(told());
     std::vector<std::string> unknown;
     xds::LoadReport one;
     one.span = 1s;
@@ -253,7 +253,7 @@
         board.joined({0});
     }
 
-    std::vector<xds::Message> order(const std::vector<Action>& actions) {
+    std::vector<xds::Message> order(const std::vector<Command>& actions) {
         auto out = board.order(now, actions, refused);
         for (const auto& m : out) {
             server.give(now, m);
@@ -273,7 +273,7 @@
                 auto out = server.on_request(r);
                 for (const auto& a : out.applied) {
                     if (a.mark) {
-                        marks.push_back(a.mark->v);
+                        marks.push_back(a.mark->value);
                     }
                 }
                 if (out.rejected) {
@@ -307,7 +307,7 @@
     }
 
     Micros now = 1000s;
-    xds::Board board;
+    xds::SnapshotCache board;
     xds::AdsServer server;
     xds::AdsClient client;
     std::vector<xds::AdsClient::Request> requests;
@@ -318,8 +318,9 @@
 
 TEST(Stream, LaysBeforeItBindsAndProvesTheMark) {
     Wire wire;
-    const auto sent = wire.order({act::Line{{0}, {1}, 1}, act::Line{{0}, {2}, 0.5},
-                                  act::Bind{{0}, 0, {0}}, act::Mark{{5}, false}});
+    const auto sent =
+        wire.order({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{0}, {2}, 0.5},
+                    command::AssignTable{{0}, 0, {0}}, command::RequestAck{{5}, false}});
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[0].lines, 3 + 1 + 1 + 2);
     wire.talk();
@@ -330,9 +331,11 @@
 
 TEST(Stream, MovesFromOneTableToAnotherWithoutAGap) {
     Wire wire;
-    wire.order({act::Line{{0}, {1}, 1}, act::Bind{{0}, 0, {0}}, act::Mark{{1}, false}});
+    wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+                command::RequestAck{{1}, false}});
     wire.talk();
-    wire.order({act::Line{{7}, {3}, 1}, act::Bind{{7}, 0, {0}}, act::Mark{{2}, false}});
+    wire.order({command::SetWeight{{7}, {3}, 1}, command::AssignTable{{7}, 0, {0}},
+                command::RequestAck{{2}, false}});
     wire.talk();
     EXPECT_EQ(wire.ports("look"), std::vector<int>{9003});
     EXPECT_EQ(wire.marks, (std::vector<int>{1, 2}));
@@ -342,14 +345,14 @@
 
 TEST(Stream, WithdrawsWhateverTheTableSays) {
     Wire wire;
-    wire.order({act::Line{{0}, {1}, 1}, act::Line{{0}, {2}, 1}, act::Bind{{0}, 0, {0}},
-                act::Mark{{1}, false}});
+    wire.order({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{0}, {2}, 1},
+                command::AssignTable{{0}, 0, {0}}, command::RequestAck{{1}, false}});
     wire.talk();
-    wire.order({act::Withdraw{{1}, true}, act::Mark{{2}, false}});
+    wire.order({command::SetEjected{{1}, true}, command::RequestAck{{2}, false}});
     wire.talk();
     EXPECT_EQ(wire.ports("look"), std::vector<int>{9002});
     EXPECT_TRUE(wire.client.tables().withdrawn.contains({"127.0.0.1", 9001}));
-    wire.order({act::Withdraw{{1}, false}, act::Mark{{3}, false}});
+    wire.order({command::SetEjected{{1}, false}, command::RequestAck{{3}, false}});
     wire.talk();
     EXPECT_TRUE(wire.client.tables().withdrawn.empty());
     EXPECT_EQ(wire.marks, (std::vector<int>{1, 2, 3}));
@@ -357,34 +360,36 @@
 
 TEST(Stream, NeverOrdersASecondTryOfWhatHasEffects) {
     Wire wire;
-    wire.order({act::Line{{0}, {1}, 1}, act::Bind{{0}, 0, {0}}, act::Level{{0}, 0, 1, Again::Twice},
-                act::Mark{{1}, false}});
+    wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+                command::SetAdmission{{0}, 0, 1, RetryMode::Twice},
+                command::RequestAck{{1}, false}});
     wire.talk();
-    EXPECT_EQ(wire.client.tables().routes.at("/invoke/look").again, Again::Twice);
-    EXPECT_EQ(wire.client.tables().routes.at("/invoke/order").again, Again::AfterProof);
+    EXPECT_EQ(wire.client.tables().routes.at("/invoke/look").again, RetryMode::Twice);
+    EXPECT_EQ(wire.client.tables().routes.at("/invoke/order").again, RetryMode::OnlyUnprocessed);
 }
 
 // An ACK of the second response says nothing of a first that was rejected.
 TEST(Stream, ALaterAckDoesNotCoverARejection) {
     Wire wire;
-    wire.order({act::Line{{0}, {1}, 1}, act::Line{{1}, {3}, 1}, act::Bind{{0}, 1, {0}},
-                act::Bind{{1}, 2, {0}}, act::Mark{{1}, false}});
+    wire.order({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{1}, {3}, 1},
+                command::AssignTable{{0}, 1, {0}}, command::AssignTable{{1}, 2, {0}},
+                command::RequestAck{{1}, false}});
     wire.talk();
     ASSERT_EQ(wire.marks.size(), 1u);
     wire.client.doubt = [](const xds::AdsClient::Response& r) {
         return r.SerializeAsString().find("table-0") != std::string::npos ? "no" : "";
     };
-    wire.order({act::Line{{0}, {2}, 1}, act::Mark{{2}, false}});
+    wire.order({command::SetWeight{{0}, {2}, 1}, command::RequestAck{{2}, false}});
     wire.talk();
     EXPECT_EQ(wire.rejected.size(), 1u);
-    wire.order({act::Line{{1}, {4}, 1}, act::Mark{{3}, false}});
+    wire.order({command::SetWeight{{1}, {4}, 1}, command::RequestAck{{3}, false}});
     wire.talk();
     EXPECT_EQ(wire.ports("order"), (std::vector<int>{9003, 9004}))
         << "a rejection takes what is new down with it";
     EXPECT_EQ(wire.marks, std::vector<int>{1}) << "order 2 was rejected, and 3 comes behind it";
     EXPECT_EQ(wire.rejected.size(), 2u) << "tried once more with the next order, no more";
     wire.client.doubt = {};
-    wire.order({act::Line{{1}, {4}, 0.5}, act::Mark{{4}, false}});
+    wire.order({command::SetWeight{{1}, {4}, 0.5}, command::RequestAck{{4}, false}});
     wire.talk();
     EXPECT_EQ(wire.marks, (std::vector<int>{1, 2, 3, 4}));
     EXPECT_EQ(wire.ports("look"), (std::vector<int>{9001, 9002}));
@@ -392,9 +397,10 @@
 
 TEST(Stream, TheSameNonceTwiceCountsOnce) {
     Wire wire;
-    wire.order({act::Line{{0}, {1}, 1}, act::Bind{{0}, 0, {0}}, act::Mark{{1}, false}});
+    wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+                command::RequestAck{{1}, false}});
     wire.talk();
-    wire.order({act::Line{{0}, {2}, 1}, act::Mark{{2}, false}});
+    wire.order({command::SetWeight{{0}, {2}, 1}, command::RequestAck{{2}, false}});
     const auto responses = wire.server.take_responses();
     ASSERT_EQ(responses.size(), 1u);
     xds::AdsClient::Request nack;
@@ -412,24 +418,26 @@
 
 TEST(Stream, AMarkForEveryoneIsAnsweredWithoutAnyChange) {
     Wire wire;
-    wire.order({act::Line{{0}, {1}, 1}, act::Bind{{0}, 0, {0}}, act::Mark{{1}, false}});
+    wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+                command::RequestAck{{1}, false}});
     wire.talk();
-    wire.order({act::Mark{{2}, true}});
+    wire.order({command::RequestAck{{2}, true}});
     wire.talk();
     EXPECT_EQ(wire.marks, (std::vector<int>{1, 2}));
 }
 
 TEST(Stream, LevelsTravelAsShareOrRate) {
-    for (const Admit admit : {Admit::Share, Admit::Rate}) {
+    for (const AdmissionMode admit : {AdmissionMode::Fraction, AdmissionMode::Rate}) {
         Settings s = told();
-        s.admit = admit;
+        s.admission_mode = admit;
         Wire wire(s);
-        wire.order({act::Line{{0}, {1}, 1}, act::Bind{{0}, 0, {0}},
-                    act::Level{{0}, 1, 0.25, Again::Never}, act::Mark{{1}, false}});
+        wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+                    command::SetAdmission{{0}, 1, 0.25, RetryMode::Never},
+                    command::RequestAck{{1}, false}});
         wire.talk();
         const auto& route = wire.client.tables().routes.at("/invoke/look");
-        EXPECT_EQ(route.again, Again::Never);
-        if (admit == Admit::Share) {
+        EXPECT_EQ(route.again, RetryMode::Never);
+        if (admit == AdmissionMode::Fraction) {
             EXPECT_DOUBLE_EQ(route.share, 0.25);
         } else {
             EXPECT_NEAR(route.rate, 0.25, 1e-6);
@@ -442,7 +450,8 @@
 
 TEST(Stream, RefusesOrdersForWhatIsNotKnown) {
     Wire wire;
-    wire.order({act::Line{{0}, {99}, 1}, act::Bind{{0}, 0, {42}}, act::Withdraw{{98}, true}});
+    wire.order({command::SetWeight{{0}, {99}, 1}, command::AssignTable{{0}, 0, {42}},
+                command::SetEjected{{98}, true}});
     EXPECT_EQ(wire.refused.size(), 3u);
 }
 
@@ -450,30 +459,30 @@
 // ordered.
 TEST(Stream, AgreesAfterRandomOrdersAndBreaks) {
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        base::Chance chance(seed, "stream");
+        base::SequentialRandom chance(seed, "stream");
         Wire wire;
         std::map<int, std::map<std::uint32_t, double>> tables;
         std::map<int, int> bound{{0, -1}};
         for (int step = 0; step < 40; ++step) {
-            std::vector<Action> actions;
+            std::vector<Command> actions;
             for (std::size_t n = chance.below(4) + 1; n-- > 0;) {
                 const int table = static_cast<int>(chance.below(3));
                 const auto server = static_cast<std::uint32_t>(chance.below(4) + 1);
                 if (chance.happens(0.7)) {
                     const double weight =
                         chance.happens(0.3) ? 0 : 0.25 * static_cast<double>(chance.below(4) + 1);
-                    actions.emplace_back(act::Line{{table}, {server}, weight});
+                    actions.emplace_back(command::SetWeight{{table}, {server}, weight});
                     if (weight > 0) {
                         tables[table][server] = weight;
                     } else {
                         tables[table].erase(server);
                     }
                 } else {
-                    actions.emplace_back(act::Bind{{table}, 0, {0}});
+                    actions.emplace_back(command::AssignTable{{table}, 0, {0}});
                     bound[0] = table;
                 }
             }
-            actions.emplace_back(act::Mark{{step}, false});
+            actions.emplace_back(command::RequestAck{{step}, false});
             const bool moody = chance.happens(0.2);
             wire.client.doubt = [&](const xds::AdsClient::Response&) {
                 return moody && chance.happens(0.5) ? "moody" : "";
@@ -489,7 +498,8 @@
                 wire.requests.clear();
                 wire.begun = false;
                 if (bound[0] >= 0) {
-                    wire.order({act::Bind{{bound[0]}, 0, {0}}, act::Mark{{step}, false}});
+                    wire.order({command::AssignTable{{bound[0]}, 0, {0}},
+                                command::RequestAck{{step}, false}});
                 }
             }
         }
@@ -498,11 +508,12 @@
             continue;
         }
         // Whatever was rejected is superseded by one more change of it.
-        std::vector<Action> last{act::Bind{{bound[0]}, 0, {0}}};
+        std::vector<Command> last{command::AssignTable{{bound[0]}, 0, {0}}};
         for (std::uint32_t k = 1; k <= 4; ++k) {
-            last.emplace_back(act::Line{{bound[0]}, {k}, 2.0 + static_cast<double>(seed % 3)});
+            last.emplace_back(
+                command::SetWeight{{bound[0]}, {k}, 2.0 + static_cast<double>(seed % 3)});
         }
-        last.emplace_back(act::Mark{{999}, false});
+        last.emplace_back(command::RequestAck{{999}, false});
         wire.order(last);
         wire.talk();
         EXPECT_EQ(wire.ports("look").size(), 4u)
--- a/tests/program/day_test.cpp
+++ b/tests/program/day_test.cpp
@@ -4,8 +4,8 @@
 #include <fstream>
 #include <sstream>
 
-#include "day/runner.h"
-#include "day/script.h"
+#include "scenario/runner.h"
+#include "scenario/script.h"
 
 namespace badgergrade::test {
 namespace {
@@ -38,16 +38,16 @@
 list gone 0.5..1 s new 0.3..0.5 s
 )";
 
-day::DayScript script(const std::string& troubles) {
+scenario::DayScript script(const std::string& troubles) {
     std::vector<config::Mistake> mistakes;
-    auto out = day::parse_script("test.day", kFleet + troubles, example_settings(), mistakes);
+    auto out = scenario::parse_script("test.day", kFleet + troubles, example_settings(), mistakes);
     for (const auto& mistake : mistakes) {
         ADD_FAILURE() << config::to_text(mistake);
     }
     return out;
 }
 
-std::set<std::string> rules_broken(const day::DayRun& run) {
+std::set<std::string> rules_broken(const scenario::DayRun& run) {
     std::set<std::string> out;
     for (const auto& one : run.breaks) {
         out.insert(one.rule);
@@ -59,16 +59,16 @@
     auto day = script(
         "at 5 s crash workers 25% for 5 s\nat 8 s streams-break forwarders 50%\nat 10 s "
         "governor-crash 0 for 2 s\n");
-    const std::string first = day::run_day(day, {}).result.dump();
+    const std::string first = scenario::run_day(day, {}).result.dump();
     for (int n = 0; n < 3; ++n) {
-        EXPECT_EQ(day::run_day(day, {}).result.dump(), first);
+        EXPECT_EQ(scenario::run_day(day, {}).result.dump(), first);
     }
     day.seed = 4;
-    EXPECT_NE(day::run_day(day, {}).result.dump(), first);
+    EXPECT_NE(scenario::run_day(day, {}).result.dump(), first);
 }
 
 TEST(Day, EveryInvocationHasOneResult) {
-    const auto run = day::run_day(
+    const auto run = scenario::run_day(
         script("at 5 s crash workers 50% for 5 s\nat 7 s hang workers 2 for 5 s\n"), {});
     const auto& whole = run.result["figures"]["whole_day"];
     const auto sum = whole["succeeded"].get<int>() + whole["rate_limited"].get<int>() +
@@ -84,34 +84,36 @@
 struct Broken {
     const char* rule;
     const char* troubles;
-    std::function<void(day::World&)> how;
+    std::function<void(scenario::World&)> how;
 };
 
 // A governor that keeps servers in its tables which have gone.
-void deaf_to_removals(day::World& world) {
-    world.tamper = [](int, governor::Service&, Micros, std::vector<Action>& actions) {
-        std::erase_if(actions, [](const Action& a) {
-            const auto* line = std::get_if<act::Line>(&a);
+void deaf_to_removals(scenario::World& world) {
+    world.tamper = [](int, xds_server::XdsServer&, Micros, std::vector<Command>& actions) {
+        std::erase_if(actions, [](const Command& a) {
+            const auto* line = std::get_if<command::SetWeight>(&a);
             return line && line->weight <= 0;
         });
     };
 }
 
 // A governor that clears what it binds and never fills it.
-void leaves_bare(day::World& world) {
-    world.tamper = [](int, governor::Service&, Micros, std::vector<Action>& actions) {
-        std::erase_if(actions,
-                      [](const Action& a) { return std::holds_alternative<act::Line>(a); });
+void leaves_bare(scenario::World& world) {
+    world.tamper = [](int, xds_server::XdsServer&, Micros, std::vector<Command>& actions) {
+        std::erase_if(actions, [](const Command& a) {
+            return std::holds_alternative<command::SetWeight>(a);
+        });
     };
 }
 
 // A governor that points every table at a server as soon as it starts, whole weight, and at little
 // else.
-void rushes_cold(day::World& world) {
-    world.tamper = [](int, governor::Service& service, Micros, std::vector<Action>& actions) {
+void rushes_cold(scenario::World& world) {
+    world.tamper = [](int, xds_server::XdsServer& service, Micros, std::vector<Command>& actions) {
         const auto cold = service.server_id("worker-000");
-        for (Action& a : actions) {
-            if (auto* line = std::get_if<act::Line>(&a); line && line->weight > 0 && cold) {
+        for (Command& a : actions) {
+            if (auto* line = std::get_if<command::SetWeight>(&a);
+                line && line->weight > 0 && cold) {
                 line->weight = line->server == *cold ? 1000 : 0.001;
             }
         }
@@ -119,24 +121,24 @@
             return;
         }
         for (int table = 0; table < 5; ++table) {
-            actions.insert(actions.begin(), act::Line{{table}, *cold, 1000});
+            actions.insert(actions.begin(), command::SetWeight{{table}, *cold, 1000});
         }
-        actions.emplace_back(act::Mark{{7}, false});
+        actions.emplace_back(command::RequestAck{{7}, false});
     };
 }
 
 // A governor that writes everything again and again, whatever its channel bears.
-void floods(day::World& world) {
-    world.tamper = [](int, governor::Service& service, Micros, std::vector<Action>& actions) {
+void floods(scenario::World& world) {
+    world.tamper = [](int, xds_server::XdsServer& service, Micros, std::vector<Command>& actions) {
         const auto one = service.server_id("worker-001");
         for (int n = 0; one && n < 600; ++n) {
-            actions.emplace_back(act::Line{{n % 5}, *one, 1.0 + n % 7});
+            actions.emplace_back(command::SetWeight{{n % 5}, *one, 1.0 + n % 7});
         }
     };
 }
 
-void repeats_orders(day::World& world) {
-    world.on_forwarder = [](standin::Forwarder& forwarder) {
+void repeats_orders(scenario::World& world) {
+    world.on_forwarder = [](testbed::Forwarder& forwarder) {
         forwarder.repeats_all = true;
     };
 }
@@ -159,10 +161,11 @@
 TEST_P(Audit, CatchesWhatBreaksTheRule) {
     const Broken& what = broken(GetParam());
     const auto day = script(what.troubles);
-    EXPECT_TRUE(day::run_day(day, {}).breaks.empty()) << "broken without being broken on purpose";
-    day::DayOptions options;
+    EXPECT_TRUE(scenario::run_day(day, {}).breaks.empty())
+        << "broken without being broken on purpose";
+    scenario::DayOptions options;
     options.before = what.how;
-    const auto run = day::run_day(day, options);
+    const auto run = scenario::run_day(day, options);
     EXPECT_TRUE(rules_broken(run).contains(what.rule)) << what.rule << " not caught";
     ASSERT_FALSE(run.breaks.empty());
     EXPECT_FALSE(run.breaks.front().parties.empty());
@@ -196,8 +199,8 @@
     };
     for (const auto& one : mistakes) {
         std::vector<config::Mistake> told;
-        day::parse_script("test.day", std::string(kFleet) + one.line + "\n", example_settings(),
-                          told);
+        scenario::parse_script("test.day", std::string(kFleet) + one.line + "\n",
+                               example_settings(), told);
         ASSERT_FALSE(told.empty()) << one.line;
         const std::string text = config::to_text(told.front());
         EXPECT_NE(text.find(one.says), std::string::npos) << one.line << " -> " << text;
@@ -210,10 +213,10 @@
 // Retries count with the first try, and place-job is billed threefold: a day of known counts.
 TEST(Figures, BillAsTheUsersDo) {
     const auto day = script("");
-    day::Figures figures(day, 1000s, day.length, {{"f", "bang-na"}});
-    const auto play = [&](std::uint64_t id, int operation, int tries, standin::Result result,
+    scenario::Figures figures(day, 1000s, day.length, {{"f", "bang-na"}});
+    const auto play = [&](std::uint64_t id, int operation, int tries, testbed::Result result,
                           Micros took) {
-        standin::Invocation one;
+        testbed::Invocation one;
         one.id = id;
         one.operation = operation;
         one.forwarder = "f";
@@ -224,11 +227,11 @@
         }
         figures.invocation_ended(one.came + took, one, result);
     };
-    play(1, 0, 1, standin::Result::Succeeded, 100ms);   // 1 of 1
-    play(2, 0, 3, standin::Result::Succeeded, 900ms);   // late: 0 of 1
-    play(3, 1, 2, standin::Result::Errored, 100ms);     // 0 of 1
-    play(4, 2, 1, standin::Result::Succeeded, 1100ms);  // 3 of 3
-    play(5, 2, 2, standin::Result::RateLimited, 10ms);  // 0 of 3
+    play(1, 0, 1, testbed::Result::Succeeded, 100ms);   // 1 of 1
+    play(2, 0, 3, testbed::Result::Succeeded, 900ms);   // late: 0 of 1
+    play(3, 1, 2, testbed::Result::Errored, 100ms);     // 0 of 1
+    play(4, 2, 1, testbed::Result::Succeeded, 1100ms);  // 3 of 3
+    play(5, 2, 2, testbed::Result::RateLimited, 10ms);  // 0 of 3
     const auto json = figures.json();
     EXPECT_DOUBLE_EQ(json["whole_day"]["service"].get<double>(), std::round(4.0 / 9 * 1e6) / 1e6);
     EXPECT_EQ(json["whole_day"]["invocations"].get<int>(), 5);
--- a/tests/program/governor_test.cpp
+++ b/tests/program/governor_test.cpp
@@ -2,8 +2,8 @@
 // garbage.
 #include <sys/resource.h>
 
-#include "governor/list_check.h"
 #include "support.h"
+#include "xds_server/endpoint_list_validator.h"
 
 namespace badgergrade::test {
 namespace {
@@ -332,9 +332,9 @@
 // wait than allowed.
 TEST(Governor, ManyJoiningAtOnceKeepTheLineLimit) {
     auto config = settings();
-    config.told.proxies = 200;
-    config.told.lines_most = 1500;
-    config.told.channel_rate = 1000;
+    config.told.proxy_count = 200;
+    config.told.max_queued_lines = 1500;
+    config.told.channel_lines_per_second = 1000;
     Stage stage(config);
     for (int k = 0; k < 40; ++k) {
         stage.list("s" + std::to_string(k), k % 2 ? "north" : "south", 10000 + k);
@@ -407,9 +407,9 @@
     EXPECT_EQ(stage.logged("list.taken"), taken + 1);
 }
 
-TEST(ListCheck, DoubtsASuddenLossOnce) {
-    governor::ListCheck check(config::EmptyList::Refuse, 0.5);
-    using V = governor::ListCheck::Verdict;
+TEST(EndpointListValidator, DoubtsASuddenLossOnce) {
+    xds_server::EndpointListValidator check(config::EmptyList::Refuse, 0.5);
+    using V = xds_server::EndpointListValidator::Verdict;
     EXPECT_EQ(check.look({"r", 5, 10}).verdict, V::Take);
     EXPECT_EQ(check.look({"r", 5, 10}).verdict, V::Same);
     EXPECT_EQ(check.look({"r", 4, 10}).verdict, V::Refuse);
@@ -420,7 +420,7 @@
 }
 
 TEST(Registry, ReadsListsAndSaysWhatIsWrongWithThem) {
-    const auto list = governor::parse_list(
+    const auto list = xds_server::parse_list(
         R"({"registry":"r","index":3,"servers":[{"id":"a","zone":"z","address":"127.0.0.1:80","age_ms":1.5,"weight":2}]})");
     EXPECT_EQ(list.servers.at(0).age, 1500us);
     const std::pair<const char*, const char*> wrong[] = {
@@ -436,7 +436,7 @@
     };
     for (const auto& [text, what] : wrong) {
         try {
-            governor::parse_list(text);
+            xds_server::parse_list(text);
             ADD_FAILURE() << text;
         } catch (const std::runtime_error& said) {
             EXPECT_NE(std::string(said.what()).find(what), std::string::npos) << said.what();
--- a/tests/program/node_moments_test.cpp
+++ b/tests/program/node_moments_test.cpp
@@ -5,7 +5,7 @@
 #include <csignal>
 
 #include "net/signals.h"
-#include "node/config_reload.h"
+#include "platform_server/config_reload.h"
 #include "raw_peer.h"
 
 namespace badgergrade::test {
@@ -170,18 +170,19 @@
 }
 
 TEST(NodeMoments, TheOldestOpenMarkIsForgottenFirstAlsoWhereNumbersComeRound) {
-    node::OpenMarks marks;
+    platform_server::PendingAcks marks;
     for (int k = 0; k < 300; ++k) {
         marks.written({(65400 + k) % 65536});
     }
-    EXPECT_EQ(marks.answered({(65400 + 299) % 65536}), node::OpenMarks::Answer::Awaited)
+    EXPECT_EQ(marks.answered({(65400 + 299) % 65536}),
+              platform_server::PendingAcks::Answer::Awaited)
         << "the newest";
-    EXPECT_EQ(marks.answered({65400}), node::OpenMarks::Answer::Late)
+    EXPECT_EQ(marks.answered({65400}), platform_server::PendingAcks::Answer::Late)
         << "the oldest: late, not spoilt";
     EXPECT_EQ(marks.size(), 255u);
-    node::OpenMarks fresh;
+    platform_server::PendingAcks fresh;
     fresh.written({7});
-    EXPECT_EQ(fresh.answered({8}), node::OpenMarks::Answer::Unknown);
+    EXPECT_EQ(fresh.answered({8}), platform_server::PendingAcks::Answer::Unknown);
 }
 
 TEST(NodeMoments, AnAddressThatTheLifeBeforeStillHoldsIsAskedForAgain) {
@@ -205,7 +206,7 @@
     RawListener other;
     stage.config.listen = other.address();
     stage.start();
-    EXPECT_THROW(stage.run(11s), node::CannotListen);
+    EXPECT_THROW(stage.run(11s), platform_server::CannotListen);
 }
 
 // ---- discovery
@@ -342,8 +343,8 @@
                  [&](const std::string& line) { lines.push_back(line); });
     std::string file = "{";
     int applied = 0;
-    node::ConfigReload reload(
-        loop.clock(), base::ActorId{1}, log::Voice(log, "n3"),
+    platform_server::ConfigReload reload(
+        loop.clock(), base::ActorId{1}, log::Logger(log, "n3"),
         [&] { return platform::read_config(file); },
         [&](const platform::NodeConfig&) { ++applied; });
     reload.begin();
@@ -411,7 +412,7 @@
     try {
         platform::read_config(with(65));
         ADD_FAILURE() << "65 classes are more than the module holds";
-    } catch (const platform::Unreadable& wrong) {
+    } catch (const platform::ParseError& wrong) {
         EXPECT_NE(std::string(wrong.what()).find("request_classes.count is out of range: '65'"),
                   std::string::npos)
             << wrong.what();
--- a/tests/program/node_test.cpp
+++ b/tests/program/node_test.cpp
@@ -236,7 +236,7 @@
 
 TEST(Node, FourHundredProxiesDialInOneInstant) {
     NodeStage stage(1024);
-    stage.config.names.proxies = stage.config.settings.proxies = 400;
+    stage.config.names.proxies = stage.config.settings.proxy_count = 400;
     stage.start();
     std::vector<std::unique_ptr<PlatformPeer>> all;
     for (int number = 0; number < 400; ++number) {
--- a/tests/program/platform_stage.h
+++ b/tests/program/platform_stage.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "net/http_server.h"
-#include "node/service.h"
+#include "platform_server/platform_server.h"
 #include "resp/resp.h"
 
 namespace badgergrade::test {
@@ -212,8 +212,8 @@
     }
 
     void start() {
-        service = std::make_unique<node::Service>(loop, base::ActorId{10}, config, log,
-                                                  std::chrono::seconds(1700000000));
+        service = std::make_unique<platform_server::PlatformServer>(
+            loop, base::ActorId{10}, config, log, std::chrono::seconds(1700000000));
     }
 
     std::unique_ptr<PlatformPeer> peer() {
@@ -241,7 +241,7 @@
     log::Log log;
     Discovery discovery{loop};
     platform::NodeConfig config;
-    std::unique_ptr<node::Service> service;
+    std::unique_ptr<platform_server::PlatformServer> service;
 };
 
 }  // namespace badgergrade::test
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -2,10 +2,10 @@
 // CONFIG.
 #include <gtest/gtest.h>
 
-#include "drive/driver.h"
-#include "platform/messages.h"
-#include "platform/orders_text.h"
+#include "platform/config_writer.h"
+#include "platform/message_reader.h"
 #include "platform_stage.h"
+#include "runtime/policy_runner.h"
 
 namespace badgergrade::test {
 namespace {
@@ -16,9 +16,9 @@
 
 struct Words {
     platform::NodeConfig config = platform::read_config(node_config());
-    platform::Servers servers{config.names, kWallAhead};
+    platform::ServerIds servers{config.names, kWallAhead};
 
-    Words() { servers.take(config.known, ListForm::Cached, 1000s); }
+    Words() { servers.take(config.known, UpdateKind::Cached, 1000s); }
 
     platform::Message read(std::vector<std::string> words) const {
         return platform::read_message({std::move(words), true}, config.names, servers);
@@ -27,7 +27,7 @@
     std::string spoilt(std::vector<std::string> words) const {
         try {
             read(std::move(words));
-        } catch (const platform::Spoilt& wrong) {
+        } catch (const platform::InvalidMessage& wrong) {
             return wrong.what();
         }
         return {};
@@ -45,13 +45,13 @@
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(config.sockets, 256);
     EXPECT_EQ(config.batch, 4ms);
-    EXPECT_EQ(config.settings.zones, 2);
+    EXPECT_EQ(config.settings.zone_count, 2);
     EXPECT_EQ(config.settings.operations.size(), 2u);
     EXPECT_EQ(config.settings.operations[1].effect, Effect::SideEffecting);
     EXPECT_EQ(config.settings.operations[0].integration_timeout, 2s);
-    EXPECT_TRUE(config.settings.operations[1].own_zone);
-    EXPECT_EQ(config.settings.cold_time, 15s);
-    EXPECT_EQ(config.settings.messages_most, 20);
+    EXPECT_TRUE(config.settings.operations[1].local_only);
+    EXPECT_EQ(config.settings.slow_start_window, 15s);
+    EXPECT_EQ(config.settings.max_messages, 20);
     EXPECT_EQ(config.names.operations, (std::vector<std::string>{"look up", "order"}));
     EXPECT_EQ(config.names.load_columns, (std::vector<std::string>{"inflight", "util"}));
     ASSERT_EQ(config.known.instances.size(), 3u);
@@ -62,7 +62,7 @@
     const auto why = [](std::string text) {
         try {
             platform::read_config(text);
-        } catch (const platform::Unreadable& wrong) {
+        } catch (const platform::ParseError& wrong) {
             return std::string(wrong.what());
         }
         return std::string();
@@ -91,7 +91,7 @@
     EXPECT_FALSE(list.whole);
     ASSERT_EQ(list.instances.size(), 1u);
     EXPECT_EQ(list.left_out.size(), 2u);
-    EXPECT_THROW(platform::read_instances(R"({"instances":[]})"), platform::Unreadable);
+    EXPECT_THROW(platform::read_instances(R"({"instances":[]})"), platform::ParseError);
 }
 
 // ---- servers
@@ -100,22 +100,22 @@
     Words w;
     const ServerId a = w.server("s-a");
     platform::InstanceList change{2, false, {{"s-a", "north", ServerState::Gone, 1, 0}}, {}};
-    w.servers.take(change, ListForm::Delta, 1010s);
+    w.servers.take(change, UpdateKind::Delta, 1010s);
     EXPECT_EQ(w.server("s-a"), a) << "it can still be named";
     change.instances = {{"s-a", "north", ServerState::Ready, 1, 1700001020000.0}};
-    const auto list = w.servers.take(change, ListForm::Delta, 1020s);
-    EXPECT_EQ(list.rows.at(0).server, a);
-    EXPECT_EQ(list.rows.at(0).started, 1020s);
+    const auto list = w.servers.take(change, UpdateKind::Delta, 1020s);
+    EXPECT_EQ(list.endpoints.at(0).server, a);
+    EXPECT_EQ(list.endpoints.at(0).started_at, 1020s);
 }
 
 TEST(Servers, AStartHasOneTimeAndNeverBecomesLongAgo) {
     Words w;
     const auto start = [&](double ms) {
         return w.servers
-            .take({3, false, {{"s-a", "north", ServerState::Ready, 1, ms}}, {}}, ListForm::Delta,
+            .take({3, false, {{"s-a", "north", ServerState::Ready, 1, ms}}, {}}, UpdateKind::Delta,
                   1000s)
-            .rows.at(0)
-            .started;
+            .endpoints.at(0)
+            .started_at;
     };
     EXPECT_EQ(start(0), 0us) << "long ago";
     EXPECT_EQ(start(1700000990000.0), 990s);
@@ -134,12 +134,12 @@
              false,
              {{id, "north", ServerState::Ready, 1, 0}, {old, "north", ServerState::Gone, 1, 0}},
              {}},
-            ListForm::Delta, now);
+            UpdateKind::Delta, now);
         w.servers.forget(now, [](ServerId) { return false; });
     }
     EXPECT_LE(w.servers.size(), 6u);
-    EXPECT_LE(w.server("new-499").v, 8u);
-    w.servers.take({2, true, {}, {}}, ListForm::Full, now);
+    EXPECT_LE(w.server("new-499").value, 8u);
+    w.servers.take({2, true, {}, {}}, UpdateKind::Snapshot, now);
     w.servers.forget(now + 300s, [&](ServerId server) { return server == w.server("s-a"); });
     EXPECT_EQ(w.servers.size(), 1u) << "what is still named stays";
 }
@@ -148,32 +148,32 @@
 
 TEST(Messages, AreReadIntoTheModulesWords) {
     Words w;
-    const auto load = std::get<ev::Heard>(
+    const auto load = std::get<event::ServerLoadReport>(
         w.read({"LOAD", "zone", "south", "server", "s-b", "tries", "212", "failed", "3", "mean_ms",
                 "41.7", "span_ms", "1000.0", "load", "util:0.61,other:3,inflight:7"}));
-    EXPECT_EQ(load.zone.v, 1);
+    EXPECT_EQ(load.zone.value, 1);
     EXPECT_EQ(load.server, w.server("s-b"));
-    EXPECT_EQ(load.tries, 212);
-    EXPECT_EQ(load.errored, 3);
-    EXPECT_EQ(load.mean, 41700us);
-    EXPECT_EQ(load.span, 1s);
-    EXPECT_EQ(load.load, (std::vector<double>{7, 0.61}));
+    EXPECT_EQ(load.attempts, 212);
+    EXPECT_EQ(load.failures, 3);
+    EXPECT_EQ(load.mean_latency, 41700us);
+    EXPECT_EQ(load.interval, 1s);
+    EXPECT_EQ(load.load_metrics, (std::vector<double>{7, 0.61}));
     const auto joined =
-        std::get<ev::Joined>(w.read({"SUBSCRIBE", "proxy", "3", "zone", "north", "weight", "21.5",
-                                     "fresh", "1", "novel", "x"}));
-    EXPECT_EQ(joined.proxy.v, 3);
-    EXPECT_TRUE(joined.fresh);
-    EXPECT_EQ(joined.rate, 21.5);
-    const auto applied =
-        std::get<ev::Applied>(w.read({"ACK", "proxy", "3", "mark", "905", "took_ms", "310.4"}));
-    EXPECT_EQ(applied.mark.v, 905);
-    EXPECT_EQ(applied.took, 310400us);
-    const auto rate =
-        std::get<ev::Demand>(w.read({"RATE", "proxy", "3", "class", "look up", "tries", "19",
-                                     "failed", "0", "span_ms", "1000.0"}));
-    EXPECT_EQ(rate.op.v, 0);
-    EXPECT_EQ(rate.count, 19);
-    EXPECT_EQ(std::get<platform::Source>(w.read({"SOURCE", "zone", "south"})).zone.v, 1);
+        std::get<event::ProxyConnected>(w.read({"SUBSCRIBE", "proxy", "3", "zone", "north",
+                                                "weight", "21.5", "fresh", "1", "novel", "x"}));
+    EXPECT_EQ(joined.proxy.value, 3);
+    EXPECT_TRUE(joined.fresh_start);
+    EXPECT_EQ(joined.announced_rate, 21.5);
+    const auto applied = std::get<event::ConfigAcknowledged>(
+        w.read({"ACK", "proxy", "3", "mark", "905", "took_ms", "310.4"}));
+    EXPECT_EQ(applied.version.value, 905);
+    EXPECT_EQ(applied.delay, 310400us);
+    const auto rate = std::get<event::ProxyDemandReport>(
+        w.read({"RATE", "proxy", "3", "class", "look up", "tries", "19", "failed", "0", "span_ms",
+                "1000.0"}));
+    EXPECT_EQ(rate.operation.value, 0);
+    EXPECT_EQ(rate.attempts, 19);
+    EXPECT_EQ(std::get<platform::Source>(w.read({"SOURCE", "zone", "south"})).zone.value, 1);
     EXPECT_TRUE(std::holds_alternative<platform::Ping>(w.read({"PING"})));
 }
 
@@ -218,30 +218,30 @@
                         "span_ms", "0"}),
               "");
     EXPECT_THROW(platform::read_message({{"PING"}, false}, w.config.names, w.servers),
-                 platform::Spoilt);
+                 platform::InvalidMessage);
 }
 
 // ---- orders
 
 struct Orders : Words {
-    drive::OrderBook book{config.settings};
+    runtime::ConfigState book{config.settings};
     std::vector<std::string> refused;
 
-    std::map<int, std::string> give(std::vector<Action> actions) {
+    std::map<int, std::string> give(std::vector<Command> actions) {
         std::map<int, std::string> out;
         lines.clear();
         for (const auto& order : book.take(actions, refused)) {
-            out[order.proxy.v] =
+            out[order.proxy.value] =
                 readable(platform::to_config(order, config.names, servers).value_or("too long"));
-            lines[order.proxy.v] = order.lines;
+            lines[order.proxy.value] = order.lines;
         }
         return out;
     }
 
     std::map<int, double> lines;
 
-    Action line(int table, const char* id, double weight) const {
-        return act::Line{{table}, server(id), weight};
+    Command line(int table, const char* id, double weight) const {
+        return command::SetWeight{{table}, server(id), weight};
     }
 };
 
@@ -249,12 +249,12 @@
     Orders o;
     o.book.joined({1});
     o.book.joined({2});
-    auto sent = o.give({o.line(7, "s-a", 1.5), o.line(7, "s-b", 0.25), act::Bind{{7}, 0, {1}},
-                        act::Mark{{905}, false}});
+    auto sent = o.give({o.line(7, "s-a", 1.5), o.line(7, "s-b", 0.25),
+                        command::AssignTable{{7}, 0, {1}}, command::RequestAck{{905}, false}});
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1.5,s-b:0.25 stamp 905\n");
     EXPECT_EQ(o.lines[1], 3 + 1 + 2 + 1) << "head, binding, lines, mark";
-    sent = o.give({o.line(7, "s-b", 0), o.line(7, "s-c", 1e-7), act::Mark{{906}, false}});
+    sent = o.give({o.line(7, "s-b", 0), o.line(7, "s-c", 1e-7), command::RequestAck{{906}, false}});
     EXPECT_EQ(sent[1], "CONFIG rows s-b:0,s-c:0.0000001 stamp 906\n");
     EXPECT_EQ(o.lines[1], 3 + 2 + 1);
     EXPECT_TRUE(o.give({o.line(8, "s-b", 1)}).empty()) << "a table that nobody uses";
@@ -263,12 +263,12 @@
 TEST(Orders, OperationsAreNamedWhereATableIsNotForAll) {
     Orders o;
     o.book.joined({1});
-    auto sent = o.give({o.line(7, "s-a", 1), o.line(8, "s-b", 1), act::Bind{{7}, 1, {1}},
-                        act::Bind{{8}, 2, {1}}, act::Mark{{1}, false}});
+    auto sent = o.give({o.line(7, "s-a", 1), o.line(8, "s-b", 1), command::AssignTable{{7}, 1, {1}},
+                        command::AssignTable{{8}, 2, {1}}, command::RequestAck{{1}, false}});
     EXPECT_EQ(sent[1],
               "CONFIG for look up replace 1 rows s-a:1 part 1\nCONFIG for order replace 1 rows "
               "s-b:1 stamp 1\n");
-    sent = o.give({act::Bind{{8}, 0, {1}}});
+    sent = o.give({command::AssignTable{{8}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-b:1\n");
 }
 
@@ -276,14 +276,14 @@
     Orders o;
     o.book.joined({1});
     o.book.joined({2});
-    auto sent = o.give(
-        {o.line(7, "s-a", 1), act::Level{{7}, 1, 0.5, Again::Never}, act::Bind{{7}, 0, {1}}});
+    auto sent = o.give({o.line(7, "s-a", 1), command::SetAdmission{{7}, 1, 0.5, RetryMode::Never},
+                        command::AssignTable{{7}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1 part 1\nCONFIG for look up gate 0.5 again 0\n");
-    sent = o.give({act::Level{kEveryTable, 0, 0.8, Again::AfterProof}});
+    sent = o.give({command::SetAdmission{kAllTables, 0, 0.8, RetryMode::OnlyUnprocessed}});
     EXPECT_EQ(sent[1],
               "CONFIG for look up gate 0.5 again 0 part 1\nCONFIG for order gate 0.8 again 1\n")
         << "the lower holds, and the table's own manner";
-    sent = o.give({act::Clear{{7}}, o.line(7, "s-b", 2)});
+    sent = o.give({command::ClearTable{{7}}, o.line(7, "s-b", 2)});
     EXPECT_EQ(sent[1],
               "CONFIG replace 1 rows s-b:2 part 1\nCONFIG for look up+order gate 0.8 again 1\n")
         << "levels for all accompany a whole table";
@@ -292,16 +292,16 @@
 TEST(Orders, AProxyThatComesOverIsToldOnlyWhatItShutsOutWrongly) {
     Orders o;
     o.book.joined({1});
-    o.give({o.line(7, "s-a", 1), o.line(7, "s-b", 1), act::Bind{{7}, 0, {1}}});
-    auto sent =
-        o.give({act::Withdraw{o.server("s-a"), true}, act::Withdraw{o.server("s-c"), true}});
+    o.give({o.line(7, "s-a", 1), o.line(7, "s-b", 1), command::AssignTable{{7}, 0, {1}}});
+    auto sent = o.give(
+        {command::SetEjected{o.server("s-a"), true}, command::SetEjected{o.server("s-c"), true}});
     EXPECT_EQ(sent[1], "CONFIG drop s-a\n") << "s-c is in no table that it holds";
     o.book.left({1});
-    EXPECT_TRUE(
-        o.give({act::Withdraw{o.server("s-a"), false}, act::Withdraw{o.server("s-b"), true}})
-            .empty());
+    EXPECT_TRUE(o.give({command::SetEjected{o.server("s-a"), false},
+                        command::SetEjected{o.server("s-b"), true}})
+                    .empty());
     o.book.joined({1});
-    sent = o.give({act::Bind{{7}, 0, {1}}});
+    sent = o.give({command::AssignTable{{7}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1,s-b:1 drop s-b undrop s-a\n");
 }
 
@@ -309,29 +309,29 @@
     Orders o;
     o.book.joined({1});
     o.book.joined({2});
-    const auto sent = o.give({act::Mark{{5}, true}});
+    const auto sent = o.give({command::RequestAck{{5}, true}});
     EXPECT_EQ(sent, (std::map<int, std::string>{{1, "CONFIG stamp 5\n"}, {2, "CONFIG stamp 5\n"}}));
-    o.give({act::Bind{{7}, 0, {9}}});
+    o.give({command::AssignTable{{7}, 0, {9}}});
     EXPECT_EQ(o.refused.size(), 1u) << "not joined";
 }
 
 // ---- driving
 
-TEST(Driver, TwoTimersOfOneTokenAreTwoEventsAndEventsOfAMomentOneDecision) {
+TEST(PolicyRunner, TwoTimersOfOneTokenAreTwoEventsAndEventsOfAMomentOneDecision) {
     base::VirtualClock clock(1000s);
     Words w;
-    drive::Driver driver(clock, {1}, w.config.settings, 1, 4ms);
+    runtime::PolicyRunner driver(clock, {1}, w.config.settings, 1, 4ms);
     int decisions = 0;
-    driver.on_actions = [&](const std::vector<Action>&) {
+    driver.on_actions = [&](const std::vector<Command>&) {
         ++decisions;
     };
-    driver.tell(w.servers.take(w.config.known, ListForm::Cached, clock.now()));
-    driver.tell(ev::Joined{{1}, true, {0}, 5});
+    driver.tell(w.servers.take(w.config.known, UpdateKind::Cached, clock.now()));
+    driver.tell(event::ProxyConnected{{1}, true, {0}, 5});
     EXPECT_EQ(driver.timers(), 0u);
     while (clock.step(1000s + 10ms)) {}
     EXPECT_EQ(decisions, 1) << "one binding for the two events";
     EXPECT_EQ(driver.timers(), 1u);
-    driver.tell(ev::Timer{"beat"});
+    driver.tell(event::TimerFired{"beat"});
     while (clock.step(1000s + 20ms)) {}
     EXPECT_EQ(driver.timers(), 2u) << "the beat that was told by hand set a second one";
 }
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -8,12 +8,12 @@
 #include <sstream>
 
 #include "folder.h"
-#include "governor/service.h"
 #include "replay/compare.h"
 #include "replay/merge.h"
 #include "replay/recorder.h"
 #include "replay/report.h"
 #include "support.h"
+#include "xds_server/xds_server.h"
 
 namespace badgergrade::replay {
 namespace {
@@ -42,20 +42,20 @@
 at 8500 ms hang workers 1 for 1 s
 )";
 
-day::DayScript short_day(const std::string& more = {}) {
+scenario::DayScript short_day(const std::string& more = {}) {
     std::vector<config::Mistake> mistakes;
     const auto settings = config::IniFile::parse("test.ini", test::kSettings, mistakes);
-    auto day = day::parse_script("short.day", kShortDay + more, settings, mistakes);
+    auto day = scenario::parse_script("short.day", kShortDay + more, settings, mistakes);
     for (const auto& mistake : mistakes) {
         ADD_FAILURE() << config::to_text(mistake);
     }
     return day;
 }
 
-day::DayRun record(const day::DayScript& script, const std::string& path,
-                   record::WriterOptions how = {}) {
-    how.when_full = record::WhenFull::Wait;
-    record::WriterFigures figures;
+scenario::DayRun record(const scenario::DayScript& script, const std::string& path,
+                        recording::WriterOptions how = {}) {
+    how.when_full = recording::WhenFull::Wait;
+    recording::WriterFigures figures;
     auto out = record_day(script, {}, path, how, figures);
     EXPECT_EQ(figures.failed, "");
     return out;
@@ -102,8 +102,8 @@
 TEST(Replay, EveryKindOfTroubleComesBackAsItWas) {
     const Folder folder;
     std::vector<config::Mistake> mistakes;
-    const auto script =
-        day::load_script(std::string(BADGERGRADE_SOURCE) + "/examples/all-troubles.day", mistakes);
+    const auto script = scenario::load_script(
+        std::string(BADGERGRADE_SOURCE) + "/examples/all-troubles.day", mistakes);
     ASSERT_TRUE(mistakes.empty());
     const auto lived = record(script, folder.file("day"));
     const auto day = load_recording(folder.file("day"));
@@ -251,7 +251,7 @@
         make_playable(day, trial(day, {{"replay.workers", "+2"}, {"replay.traffic", "1.5"}}), none);
     int workers = 0;
     for (const auto& move : more.world.moves) {
-        workers += move.opening && move.what.kind == day::MoveKind::StartWorker;
+        workers += move.opening && move.what.kind == scenario::MoveKind::StartWorker;
     }
     EXPECT_EQ(workers, 8);
     std::size_t count = 0;
@@ -284,9 +284,9 @@
 struct HandMade {
     explicit HandMade(const std::string& path)
         : script(short_day()),
-          writer(record::file_sink(path), header_of(script, 0us)) {
+          writer(recording::file_sink(path), header_of(script, 0us)) {
         auto& move = *writer.add(0us).mutable_move();
-        move.set_kind(static_cast<std::uint32_t>(day::MoveKind::AddForwarder));
+        move.set_kind(static_cast<std::uint32_t>(scenario::MoveKind::AddForwarder));
         move.set_opening(true);
         move.set_who(writer.name("forwarder-000"));
         move.set_text("north");
@@ -301,21 +301,21 @@
         to.set_work_us(1000);
     }
 
-    void ended(std::int64_t id, standin::Result result, std::uint32_t client_tries, Micros at) {
+    void ended(std::int64_t id, testbed::Result result, std::uint32_t client_tries, Micros at) {
         auto& to = *writer.add(at).mutable_ended();
         to.set_id_less(writer.last_id() - id);
         to.set_result(static_cast<std::uint32_t>(result));
         to.set_client_tries(client_tries);
     }
 
-    day::DayScript script;
-    record::Writer writer;
+    scenario::DayScript script;
+    recording::Writer writer;
 };
 
 TEST(Replay, RetriesCountWithTheirFirstTryAndPlaceJobsThreefold) {
     const Folder folder;
 
-    using enum standin::Result;
+    using enum testbed::Result;
     {
         // look: billed 1, objective 500 ms; order: billed 3, objective 1 s.
         HandMade day(folder.file("hand"));
@@ -372,11 +372,11 @@
 
 TEST(Replay, ACutDayIsPlayedToTheCutAndADamagedOneWithoutItsBlock) {
     const Folder folder;
-    record::WriterOptions how;
+    recording::WriterOptions how;
     how.block_span = 1s;
     record(short_day(), folder.file("day"), how);
     const auto whole = load_recording(folder.file("day"));
-    record::Reader reader(folder.file("day"));
+    recording::Reader reader(folder.file("day"));
     ASSERT_GT(reader.blocks().size(), 8u);
     std::ifstream in(folder.file("day"), std::ios::binary);
     std::ostringstream bytes;
@@ -412,12 +412,12 @@
 
 // ---- days put together from what governors heard
 
-day::DayRun record_governors(const day::DayScript& script, GovernorFiles& files) {
-    day::DayOptions options;
-    options.before = [&](day::World& world) {
+scenario::DayRun record_governors(const scenario::DayScript& script, GovernorFiles& files) {
+    scenario::DayOptions options;
+    options.before = [&](scenario::World& world) {
         world.governor_watcher = &files;
     };
-    auto out = day::run_day(script, options);
+    auto out = scenario::run_day(script, options);
     files.close();
     return out;
 }
@@ -445,9 +445,9 @@
     int stops = 0;
     int governor_stops = 0;
     for (const auto& move : day.world.moves) {
-        starts += move.what.kind == day::MoveKind::StartWorker && move.what.on;
-        stops += move.what.kind == day::MoveKind::StopWorker;
-        governor_stops += move.what.kind == day::MoveKind::StopGovernor && !move.opening;
+        starts += move.what.kind == scenario::MoveKind::StartWorker && move.what.on;
+        stops += move.what.kind == scenario::MoveKind::StopWorker;
+        governor_stops += move.what.kind == scenario::MoveKind::StopGovernor && !move.opening;
     }
     EXPECT_EQ(starts, 5);  // two that crashed and the lost site's three
     EXPECT_EQ(stops, 5);
@@ -491,8 +491,8 @@
                  std::runtime_error);  // a whole day already
     auto config = script.governor;
     {
-        record::Writer empty(
-            record::file_sink(folder.file("empty")),
+        recording::Writer empty(
+            recording::file_sink(folder.file("empty")),
             header_of(config, script.settings.to_text(), 0us, "2026-11-30T08:00:00.5Z"));
     }
     EXPECT_THROW(merge_recordings({folder.file("empty")}, folder.file("out")), std::runtime_error);
@@ -500,8 +500,8 @@
     other.set("governor", "zones", "east, west");
     other.set("governor", "zone", "east");
     {
-        record::Writer empty(record::file_sink(folder.file("other")),
-                             header_of(config, other.to_text(), 0us, "2026-11-30T08:00:00.5Z"));
+        recording::Writer empty(recording::file_sink(folder.file("other")),
+                                header_of(config, other.to_text(), 0us, "2026-11-30T08:00:00.5Z"));
     }
     EXPECT_THROW(merge_recordings({folder.file("empty"), folder.file("other")}, folder.file("out")),
                  std::runtime_error);
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "config/governor_config.h"
-#include "governor/service.h"
 #include "net/grpc.h"
-#include "standin/registry.h"
+#include "testbed/registry.h"
 #include "xds/ads_client.h"
+#include "xds_server/xds_server.h"
 
 namespace badgergrade::test {
 
@@ -70,14 +70,14 @@
         log =
             std::make_unique<log::Log>(loop->clock(), log::Level::Debug, log::Form::Json,
                                        [this](const std::string& line) { lines.push_back(line); });
-        registry = std::make_unique<standin::Registry>(*loop, base::ActorId{3}, "registry",
+        registry = std::make_unique<testbed::Registry>(*loop, base::ActorId{3}, "registry",
                                                        net::Address{}, nullptr);
         config.registry_address = net::to_text(registry->address());
     }
 
     void list(const std::string& id, const std::string& zone, int port,
               ServerState state = ServerState::Ready) {
-        standin::Registry::Row row;
+        testbed::Registry::Row row;
         row.server.id = id;
         row.server.zone = zone;
         row.server.incarnation = "1";
@@ -94,7 +94,8 @@
     }
 
     void start(const std::string& life = "1") {
-        service = std::make_unique<governor::Service>(*loop, base::ActorId{10}, config, *log, life);
+        service =
+            std::make_unique<xds_server::XdsServer>(*loop, base::ActorId{10}, config, *log, life);
     }
 
     void run(base::Micros time) { loop->run_until(loop->clock().now() + time); }
@@ -111,8 +112,8 @@
     config::GovernorConfig config;
     std::vector<std::string> lines;
     std::unique_ptr<log::Log> log;
-    std::unique_ptr<standin::Registry> registry;
-    std::unique_ptr<governor::Service> service;
+    std::unique_ptr<testbed::Registry> registry;
+    std::unique_ptr<xds_server::XdsServer> service;
 };
 
 // One forwarder's stream, driven by hand.
--- a/tests/record/record_test.cpp
+++ b/tests/record/record_test.cpp
@@ -12,9 +12,9 @@
 #include <sstream>
 
 #include "folder.h"
-#include "record/reader.h"
+#include "recording/reader.h"
 
-namespace badgergrade::record {
+namespace badgergrade::recording {
 namespace {
 
 using namespace std::chrono_literals;
@@ -365,4 +365,4 @@
 }
 
 }  // namespace
-}  // namespace badgergrade::record
+}  // namespace badgergrade::recording
