--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -1,5 +1,5 @@
-// Plays scenario files (docs in tests/README.md) against one Governor, or wire text against the
-// adapter's host.
+// Plays scenario files (docs in tests/README.md) against one policy::Planner, or wire text against
+// the adapter's host.
 #undef NDEBUG
 #include <cassert>
 #include <cmath>
@@ -46,62 +46,63 @@
 // What the orders so far have made of tables, bindings and levels.
 struct World {
     std::map<int, std::map<std::uint32_t, double>> tables;
-    std::map<int, std::map<OpMask, int>> bound;
-    std::map<std::pair<int, OpMask>, act::Level> levels;
+    std::map<int, std::map<OperationMask, int>> bound;
+    std::map<std::pair<int, OperationMask>, command::SetAdmission> levels;
     std::map<std::string, int> counts;
     std::map<std::uint32_t, ServerState> listed;
     std::string logs;
 
-    void operator()(const act::Timer&) {}
+    void operator()(const command::SetTimer&) {}
 
-    void operator()(const act::Log& a) { logs += a.text + "\n"; }
+    void operator()(const command::LogMessage& a) { logs += a.text + "\n"; }
 
-    void operator()(const act::Watch&) { ++counts["watch"]; }
+    void operator()(const command::WatchEndpoints&) { ++counts["watch"]; }
 
-    void operator()(const act::Fetch&) { ++counts["fetch"]; }
+    void operator()(const command::FetchEndpoints&) { ++counts["fetch"]; }
 
-    void operator()(const act::Probe& a) {
+    void operator()(const command::CheckHealth& a) {
         ++counts["probe"];
-        CHECK(listed.contains(a.server.v));
+        CHECK(listed.contains(a.server.value));
     }
 
-    void operator()(const act::Tell&) { ++counts["tell"]; }
+    void operator()(const command::SendGossip&) { ++counts["tell"]; }
 
-    void operator()(const act::Line& a) {
+    void operator()(const command::SetWeight& a) {
         ++counts["line"];
-        CHECK(a.table.v >= 0 && a.table.v < 65535 && a.weight >= 0 && std::isfinite(a.weight));
-        CHECK(listed.contains(a.server.v));
+        CHECK(a.table.value >= 0 && a.table.value < 65535 && a.weight >= 0 &&
+              std::isfinite(a.weight));
+        CHECK(listed.contains(a.server.value));
         if (a.weight > 0) {
-            tables[a.table.v][a.server.v] = a.weight;
+            tables[a.table.value][a.server.value] = a.weight;
         } else {
-            tables[a.table.v].erase(a.server.v);
+            tables[a.table.value].erase(a.server.value);
         }
     }
 
-    void operator()(const act::Clear& a) { tables.erase(a.table.v); }
+    void operator()(const command::ClearTable& a) { tables.erase(a.table.value); }
 
-    void operator()(const act::Bind& a) {
+    void operator()(const command::AssignTable& a) {
         ++counts["bind"];
-        CHECK(bound.contains(a.proxy.v));
-        if (a.ops == 0) {
-            bound[a.proxy.v].clear();
+        CHECK(bound.contains(a.proxy.value));
+        if (a.operations == 0) {
+            bound[a.proxy.value].clear();
         }
-        bound[a.proxy.v][a.ops] = a.table.v;
+        bound[a.proxy.value][a.operations] = a.table.value;
     }
 
-    void operator()(const act::Withdraw&) { ++counts["withdraw"]; }
+    void operator()(const command::SetEjected&) { ++counts["withdraw"]; }
 
-    void operator()(const act::Level& a) {
+    void operator()(const command::SetAdmission& a) {
         ++counts["level"];
-        CHECK(a.let_in >= 0);
-        for (OpMask bit = 1; bit < 64; bit <<= 1) {
-            if (a.ops == 0 || (a.ops & bit)) {
-                levels[{a.table.v, bit}] = a;
+        CHECK(a.limit >= 0);
+        for (OperationMask bit = 1; bit < 64; bit <<= 1) {
+            if (a.operations == 0 || (a.operations & bit)) {
+                levels[{a.table.value, bit}] = a;
             }
         }
     }
 
-    void operator()(const act::Mark&) { ++counts["mark"]; }
+    void operator()(const command::RequestAck&) { ++counts["mark"]; }
 };
 
 class Player {
@@ -185,27 +186,31 @@
 private:
     void site(const Words& w) {
         static const std::map<std::string, double Settings::*> reals = {
-            {"rate", &Settings::channel_rate},
-            {"head", &Settings::head_lines},
-            {"lines", &Settings::lines_most},
-            {"from", &Settings::cold_from},
-            {"fall", &Settings::fall_multiple}};
+            {"rate", &Settings::channel_lines_per_second},
+            {"head", &Settings::message_head_lines},
+            {"lines", &Settings::max_queued_lines},
+            {"from", &Settings::initial_capacity_fraction},
+            {"fall", &Settings::overload_collapse_factor}};
         static const std::map<std::string, int Settings::*> wholes = {
-            {"zones", &Settings::zones},
-            {"proxies", &Settings::proxies},
-            {"slices", &Settings::slices},
-            {"messages", &Settings::messages_most},
-            {"governors", &Settings::governors}};
+            {"zones", &Settings::zone_count},
+            {"proxies", &Settings::proxy_count},
+            {"slices", &Settings::shard_count},
+            {"messages", &Settings::max_messages},
+            {"governors", &Settings::instance_count}};
         static const std::map<std::string, bool Settings::*> truths = {
-            {"ask", &Settings::ask_for_list},
-            {"exclusive", &Settings::exclusive},
-            {"probe", &Settings::may_probe},
-            {"stay", &Settings::gone_may_stay}};
+            {"ask", &Settings::endpoints_on_request},
+            {"exclusive", &Settings::exclusive_shards},
+            {"probe", &Settings::health_checks_allowed},
+            {"stay", &Settings::vanished_may_stay}};
         static const std::map<std::string, Micros Settings::*> times = {
-            {"cold", &Settings::cold_time},       {"grace", &Settings::grace},
-            {"settle", &Settings::settle},        {"window", &Settings::messages_window},
-            {"falltime", &Settings::fall_time},   {"bare", &Settings::bare_most},
-            {"period", &Settings::report_period}, {"idle", &Settings::connection_idle}};
+            {"cold", &Settings::slow_start_window},
+            {"grace", &Settings::drain_grace},
+            {"settle", &Settings::shard_settle_time},
+            {"window", &Settings::message_window},
+            {"falltime", &Settings::overload_collapse_time},
+            {"bare", &Settings::max_time_without_server},
+            {"period", &Settings::report_interval},
+            {"idle", &Settings::connection_idle_timeout}};
         for (std::size_t k = 1; k < w.size(); ++k) {
             const auto pair = split(w[k], '=');
             if (reals.contains(pair[0])) {
@@ -217,13 +222,14 @@
             } else if (times.contains(pair[0])) {
                 told_.*times.at(pair[0]) = secs(pair[1]);
             } else if (pair[0] == "admit") {
-                told_.admit = pair[1] == "share"  ? Admit::Share
-                              : pair[1] == "rate" ? Admit::Rate
-                                                  : Admit::None;
+                told_.admission_mode = pair[1] == "share"  ? AdmissionMode::Fraction
+                                       : pair[1] == "rate" ? AdmissionMode::Rate
+                                                           : AdmissionMode::None;
             } else if (pair[0] == "listed") {
-                told_.listed = pair[1] == "none" ? Listed::None : Listed::Nominal;
+                told_.listed_weights =
+                    pair[1] == "none" ? ListedWeights::None : ListedWeights::Nominal;
             } else if (pair[0] == "reports") {
-                told_.load_columns = {pair[1]};
+                told_.load_metric_names = {pair[1]};
             } else {
                 CHECK(!"a known setting");
             }
@@ -238,10 +244,10 @@
                                               : Effect::SideEffecting;
         op.latency_objective = secs(w[3]);
         op.integration_timeout = secs(w[4]);
-        op.billed_value = std::stod(w[5]);
+        op.priority_weight = std::stod(w[5]);
         for (std::size_t k = 6; k < w.size(); ++k) {
             if (w[k] == "own-zone") {
-                op.own_zone = true;
+                op.local_only = true;
             }
             if (w[k] == "cell") {
                 op.scope = Scope::Cell;
@@ -254,7 +260,7 @@
     }
 
     void up(const std::string& seed) {
-        governor_ = std::make_unique<Governor>(told_, std::stoull(seed), now_);
+        governor_ = std::make_unique<policy::Planner>(told_, std::stoull(seed), now_);
         world_.tables.clear();
         world_.bound.clear();
         timers_.clear();
@@ -264,24 +270,24 @@
     // Servers: number:zone[:weight[:state[:age]]]; age in seconds, counted from now; absent is long
     // ago.
     void list(const Words& w) {
-        ev::List out{ListForm::Full, {}};
-        if (out.form == ListForm::Full && w[1] != "delta" && w[1] != "failed") {
+        event::EndpointListUpdate out{UpdateKind::Snapshot, {}};
+        if (out.kind == UpdateKind::Snapshot && w[1] != "delta" && w[1] != "failed") {
             for (auto& [server, state] : world_.listed) {
                 state = ServerState::Gone;
             }
         }
         if (w[1] == "failed") {
-            out.form = ListForm::Failed;
+            out.kind = UpdateKind::WatchFailed;
         }
         if (w[1] == "delta") {
-            out.form = ListForm::Delta;
+            out.kind = UpdateKind::Delta;
         }
         if (w[1] == "cached") {
-            out.form = ListForm::Cached;
+            out.kind = UpdateKind::Cached;
         }
         for (std::size_t k = 2; k < w.size(); ++k) {
             const auto f = split(w[k], ':');
-            ServerRow row;
+            Endpoint row;
             row.server = {static_cast<std::uint32_t>(std::stoul(f[0]))};
             row.zone = {std::stoi(f[1])};
             if (f.size() > 2) {
@@ -294,10 +300,10 @@
                 row.state = ServerState::Gone;
             }
             if (f.size() > 4) {
-                row.started = now_ - secs(f[4]);
+                row.started_at = now_ - secs(f[4]);
             }
-            world_.listed[row.server.v] = row.state;
-            out.rows.push_back(row);
+            world_.listed[row.server.value] = row.state;
+            out.endpoints.push_back(row);
         }
         governor_->take(now_, out);
     }
@@ -311,47 +317,49 @@
         };
         if (w[0] == "join") {
             world_.bound[number(1)].clear();
-            governor_->take(now_, ev::Joined{{number(1)}, true, {number(2)}, std::stod(w.at(3))});
+            governor_->take(
+                now_, event::ProxyConnected{{number(1)}, true, {number(2)}, std::stod(w.at(3))});
         } else if (w[0] == "leave") {
             world_.bound.erase(number(1));
-            governor_->take(now_, ev::Left{{number(1)}});
+            governor_->take(now_, event::ProxyDisconnected{{number(1)}});
         } else if (w[0] == "heard") {
             std::vector<double> load;
             if (w.size() > 6) {
                 load.push_back(std::stod(w[6]));
             }
-            governor_->take(now_, ev::Heard{{number(1)},
-                                            {static_cast<std::uint32_t>(std::stoul(w[2]))},
-                                            number(3),
-                                            number(4),
-                                            secs(w.at(5)),
-                                            Micros{1000000},
-                                            load});
-        } else if (w[0] == "demand") {
             governor_->take(now_,
-                            ev::Demand{{number(1)}, {number(2)}, number(3), 0, secs(w.at(4))});
+                            event::ServerLoadReport{{number(1)},
+                                                    {static_cast<std::uint32_t>(std::stoul(w[2]))},
+                                                    number(3),
+                                                    number(4),
+                                                    secs(w.at(5)),
+                                                    Micros{1000000},
+                                                    load});
+        } else if (w[0] == "demand") {
+            governor_->take(now_, event::ProxyDemandReport{
+                                      {number(1)}, {number(2)}, number(3), 0, secs(w.at(4))});
         } else if (w[0] == "ack") {
-            governor_->take(now_, ev::Applied{{number(1)}, {number(2)}, {}});
+            governor_->take(now_, event::ConfigAcknowledged{{number(1)}, {number(2)}, {}});
         } else if (w[0] == "due") {
-            governor_->take(now_, ev::Timer{w.at(1)});
+            governor_->take(now_, event::TimerFired{w.at(1)});
         } else if (w[0] == "slice") {
-            governor_->take(now_, ev::SliceGiven{{number(1)}, w.at(2) == "given"});
+            governor_->take(now_, event::ShardAssignmentChanged{{number(1)}, w.at(2) == "given"});
         } else if (w[0] == "stored") {
-            governor_->take(
-                now_,
-                ev::SliceLine{{number(1)}, {static_cast<std::uint32_t>(std::stoul(w[2]))}, 1});
+            governor_->take(now_,
+                            event::ShardReplica{
+                                {number(1)}, {static_cast<std::uint32_t>(std::stoul(w[2]))}, 1});
         } else {
             CHECK(!"a known word");
         }
     }
 
     void decide() {
-        for (const Action& action : governor_->decide(now_)) {
-            if (const auto* timer = std::get_if<act::Timer>(&action)) {
+        for (const Command& action : governor_->decide(now_)) {
+            if (const auto* timer = std::get_if<command::SetTimer>(&action)) {
                 timers_.emplace(now_ + timer->delay, timer->token);
             }
-            if (const auto* m = std::get_if<act::Mark>(&action); m && acks_) {
-                marks_.emplace(now_ + Micros{200000}, m->mark);
+            if (const auto* m = std::get_if<command::RequestAck>(&action); m && acks_) {
+                marks_.emplace(now_ + Micros{200000}, m->version);
             }
             std::visit(world_, action);
         }
@@ -380,7 +388,8 @@
             now_ = at;
             while (!marks_.empty() && marks_.begin()->first <= now_) {
                 for (const auto& [proxy, bound] : world_.bound) {
-                    governor_->take(now_, ev::Applied{{proxy}, marks_.begin()->second, {}});
+                    governor_->take(now_,
+                                    event::ConfigAcknowledged{{proxy}, marks_.begin()->second, {}});
                 }
                 marks_.erase(marks_.begin());
             }
@@ -389,7 +398,7 @@
                     event_each({s.begin() + 1, s.end()});
                 }
             }
-            governor_->take(now_, ev::Timer{token});
+            governor_->take(now_, event::TimerFired{token});
             decide();
         }
         now_ = to;
@@ -446,7 +455,7 @@
             CHECK(w[3] == "most" ? n <= most : w[3] == "least" ? n >= most : n == most);
         } else if (w[1] == "level") {
             const auto it = world_.levels.find({std::stoi(w[2]), std::stoull(w[3])});
-            const double let_in = it != world_.levels.end() ? it->second.let_in : 1;
+            const double let_in = it != world_.levels.end() ? it->second.limit : 1;
             if ((w[4] == "under") != (let_in < std::stod(w[5]))) {
                 std::fprintf(stderr, "level %g\n", let_in);
             }
@@ -454,7 +463,7 @@
         } else if (w[1] == "again") {
             for (const auto& [key, level] : world_.levels) {
                 if (key.second == std::stoull(w[2])) {
-                    CHECK(static_cast<int>(level.again) == std::stoi(w[3]));
+                    CHECK(static_cast<int>(level.retry_mode) == std::stoi(w[3]));
                 }
             }
         } else if (w[1] == "log") {
@@ -472,12 +481,12 @@
     }
 
     Settings told_;
-    std::unique_ptr<Governor> governor_;
+    std::unique_ptr<policy::Planner> governor_;
     World world_;
     const Micros start_{1000000000};
     Micros now_ = start_;
     std::multimap<Micros, std::string> timers_;
-    std::multimap<Micros, MarkId> marks_;
+    std::multimap<Micros, ConfigVersion> marks_;
     std::vector<Words> standing_;
     bool acks_ = true, may_bare_ = false;
 };
