--- a/src/net/grpc.cpp
+++ b/src/net/grpc.cpp
@@ -268,7 +268,7 @@
                                            {":authority", "governor"},
                                            {"te", "trailers"},
                                            {"content-type", "application/grpc"}});
-    const auto call = std::make_shared<GrpcCall>(*this, id, path, limits_.message_bytes);
+    auto call = std::make_shared<GrpcCall>(*this, id, path, limits_.message_bytes);
     if (id > 0) {
         calls_[id] = call;
     }
--- a/src/net/http1.cpp
+++ b/src/net/http1.cpp
@@ -39,7 +39,7 @@
     if (!error_.empty()) {
         return false;
     }
-    static const http_parser_settings settings = [] {
+    static const http_parser_settings kSettings = [] {
         http_parser_settings s;
         http_parser_settings_init(&s);
         s.on_message_begin = message_begin;
--- a/src/net/http2.cpp
+++ b/src/net/http2.cpp
@@ -3,7 +3,6 @@
 #include <nghttp2/nghttp2.h>
 
 #include <algorithm>
-#include <cstring>
 
 namespace badgergrade::net {
 
@@ -75,7 +74,6 @@
                 }
                 return 0;
             case NGHTTP2_PING:
-                return self.idle(!(frame->hd.flags & NGHTTP2_FLAG_ACK));
             case NGHTTP2_SETTINGS:
                 return self.idle(!(frame->hd.flags & NGHTTP2_FLAG_ACK));
             case NGHTTP2_RST_STREAM:
@@ -125,7 +123,7 @@
         while (done < size && !out.parts.empty()) {
             const std::string& part = out.parts.front().bytes();
             const std::size_t n = std::min(size - done, part.size() - out.offset);
-            std::memcpy(to + done, part.data() + out.offset, n);
+            std::copy_n(part.data() + out.offset, n, to + done);
             done += n;
             out.offset += n;
             self.queued_ -= n;
--- a/src/net/network.h
+++ b/src/net/network.h
@@ -40,8 +40,6 @@
 Address parse_address(std::string_view text);
 std::string to_text(const Address& address);
 
-class RealClock;
-
 class Loop {
 public:
     // Real time, or time that runs so many times faster.
--- a/src/replay/trial.cpp
+++ b/src/replay/trial.cpp
@@ -19,15 +19,15 @@
 // A place's own (where it listens, how it logs) says nothing in a replay and is passed over; a fact
 // of the day can't be changed after it.
 Whose whose(const std::string& section, const std::string& key) {
-    static const std::set<std::string> places{"governor.id", "governor.zone",    "governor.ordinal",
-                                              "xds.listen",  "registry.address", "log.level",
-                                              "log.form",    "forwarders.count"};
-    static const std::set<std::string> facts{"governor.zones", "governor.governors"};
+    static const std::set<std::string> kPlaces{
+        "governor.id",      "governor.zone", "governor.ordinal", "xds.listen",
+        "registry.address", "log.level",     "log.form",         "forwarders.count"};
+    static const std::set<std::string> kFacts{"governor.zones", "governor.governors"};
     const std::string name = section + "." + key;
-    if (places.contains(name)) {
+    if (kPlaces.contains(name)) {
         return Whose::Place;
     }
-    return facts.contains(name) || section.rfind("operation.", 0) == 0 ? Whose::Day : Whose::User;
+    return kFacts.contains(name) || section.rfind("operation.", 0) == 0 ? Whose::Day : Whose::User;
 }
 
 std::string squeezed(const std::string& text) {
@@ -265,7 +265,7 @@
     for (const auto& [name, value] : sets) {
         const auto dot = name.rfind('.');
         reader.set("--set", 0, name.substr(0, dot), name.substr(dot + 1), value);
-        out.name += (out.name.empty() ? "" : ", ") + name + " = " + value;
+        out.name.append(out.name.empty() ? "" : ", ").append(name).append(" = ").append(value);
     }
     if (out.name.empty()) {
         out.name = "as recorded";
--- a/src/scenario/runner.cpp
+++ b/src/scenario/runner.cpp
@@ -161,8 +161,8 @@
     }
     out << "\n";
     for (const RuleBreak& b : run.breaks) {
-        out << "  BROKEN " << b.rule << " at "
-            << static_cast<double>((b.when.count() / 1000) - kBegin * 1000) / 1000
+        const std::int64_t milliseconds = b.when.count() / 1000 - kBegin * 1000;
+        out << "  BROKEN " << b.rule << " at " << static_cast<double>(milliseconds) / 1000
             << " s: " << b.parties << ": " << b.what << "\n";
     }
     out.precision(2);
--- a/src/scenario/script.cpp
+++ b/src/scenario/script.cpp
@@ -72,8 +72,8 @@
     bool empty() const { return at_ >= words_.size(); }
 
     const std::string& peek() const {
-        static const std::string none;
-        return empty() ? none : words_[at_];
+        static const std::string kNone;
+        return empty() ? kNone : words_[at_];
     }
 
     std::string word(const char* what) {
--- a/src/scenario/weather.cpp
+++ b/src/scenario/weather.cpp
@@ -21,9 +21,9 @@
       luck_(base::seed_for(seed, "weather")) {}
 
 const std::string& DayWeather::zone(const std::string& host) const {
-    static const std::string none;
+    static const std::string kNone;
     const auto it = zones_.find(host);
-    return it == zones_.end() ? none : it->second;
+    return it == zones_.end() ? kNone : it->second;
 }
 
 base::CounterRandom DayWeather::luck(const char* what, const std::string& from,
--- a/src/testbed/forwarder.cpp
+++ b/src/testbed/forwarder.cpp
@@ -401,7 +401,8 @@
     const auto draw = [&] {
         double at = luck.part() * sum;
         for (const auto* line : from) {
-            if ((at -= line->weight) < 0) {
+            at -= line->weight;
+            if (at < 0) {
                 return line;
             }
         }
--- a/src/testbed/worker.cpp
+++ b/src/testbed/worker.cpp
@@ -238,7 +238,7 @@
         std::max(1.0, static_cast<double>((now - busy_since_).count()) * settings_.cores);
     const double cpu = std::min(1.0, busy_us_ / span) * trouble.counters;
     const auto two = [](double v) {
-        return std::to_string(std::llround(v * 100) / 100.0).substr(0, 4);
+        return std::to_string(static_cast<double>(std::llround(v * 100)) / 100.0).substr(0, 4);
     };
     report_ = "cpu=" + two(cpu) + ",active=" + std::to_string(running_) + ",waiting=" +
               std::to_string(std::llround(static_cast<double>(queue_.size()) * trouble.counters));
--- a/tests/program/child.h
+++ b/tests/program/child.h
@@ -105,8 +105,7 @@
 };
 
 inline std::string temporary(const std::string& name, const std::string& text) {
-    const std::string path =
-        testing::TempDir() + "badgergrade-" + std::to_string(getpid()) + "-" + name;
+    std::string path = testing::TempDir() + "badgergrade-" + std::to_string(getpid()) + "-" + name;
     std::ofstream(path) << text;
     return path;
 }
--- a/tests/program/day_test.cpp
+++ b/tests/program/day_test.cpp
@@ -146,7 +146,7 @@
 class Audit : public testing::TestWithParam<int> {};
 
 const Broken& broken(int k) {
-    static const Broken all[] = {
+    static const Broken kAll[] = {
         {"drain", "at 5 s crash workers 40% for 12 s\n", deaf_to_removals},
         {"bare", "", leaves_bare},
         {"cold", "at 4 s crash worker-000 for 3 s\n", rushes_cold},
@@ -155,7 +155,7 @@
          "at 4 s hang workers 30% for 10 s\nat 4 s answers-lost workers 60% by 60% for 12 s\n",
          repeats_orders},
     };
-    return all[k];
+    return kAll[k];
 }
 
 TEST_P(Audit, CatchesWhatBreaksTheRule) {
