--- a/tests/program/day_test.cpp
+++ b/tests/program/day_test.cpp
@@ -55,6 +55,8 @@
     return out;
 }
 
+// Servers crash, streams break and an instance restarts. The same seed must give the same figures
+// to the byte, another seed others.
 TEST(Day, IsTheSameToTheByteForOneSeedAndAnotherForAnother) {
     auto day = script(
         "at 5 s crash workers 25% for 5 s\nat 8 s streams-break forwarders 50%\nat 10 s "
@@ -67,6 +69,8 @@
     EXPECT_NE(scenario::run_day(day, {}).result.dump(), first);
 }
 
+// Half of the servers crash and two hang. Each invocation must still end in exactly one result, and
+// no effect may happen twice.
 TEST(Day, EveryInvocationHasOneResult) {
     const auto run = scenario::run_day(
         script("at 5 s crash workers 50% for 5 s\nat 7 s hang workers 2 for 5 s\n"), {});
@@ -158,6 +162,8 @@
     return all[k];
 }
 
+// An instance or its proxies are made to break one of the five rules. The auditor must name that
+// rule, and must find nothing on the same day without the defect.
 TEST_P(Audit, CatchesWhatBreaksTheRule) {
     const Broken& what = broken(GetParam());
     const auto day = script(what.troubles);
@@ -181,6 +187,8 @@
     const char* says;
 };
 
+// A script has one mistake in its last line. The message must name the file and line, and what is
+// wrong.
 TEST(Script, TellsEachMistakeWithItsLine) {
     const ScriptMistake mistakes[] = {
         {"at 5 s crsh workers 25%", "did you mean crash?"},
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -76,6 +76,8 @@
     return mistakes.empty() ? std::string{} : config::to_text(mistakes.front());
 }
 
+// A day is recorded and played again under its own settings. Figures, rules and decisions must be
+// the same, each time.
 TEST(Replay, ADayPlayedAgainUnderItsOwnSettingsIsTheSameToTheByte) {
     const Folder folder;
     const auto script = short_day();
@@ -99,6 +101,7 @@
     }
 }
 
+// A day with every kind of fault is recorded and played again. Each fault must act as it did.
 TEST(Replay, EveryKindOfTroubleComesBackAsItWas) {
     const Folder folder;
     std::vector<config::Mistake> mistakes;
@@ -112,6 +115,8 @@
     EXPECT_EQ(again.run.result["figures"].dump(), lived.result["figures"].dump());
 }
 
+// A recording is played with another seed. The random draws must differ; invocations and starts of
+// servers must not.
 TEST(Replay, AnotherSeedIsAnotherLuckInTheSameWorld) {
     const Folder folder;
     record(short_day(), folder.file("day"));
@@ -159,6 +164,8 @@
     EXPECT_EQ(json["changed"].size(), 2u);
 }
 
+// Two runs differ in their second decision. The first difference must be found there, and not be
+// taken for an event.
 TEST(Replay, PartingIsTheFirstStepThatDiffersAndTellsDecisionsFromWhatWasHeard) {
     const auto step = [](int at, bool decision, const char* text) {
         return Trail::Step{Micros(at), "g", decision, text};
@@ -178,6 +185,8 @@
     EXPECT_EQ(first_parting(a, b, true)->at(), Micros(4));
 }
 
+// Only four seconds of a day are counted. They must hold the same invocations and figures as in the
+// whole day; a span that ends before it begins or after the day is refused.
 TEST(Replay, ASpanCountsWhatCameInItAndIsAsTheDayWasWithTheWholeLead) {
     const Folder folder;
     const auto lived = record(short_day(), folder.file("day"));
@@ -207,6 +216,8 @@
     EXPECT_THROW(play(day, trial(day, {}), span), std::runtime_error);
 }
 
+// A replay is asked for with settings that contradict the recorded day. Each must be refused before
+// the run, with a message.
 TEST(Replay, SettingsThatMakeNoSenseForTheDayAreRefused) {
     const Folder folder;
     record(short_day(), folder.file("day"));
@@ -312,6 +323,8 @@
     recording::Writer writer;
 };
 
+// Invocations of a hand-made day are retried, late, rate-limited or served. The figures must count
+// each once, from its first attempt, at its billed value.
 TEST(Replay, RetriesCountWithTheirFirstTryAndPlaceJobsThreefold) {
     const Folder folder;
 
@@ -350,6 +363,8 @@
     EXPECT_NEAR(day.figures["by_operation"]["look"]["service"].get<double>(), 0.4, 1e-6);
 }
 
+// The clock went back by two seconds in the middle of a recording. Records must keep their order,
+// and the jump must be reported as damage.
 TEST(Replay, AClockThatWentBackWhileRecordingDoesNotTurnTheDayAround) {
     const Folder folder;
     {
@@ -370,6 +385,8 @@
     EXPECT_EQ(came, (std::vector<Micros>{1s, 4s, 4s, 5s}));
 }
 
+// A recording was cut off, or has one flipped bit. What is whole must be played, without a crash,
+// whichever block is lost.
 TEST(Replay, ACutDayIsPlayedToTheCutAndADamagedOneWithoutItsBlock) {
     const Folder folder;
     recording::WriterOptions how;
@@ -422,6 +439,8 @@
     return out;
 }
 
+// Two instances recorded one day with clocks 3.7 s apart, and one of them restarted. The merged day
+// must align the clocks and come near the real day in invocations, starts and service.
 TEST(Merge, TwoGovernorsWithClocksApartMakeOneDayNearTheLivedOne) {
     const Folder folder;
     const auto script = short_day("governors 2\nset registry wait 500 ms\n");
@@ -458,6 +477,8 @@
     EXPECT_EQ(play(day, trial(day, {}), {}).run.result.dump(), played.run.result.dump());
 }
 
+// Two instances received the same lists at different clock times. The offset must come from the
+// lists that agree in order, and not from one that merely looks alike.
 TEST(Merge, ClocksAreAlignedByWhatBothHeardInOneOrder) {
     const std::vector<HeardList> base{
         {1s, "a", {}}, {2s, "ab", {}}, {3s, "a", {}}, {9s, "abc", {}}};
@@ -483,6 +504,8 @@
               33s);
 }
 
+// Recordings of a whole day, of another fleet, or without records are given to merge. Each must be
+// refused.
 TEST(Merge, RefusesWhatBelongsToOtherFleetsOrHoldsNothing) {
     const Folder folder;
     const auto script = short_day();
--- a/tests/record/record_test.cpp
+++ b/tests/record/record_test.cpp
@@ -146,6 +146,8 @@
     return out;
 }
 
+// Recordings of many lengths are written and read back. All records must come back in order, by the
+// index and by a scan.
 TEST(Record, WhatIsWrittenIsRead) {
     const Folder folder;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -164,6 +166,8 @@
     }
 }
 
+// The process dies or the disk fills up in the middle of a write: the file is cut at every possible
+// byte. All whole blocks before the cut must be read, and the damage be reported.
 TEST(Record, CutAtEveryByteIsGoodToItsLastWholeBlock) {
     const Folder folder;
     Writer writer(file_sink(folder.file("whole")), header(), small_blocks());
@@ -194,6 +198,8 @@
     }
 }
 
+// One byte of the file is flipped, each in turn. At most the block with that byte may be lost, and
+// the damage must name its place.
 TEST(Record, AFlippedByteCostsItsBlockAloneAndIsNamed) {
     const Folder folder;
     Writer writer(file_sink(folder.file("whole")), header(), small_blocks());
@@ -222,6 +228,8 @@
     }
 }
 
+// A file has an unknown format, is no recording, or is missing: it must be refused. A record of an
+// unknown kind must be skipped.
 TEST(Record, OtherFormatsAreRefusedAndUnknownRecordsSkipped) {
     const Folder folder;
     for (const std::uint32_t format : {0u, kFormat + 1}) {
@@ -267,6 +275,8 @@
     int writes_ = 0;
 };
 
+// The disk stands still while records come. Whole blocks are lost, the loop never waits, and the
+// file must tell how many records are missing.
 TEST(Record, ASlowDiskLosesWholeBlocksAndTheFileTellsHowMany) {
     const Folder folder;
     std::promise<void> go;
@@ -298,6 +308,7 @@
     EXPECT_EQ(lost, figures.lost);
 }
 
+// The disk is slow and the writer may wait for it. No record may be lost.
 TEST(Record, AWriterThatMayWaitLosesNothingOnASlowDisk) {
     const Folder folder;
     std::promise<void> go;
@@ -331,6 +342,8 @@
     int writes_ = 0;
 };
 
+// The disk is full after a few writes. The recording must end with the reason, and every record be
+// counted as written or lost.
 TEST(Record, AFullDiskEndsTheRecordingAndCountsWhatIsLost) {
     WriterOptions options;
     options.block_bytes = 100;
@@ -346,6 +359,7 @@
     EXPECT_EQ(figures.blocks, 2u);
 }
 
+// The clock goes back while a block is open. A search by time must still find the block.
 TEST(Record, AClockThatGoesBackKeepsItsBlocksFindable) {
     const Folder folder;
     Writer writer(file_sink(folder.file("back")), header(), small_blocks());
