--- a/src/net/http1.cpp
+++ b/src/net/http1.cpp
@@ -51,7 +51,7 @@
         s.on_message_complete = message_complete;
         return s;
     }();
-    const std::size_t took = http_parser_execute(&parser_, &settings, bytes.data(), bytes.size());
+    const std::size_t took = http_parser_execute(&parser_, &kSettings, bytes.data(), bytes.size());
     const auto code = HTTP_PARSER_ERRNO(&parser_);
     if (parser_.upgrade) {
         error_ = "an upgrade to another protocol is not offered";
