--- a/src/platform/server_ids.cpp
+++ b/src/platform/server_ids.cpp
@@ -115,9 +115,9 @@
 }
 
 const std::string& ServerIds::text_id(ServerId server) const {
-    static const std::string unknown;
+    static const std::string kUnknownServer;
     const auto it = text_ids_.find(server);
-    return it == text_ids_.end() ? unknown : it->second;
+    return it == text_ids_.end() ? kUnknownServer : it->second;
 }
 
 void ServerIds::release_unused(Micros now, const std::function<bool(ServerId)>& is_in_use) {
--- a/src/platform_server/connection_table.cpp
+++ b/src/platform_server/connection_table.cpp
@@ -66,7 +66,7 @@
 }
 
 // Failure guarded against: silent connections take all descriptors, and a proxy that wants to join
-// is refused. Whoever only holds a place loses it to a newcomer, the oldest first.
+// is refused. Rejected and unidentified connections are ended for new ones, the oldest first.
 void ConnectionTable::evict_unidentified() {
     while (connections_.size() >= max_connections_) {
         if (!rejected_.empty()) {
--- a/tests/program/node_moments_test.cpp
+++ b/tests/program/node_moments_test.cpp
@@ -75,7 +75,7 @@
     }
     stage.run(0ms);
     ASSERT_EQ(stage.server->statistics().connections, 28u);
-    // The newcomer is in the queue of the listener before the others have said a word: it is
+    // The new connection is in the queue of the listener before the others have sent a byte: it is
     // accepted first.
     for (int k = 0; k < 5; ++k) {
         later.emplace_back(stage.server->address());
@@ -184,9 +184,9 @@
     EXPECT_EQ(first, second);
     const auto at = first.find("stamp ");
     ASSERT_NE(at, std::string::npos) << first;
-    const std::string mark = first.substr(at + 6, first.find('\n', at) - at - 6);
-    one.say({"ACK", "proxy", "1", "mark", mark, "took_ms", "3"});
-    two.say({"ACK", "proxy", "3", "mark", mark, "took_ms", "3"});
+    const std::string version = first.substr(at + 6, first.find('\n', at) - at - 6);
+    one.say({"ACK", "proxy", "1", "mark", version, "took_ms", "3"});
+    two.say({"ACK", "proxy", "3", "mark", version, "took_ms", "3"});
     stage.run(5ms);
     EXPECT_EQ(stage.server->statistics().acknowledged, 2);
     EXPECT_EQ(stage.server->statistics().invalid_messages, 0);
--- a/tests/program/node_test.cpp
+++ b/tests/program/node_test.cpp
@@ -151,8 +151,8 @@
     stage.run(300ms);
     const auto before = stage.server->statistics();
     EXPECT_GT(before.updates_sent, 0);
-    const std::string mark = first_version(*proxy);
-    ASSERT_NE(mark, "");
+    const std::string version = first_version(*proxy);
+    ASSERT_NE(version, "");
     for (const char* words :
          {"ACK proxy 1 took_ms 3", "ACK proxy 2 mark 1 took_ms 3",
           "ACK proxy 1 mark 60000 took_ms 3",
@@ -162,7 +162,7 @@
         proxy->say(words);
     }
     proxy->send("*3\r\n$3\r\nACK\r\n:1\r\n$-1\r\n");
-    proxy->say("ACK proxy 1 mark " + mark + " took_ms 10");
+    proxy->say("ACK proxy 1 mark " + version + " took_ms 10");
     collector->say("LOAD zone north server nobody tries 1 failed 0 mean_ms 1 span_ms 100");
     collector->say("LOAD zone south server s-a tries 1 failed 0 mean_ms 1 span_ms 100");
     collector->say("RATE proxy 1 class order tries 1 failed 0 span_ms 100");
@@ -185,10 +185,10 @@
     stage.start();
     auto old = stage.proxy(1);
     stage.run(300ms);
-    const std::string mark = first_version(*old);
-    ASSERT_NE(mark, "");
+    const std::string version = first_version(*old);
+    ASSERT_NE(version, "");
     auto fresh = stage.proxy(1, "north", "0");
-    fresh->say("ACK proxy 1 mark " + mark + " took_ms 10");
+    fresh->say("ACK proxy 1 mark " + version + " took_ms 10");
     stage.run(2ms);
     EXPECT_EQ(stage.server->statistics().acknowledged, 0);
 }
@@ -203,7 +203,7 @@
     stage.run(100ms);
     auto fresh = stage.proxy(1, "north", "0");
     stage.run(100ms);
-    EXPECT_NE(old->ended, "") << "closed by the governor";
+    EXPECT_NE(old->ended, "") << "closed by the instance";
     old.reset();
     stage.run(300ms);
     const auto statistics = stage.server->statistics();
@@ -484,7 +484,7 @@
 
 #ifndef __SANITIZE_ADDRESS__
     // The configuration was read into a buffer of the largest size: 16 MiB of the 32 MB that a
-    // small governor has.
+    // small instance has.
     EXPECT_LT(memory_kb(process.child->id(), "VmHWM:"), 20 * 1024);
 #endif
     process.child->signal(SIGTERM);
--- a/tests/program/raw_peer.h
+++ b/tests/program/raw_peer.h
@@ -1,5 +1,5 @@
-// Sockets driven by hand, outside the governor's loop: what is written here lies in the kernel at
-// once, whether or not the governor has had its turn. With them a bad order is made, not waited
+// Sockets driven by hand, outside the instance's loop: what is written here lies in the kernel at
+// once, whether or not the loop has run since. With them a rare order of events is made, not waited
 // for.
 #pragma once
 
@@ -148,7 +148,7 @@
     int fd_;
 };
 
-// A governor whose clock moves by hand and whose sockets are the kernel's: time can pass in which
+// An instance whose clock moves by hand and whose sockets are the kernel's: time can pass in which
 // it reads nothing.
 struct RawStage {
     explicit RawStage(int proxies = 4, int sockets = 256)
@@ -166,7 +166,7 @@
         run(base::Micros{0});
     }
 
-    // The governor has its turns all along: what is in the kernel is read at once.
+    // The loop runs all the time: what is in the kernel is read at once.
     void run(base::Micros time) {
         const base::Micros end = loop.clock().now() + time;
         do {
@@ -175,8 +175,8 @@
         loop.run_until(end);
     }
 
-    // For this long the governor does not come to its sockets: `meanwhile` happens at once and lies
-    // in the kernel while all that is due by the clock is done.
+    // For this long the instance does not read its sockets (it gets no processor): `meanwhile`
+    // happens at once and lies in the kernel while all that is due by the clock is done.
     void stall(base::Micros time, const std::function<void()>& meanwhile) {
         base::Timer first(loop.clock(), base::ActorId{0});
         const base::Micros begin = loop.clock().now();
