--- a/tests/program/node_moments_test.cpp
+++ b/tests/program/node_moments_test.cpp
@@ -29,6 +29,7 @@
     RawStage stage(300, 1024);
     stage.start();
     std::vector<RawSocket> proxies;
+    proxies.reserve(300);
     for (int k = 0; k < 300; ++k) {
         proxies.emplace_back(stage.server->address());
     }
@@ -70,6 +71,7 @@
     stage.start();
     std::vector<RawSocket> first;
     std::vector<RawSocket> later;
+    first.reserve(28);
     for (int k = 0; k < 28; ++k) {
         first.emplace_back(stage.server->address());
     }
@@ -77,6 +79,7 @@
     ASSERT_EQ(stage.server->statistics().connections, 28u);
     // The new connection is in the queue of the listener before the others have sent a byte: it is
     // accepted first.
+    later.reserve(5);
     for (int k = 0; k < 5; ++k) {
         later.emplace_back(stage.server->address());
     }
--- a/tests/program/node_test.cpp
+++ b/tests/program/node_test.cpp
@@ -119,6 +119,7 @@
     auto first = stage.proxy(0);
     stage.run(50ms);
     std::vector<std::unique_ptr<PlatformPeer>> silent;
+    silent.reserve(200);
     for (int k = 0; k < 200; ++k) {
         silent.push_back(stage.peer());
     }
@@ -221,6 +222,7 @@
     stage.start();
     for (int round = 0; round < 5; ++round) {
         std::vector<std::unique_ptr<PlatformPeer>> all;
+        all.reserve(4);
         for (int number = 0; number < 4; ++number) {
             all.push_back(stage.proxy(number, number % 2 ? "north" : "south", round ? "0" : "1"));
         }
@@ -268,6 +270,7 @@
     stage.config.protocol_names.proxy_count = stage.config.settings.proxy_count = 400;
     stage.start();
     std::vector<std::unique_ptr<PlatformPeer>> all;
+    all.reserve(400);
     for (int number = 0; number < 400; ++number) {
         all.push_back(stage.proxy(number, number % 2 ? "north" : "south"));
     }
--- a/tests/program/platform_stage.h
+++ b/tests/program/platform_stage.h
@@ -59,8 +59,7 @@
 class FakeDiscovery {
 public:
     explicit FakeDiscovery(net::Loop& loop)
-        : loop_(loop),
-          server_(loop, base::ActorId{3}, "discovery", net::Address{}, net::HttpLimits{}, 100),
+        : server_(loop, base::ActorId{3}, "discovery", net::Address{}, net::HttpLimits{}, 100),
           tick_(loop.clock(), base::ActorId{3}) {
         server_.on_request = [this](net::HttpExchangePtr exchange) {
             on_call(exchange);
@@ -134,7 +133,6 @@
         std::exchange(waiting_, nullptr)->answer(std::move(response));
     }
 
-    net::Loop& loop_;
     net::HttpServer server_;
     base::Timer tick_;
     std::vector<std::string> changes_;
