--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -116,7 +116,7 @@
             return;
         }
         touch();
-        it->second.take(now_, event);
+        it->second.on_event(now_, event);
     } catch (const Malformed&) {
         throw;
     } catch (const std::exception& wrong) {
--- /dev/null
+++ b/src/policy/demand_estimator.cpp
@@ -0,0 +1,136 @@
+#include "policy/demand_estimator.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace badgergrade::policy {
+
+double requested_rate(Micros now, const Proxy& proxy) {
+    double total = 0;
+    for (const auto& [operation, window] : proxy.demand) {
+        total += window.sum(now, kDemandBucketWidth).rate();
+    }
+    return total > 0 ? total : proxy.announced_rate;
+}
+
+// The first reports of a restarted proxy reach back over the time it was dead; taken whole, they
+// would make its zone seem to ask for far less, and cost the zone servers.
+void add_demand(Micros now, const event::ProxyDemandReport& report, Proxy& proxy) {
+    const Micros alive = std::max(now - proxy.process_started_at, kDemandBucketWidth);
+    DemandSample sample;
+    sample.invocations = static_cast<double>(report.attempts);
+    sample.interval_seconds = to_seconds(std::min(alive, report.interval));
+    proxy.demand[report.operation].bucket(now, kDemandBucketWidth) += sample;
+}
+
+std::vector<double> measure_demand_shares(Micros now, const FleetState& fleet, int proxy_count) {
+    std::vector<double> rates(static_cast<std::size_t>(fleet.zone_count), 0.0);
+    std::vector<double> heard(rates);
+    double heard_rate = 0;
+    double heard_count = 0;
+    for (const auto& [id, proxy] : fleet.proxies) {
+        if (!fleet.knows(proxy.zone)) {
+            continue;
+        }
+        const double rate = requested_rate(now, proxy);
+        rates[index_of(proxy.zone)] += rate;
+        heard_rate += rate;
+        heard[index_of(proxy.zone)] += 1;
+        heard_count += 1;
+    }
+    const double average_rate = heard_rate > 0 ? heard_rate / heard_count : 1;
+    const double unheard_count = std::max(0.0, proxy_count - heard_count);
+    const double even_count = static_cast<double>(proxy_count) / fleet.zone_count;
+    double missing_count = 0;
+    for (const double count : heard) {
+        missing_count += std::max(0.0, even_count - count);
+    }
+    double total = 0;
+    for (std::size_t zone = 0; zone < rates.size(); ++zone) {
+        if (missing_count > 0) {
+            const double missing_here = std::max(0.0, even_count - heard[zone]);
+            rates[zone] += average_rate * unheard_count * missing_here / missing_count;
+        }
+        total += rates[zone];
+    }
+    for (double& rate : rates) {
+        rate = total > 0 ? rate / total : 1.0 / fleet.zone_count;
+    }
+    return rates;
+}
+
+std::vector<double> reachable_demand(Micros now, const FleetState& fleet,
+                                     const std::vector<double>& shares,
+                                     const std::vector<ServerCapacity>& servers,
+                                     bool only_instance) {
+    std::vector<Micros> last_connected(shares.size(), Micros::min());
+    for (const auto& [id, proxy] : fleet.proxies) {
+        if (fleet.knows(proxy.zone)) {
+            Micros& last = last_connected[index_of(proxy.zone)];
+            last = std::max(last, proxy.connected ? now : proxy.disconnected_at);
+        }
+    }
+    std::vector<double> own_servers(shares.size(), 0.0);
+    double all_servers = 0;
+    for (const ServerCapacity& server : servers) {
+        if (fleet.knows(server.zone)) {
+            own_servers[index_of(server.zone)] += server.usable;
+            all_servers += server.usable;
+        }
+    }
+    std::vector<double> demand(shares);
+    double total = 0;
+    for (std::size_t zone = 0; zone < demand.size(); ++zone) {
+        const bool unreachable = only_instance && last_connected[zone] > Micros::min() &&
+                                 last_connected[zone] <= now - kRecomputeInterval;
+        if (unreachable && all_servers > 0) {
+            demand[zone] = std::min(demand[zone], own_servers[zone] / all_servers);
+        }
+        total += demand[zone];
+    }
+    for (double& share : demand) {
+        share = total > 0 ? share / total : 0;
+    }
+    return demand;
+}
+
+DemandEstimator::DemandEstimator(int zone_count, int proxy_count, Micros now)
+    : proxy_count_(proxy_count),
+      shares_(static_cast<std::size_t>(zone_count), 0.0),
+      next_recompute_(now + kRecomputeInterval) {}
+
+bool DemandEstimator::update(Micros now, const FleetState& fleet) {
+    if (rounds_ == 0) {
+        shares_ = measure(now, fleet);
+    }
+    if (now < next_recompute_) {
+        return false;
+    }
+    recompute(now, fleet);
+    return true;
+}
+
+void DemandEstimator::recompute(Micros now, const FleetState& fleet) {
+    const std::vector<double> measured = measure(now, fleet);
+    double ready = 0;
+    for (const auto& [id, server] : fleet.servers) {
+        ready += static_cast<double>(server.state == ServerState::Ready);
+    }
+    double servers_off = 0;
+    for (std::size_t zone = 0; zone < measured.size(); ++zone) {
+        servers_off = std::max(servers_off, std::abs(measured[zone] - shares_[zone]) * ready);
+    }
+    rounds_off_ = servers_off >= 1 ? rounds_off_ + 1 : 0;
+    if (rounds_off_ >= kHoldDownRounds || rounds_ == 0) {
+        adopt(measured);
+    }
+    ++rounds_;
+    next_recompute_ = now + kRecomputeInterval;
+}
+
+void DemandEstimator::adopt(const std::vector<double>& shares) {
+    shares_ = shares;
+    rounds_off_ = 0;
+}
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/endpoint_list.cpp
@@ -0,0 +1,72 @@
+#include "policy/endpoint_list.h"
+
+namespace badgergrade::policy {
+namespace {
+
+/// Bits of a subset hash: what one draw of the generator holds.
+constexpr std::size_t kHashBits = 24;
+
+}  // namespace
+
+// Live weights follow the load of the moment; used as capacity they would chase it.
+EndpointList::EndpointList(const Settings& settings, std::uint64_t seed)
+    : random_(static_cast<std::ranlux24_base::result_type>(seed ^ seed >> 32)),
+      equal_weights_(settings.listed_weights == ListedWeights::None ||
+                     settings.listed_weights == ListedWeights::Live),
+      vanished_may_stay_(settings.vanished_may_stay && settings.shard_count == 0) {}
+
+void EndpointList::apply(Micros now, const event::EndpointListUpdate& update, FleetState& fleet,
+                         OutlierDetector& outliers) {
+    if (update.kind != UpdateKind::Delta) {
+        for (auto& [id, server] : fleet.servers) {
+            remove(server);
+        }
+    }
+    for (const Endpoint& endpoint : update.endpoints) {
+        const auto [it, is_new] = fleet.servers.try_emplace(endpoint.server);
+        Server& server = it->second;
+        if (is_new) {
+            server.subset_hash = std::generate_canonical<double, kHashBits>(random_);
+        }
+        const bool same_start = server.started_at == endpoint.started_at;
+        if (endpoint.state == ServerState::Ready && !same_start) {
+            outliers.forget(endpoint.server);
+        }
+        if (endpoint.state == ServerState::Gone) {
+            remove(server);
+            continue;
+        }
+        server.zone = endpoint.zone;
+        server.state = endpoint.state;
+        server.weight = equal_weights_ || !(endpoint.weight > 0) ? 1.0 : endpoint.weight;
+        server.started_at = endpoint.started_at;
+        server.start_heard_at = same_start ? server.start_heard_at : now;
+        server.vanished = false;
+    }
+}
+
+void EndpointList::remove(Server& server) const {
+    server.vanished = vanished_may_stay_ && server.state == ServerState::Ready;
+    if (!server.vanished) {
+        server.state = ServerState::Gone;
+    }
+}
+
+void EndpointList::remove_unresponsive(Micros now, FleetState& fleet,
+                                       const OutlierDetector& outliers) const {
+    for (auto& [id, server] : fleet.servers) {
+        if (!server.vanished) {
+            continue;
+        }
+        const AttemptStats kept = outliers.server_stats(now, id, kReportBuckets);
+        const AttemptStats newest = outliers.server_stats(now, id, kDecisionBuckets);
+        const bool answers = kept.attempts > kept.failures;
+        if (answers && newest.failed_fraction() < kFailingFraction) {
+            continue;
+        }
+        server.vanished = false;
+        server.state = ServerState::Gone;
+    }
+}
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/outlier_detection.cpp
@@ -0,0 +1,260 @@
+#include "policy/outlier_detection.h"
+
+#include <algorithm>
+
+namespace badgergrade::policy {
+namespace {
+
+constexpr Micros kBucketWidth{1'000'000};
+/// A failing server fails this many times what the median server does: less is chance or overload.
+constexpr double kFailingFactor = 3;
+/// Fewer failures than this are chance.
+constexpr double kMinFailures = 2;
+/// On probation fewer attempts decide: the reduced weight draws few.
+constexpr double kMinProbationAttempts = 2;
+/// A zone is degraded above this failed fraction, or above this part of the objective.
+constexpr double kDegradedFailedFraction = 0.05;
+constexpr double kDegradedLatencyFactor = 0.5;
+/// Failures beside answers past this part of the objective are an overload of that server ...
+constexpr double kLoadedLatencyFactor = 0.75;
+/// ... unless nearly all attempts fail.
+constexpr double kNearlyAllFailed = 0.9;
+/// Past this failed fraction a server answers nothing.
+constexpr double kDeadFailedFraction = 0.98;
+/// A crawling server takes this many times as long as the median server.
+constexpr double kCrawlingFactor = 4;
+/// Which part of a zone's servers may be ejected: failing ones, ones that fail nearly all, and
+/// crawling ones. At size the weakest of a loaded zone crawl too, and ejecting them tips it.
+constexpr double kMaxEjectedFailing = 0.34;
+constexpr double kMaxEjectedNearlyAllFailed = 0.5;
+constexpr double kMaxEjectedCrawling = 0.1;
+/// The longest ejection: a mended server is not kept out for much longer than it was faulty.
+constexpr Micros kMaxEjectionTime{24'000'000};
+constexpr Micros kProbationTime{5'000'000};
+/// A healthy server with this many attempts earns a shorter next ejection.
+constexpr double kTrustedAttempts = 4 * kMinAttempts;
+/// The overload score of a busy server whose answers are late without failing.
+constexpr double kLateOverloadScore = 0.3;
+/// Fewer servers say nothing of a zone.
+constexpr std::size_t kMinOverloadServers = 2;
+
+}  // namespace
+
+double median(std::vector<double> values) {
+    if (values.empty()) {
+        return 0;
+    }
+    const auto middle = values.begin() + static_cast<std::ptrdiff_t>((values.size() - 1) / 2);
+    std::nth_element(values.begin(), middle, values.end());
+    return *middle;
+}
+
+OutlierDetector::OutlierDetector(int zone_count, Micros shortest_objective, std::size_t cpu_column)
+    : objective_seconds_(to_seconds(shortest_objective)),
+      cpu_column_(cpu_column),
+      zone_count_(zone_count),
+      health_(static_cast<std::size_t>(zone_count)) {}
+
+void OutlierDetector::on_load_report(Micros now, const event::ServerLoadReport& report) {
+    AttemptStats stats;
+    stats.attempts = static_cast<double>(report.attempts);
+    stats.failures = static_cast<double>(std::min(report.failures, report.attempts));
+    stats.latency_seconds = to_seconds(report.mean_latency) * (stats.attempts - stats.failures);
+    const double utilization =
+        cpu_column_ < report.load_metrics.size() ? report.load_metrics[cpu_column_] : 1;
+    stats.utilization = stats.attempts * utilization;
+    states_[{report.zone, report.server}].attempts.bucket(now, kBucketWidth) += stats;
+}
+
+void OutlierDetector::forget(ServerId server) {
+    for (ZoneId zone{0}; zone.value < zone_count_; ++zone.value) {
+        states_.erase({zone, server});
+    }
+}
+
+AttemptStats OutlierDetector::fleet_stats(Micros now, const FleetState& fleet) const {
+    AttemptStats total;
+    for (const auto& [key, state] : states_) {
+        if (fleet.is_ready(key.second)) {
+            total += state.attempts.sum(now, kBucketWidth, kDecisionBuckets);
+        }
+    }
+    return total;
+}
+
+AttemptStats OutlierDetector::server_stats(Micros now, ServerId server, int newest_buckets) const {
+    AttemptStats total;
+    for (ZoneId zone{0}; zone.value < zone_count_; ++zone.value) {
+        if (const auto found = states_.find({zone, server}); found != states_.end()) {
+            total += found->second.attempts.sum(now, kBucketWidth, newest_buckets);
+        }
+    }
+    return total;
+}
+
+bool OutlierDetector::is_ejected(ZoneId zone, ServerId server) const {
+    const auto found = states_.find({zone, server});
+    return found != states_.end() && found->second.state == EjectionState::Ejected;
+}
+
+bool OutlierDetector::is_on_probation(ZoneId zone, ServerId server) const {
+    const auto found = states_.find({zone, server});
+    return found != states_.end() && found->second.state == EjectionState::Probation;
+}
+
+int OutlierDetector::ejecting_zones(ServerId server) const {
+    int count = 0;
+    for (ZoneId zone{0}; zone.value < zone_count_; ++zone.value) {
+        count += static_cast<int>(is_ejected(zone, server));
+    }
+    return count;
+}
+
+std::vector<EjectionChange> OutlierDetector::evaluate(Micros now, const FleetState& fleet,
+                                                      const AttemptStats& everywhere) {
+    std::vector<EjectionChange> changes;
+    for (ZoneId zone{0}; zone.value < zone_count_; ++zone.value) {
+        ZoneObservation observed = observe(now, zone, fleet);
+        health_[index_of(zone)] = health_of(observed);
+        AttemptStats other_zones;
+        other_zones.attempts = everywhere.attempts - observed.total.attempts;
+        other_zones.failures = everywhere.failures - observed.total.failures;
+        observed.zone_dead = observed.dead * 4 >= observed.members * 3 &&
+                             other_zones.attempts > kMinAttempts &&
+                             other_zones.failed_fraction() < kFailingFraction;
+        for (const ServerStats& server : observed.servers) {
+            evaluate_server(now, server, observed, changes);
+        }
+    }
+    return changes;
+}
+
+OutlierDetector::ZoneObservation OutlierDetector::observe(Micros now, ZoneId zone,
+                                                          const FleetState& fleet) const {
+    ZoneObservation observed;
+    observed.zone = zone;
+    std::vector<double> failed_fractions;
+    std::vector<double> latencies;
+    std::vector<double> overloads;
+    auto it = states_.lower_bound({zone, ServerId{0}});
+    for (; it != states_.end() && it->first.first == zone; ++it) {
+        const ServerId server = it->first.second;
+        const OutlierState& state = it->second;
+        if (!fleet.is_ready(server)) {
+            continue;
+        }
+        const AttemptStats stats = state.attempts.sum(now, kBucketWidth, kDecisionBuckets);
+        const bool healthy = state.state == EjectionState::Healthy;
+        observed.members += static_cast<int>(!healthy || stats.attempts > 0);
+        observed.ejected += static_cast<int>(state.state == EjectionState::Ejected);
+        observed.servers.push_back({server, stats});
+        observed.total += stats;
+        if (stats.attempts < kMinAttempts) {
+            continue;
+        }
+        failed_fractions.push_back(stats.failed_fraction());
+        if (stats.mean_latency_seconds() > 0) {
+            latencies.push_back(stats.mean_latency_seconds());
+        }
+        observed.dead += static_cast<int>(stats.failed_fraction() >= kDeadFailedFraction);
+        if (healthy) {
+            overloads.push_back(overload_of(now, state));
+        }
+    }
+    observed.usual_failed_fraction = median(failed_fractions);
+    observed.usual_latency_seconds = median(latencies);
+    observed.overload_score = overloads.size() < kMinOverloadServers ? 0 : median(overloads);
+    return observed;
+}
+
+// Failures beside idle CPUs are lost answers, refused connections or a lossy network, which
+// admitting less does not mend. The newest seconds decide, so that the score falls soon after the
+// overload does.
+double OutlierDetector::overload_of(Micros now, const OutlierState& state) const {
+    const AttemptStats newest = state.attempts.sum(now, kBucketWidth, kDecisionBuckets - 1);
+    if (!newest.busy()) {
+        return 0;
+    }
+    const bool late = newest.mean_latency_seconds() > kLateLatencyFactor * objective_seconds_;
+    return std::max(newest.failed_fraction(), late ? kLateOverloadScore : 0);
+}
+
+ZoneHealth OutlierDetector::health_of(const ZoneObservation& zone) const {
+    ZoneHealth health;
+    health.overload_score = zone.overload_score;
+    const bool degraded =
+        zone.total.failed_fraction() > kDegradedFailedFraction ||
+        zone.total.mean_latency_seconds() > kDegradedLatencyFactor * objective_seconds_;
+    if (zone.total.attempts >= kMinAttempts) {
+        health.condition = degraded ? ZoneCondition::Degraded : ZoneCondition::Healthy;
+    }
+    health.refusing_connections =
+        zone.usual_failed_fraction >= kFailingFraction && !zone.total.busy();
+    return health;
+}
+
+bool OutlierDetector::is_failing(const OutlierState& state, const AttemptStats& stats,
+                                 const ZoneObservation& zone) const {
+    const double min_attempts =
+        state.state == EjectionState::Probation ? kMinProbationAttempts : kMinAttempts;
+    const double failed = stats.failed_fraction();
+    const bool overloaded =
+        stats.mean_latency_seconds() > kLoadedLatencyFactor * objective_seconds_ &&
+        failed < kNearlyAllFailed;
+    if (stats.attempts < min_attempts || stats.failures < kMinFailures ||
+        !(failed >= kFailingFraction) || overloaded) {
+        return false;
+    }
+    return failed >= kFailingFactor * zone.usual_failed_fraction ||
+           (zone.zone_dead && failed >= kDeadFailedFraction);
+}
+
+bool OutlierDetector::is_crawling(const OutlierState& state, const AttemptStats& stats,
+                                  const ZoneObservation& zone) const {
+    const double min_attempts =
+        state.state == EjectionState::Probation ? kMinProbationAttempts : kMinAttempts;
+    return stats.attempts - stats.failures >= min_attempts && zone.usual_latency_seconds > 0 &&
+           stats.mean_latency_seconds() >=
+               std::max(kCrawlingFactor * zone.usual_latency_seconds, objective_seconds_);
+}
+
+void OutlierDetector::evaluate_server(Micros now, const ServerStats& server, ZoneObservation& zone,
+                                      std::vector<EjectionChange>& changes) {
+    OutlierState& state = states_[{zone.zone, server.server}];
+    const AttemptStats& stats = server.stats;
+    if (state.state == EjectionState::Ejected) {
+        if (now >= state.until) {
+            state.state = EjectionState::Probation;
+            state.until = now + kProbationTime;
+            state.attempts = {};
+        }
+        return;
+    }
+    const bool failing = is_failing(state, stats, zone);
+    const bool crawling = !failing && is_crawling(state, stats, zone);
+    if (failing || crawling) {
+        const double max_fraction = crawling ? kMaxEjectedCrawling
+                                    : stats.failed_fraction() >= kNearlyAllFailed
+                                        ? kMaxEjectedNearlyAllFailed
+                                        : kMaxEjectedFailing;
+        // One crawling server may always be ejected, however small the zone.
+        const double max_ejected = std::max(crawling ? 1.0 : 0.0, max_fraction * zone.members);
+        if (!zone.zone_dead && zone.ejected + 1 > max_ejected) {
+            return;
+        }
+        if (state.state == EjectionState::Probation) {
+            state.ejection_time = std::min(kMaxEjectionTime, state.ejection_time * 2);
+        }
+        state.state = EjectionState::Ejected;
+        state.until = now + state.ejection_time;
+        ++zone.ejected;
+        changes.push_back({zone.zone, server.server, true, stats, zone.usual_latency_seconds});
+    } else if (state.state == EjectionState::Probation && now >= state.until) {
+        state.state = EjectionState::Healthy;
+        changes.push_back({zone.zone, server.server, false, stats, zone.usual_latency_seconds});
+    } else if (state.state == EjectionState::Healthy && stats.attempts >= kTrustedAttempts) {
+        state.ejection_time = std::max(kFirstEjectionTime, state.ejection_time - kDecisionTick);
+    }
+}
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/overload_control.cpp
@@ -0,0 +1,186 @@
+#include "policy/overload_control.h"
+
+#include <algorithm>
+#include <cmath>
+#include <numeric>
+
+namespace badgergrade::policy {
+namespace {
+
+constexpr Micros kUpdateInterval{1'000'000};
+/// Below the second score a zone has recovered; between the two nothing changes.
+constexpr double kOverloadedScore = 0.2;
+constexpr double kRecoveredScore = 0.08;
+/// A step up sheds this part of the score, of what is still admitted.
+constexpr double kShedGain = 0.4;
+/// A step down takes back this part of what is shed, and half of it of everything.
+constexpr double kRecoveryStep = 0.1;
+/// More is never shed, so that reports still show how the servers fare.
+constexpr double kMaxShedFraction = 0.8;
+constexpr double kMinAdmittedFraction = 0.1;
+/// Fractions are rounded down to one of this many steps, to spare the channel small changes.
+constexpr double kFractionSteps = 20;
+/// Rates are rounded to a tenth of an invocation per second, and none is lower.
+constexpr double kRateSteps = 10;
+constexpr double kMinRate = 0.1;
+/// The least work that an invocation counts as; an objective of zero would divide by it.
+constexpr double kMinWorkSeconds = 1e-3;
+/// Local-only operations may meet warming servers with this many times their weight.
+constexpr double kWarmingHeadroom = 2;
+
+}  // namespace
+
+/// What proxies are asked for.
+struct OverloadControl::Demand {
+    /// By operation, one rate per second for each proxy.
+    std::vector<std::vector<double>> rates;
+    /// Seconds of work per second, all together.
+    double work = 0;
+};
+
+double next_shed_fraction(double shed_fraction, double overload_score) {
+    if (overload_score > kOverloadedScore) {
+        return std::min(kMaxShedFraction,
+                        shed_fraction + (1 - shed_fraction) * overload_score * kShedGain);
+    }
+    if (overload_score < kRecoveredScore) {
+        return std::max(0.0, shed_fraction * (1 - kRecoveryStep) - kRecoveryStep / 2);
+    }
+    return shed_fraction;
+}
+
+double admission_rate_limit(std::vector<double> rates, double admitted_fraction) {
+    double remaining = admitted_fraction * std::accumulate(rates.begin(), rates.end(), 0.0);
+    std::sort(rates.begin(), rates.end());
+    for (std::size_t k = 0; k < rates.size(); ++k) {
+        const double even_part = remaining / static_cast<double>(rates.size() - k);
+        if (even_part <= rates[k]) {
+            return std::max(kMinRate, std::round(even_part * kRateSteps) / kRateSteps);
+        }
+        remaining -= rates[k];
+    }
+    return kUnlimitedRate;
+}
+
+OverloadControl::OverloadControl(const Settings& settings)
+    : admission_mode_(settings.admission_mode),
+      shed_fractions_(static_cast<std::size_t>(settings.zone_count), 0.0) {
+    std::vector<double> worth;
+    for (const Operation& operation : settings.operations) {
+        const OperationId id{static_cast<int>(work_seconds_.size())};
+        const double work = std::max(kMinWorkSeconds, to_seconds(operation.latency_objective));
+        work_seconds_.push_back(work);
+        worth.push_back(operation.priority_weight / work);
+        shed_order_.push_back(id);
+    }
+    const auto worth_less = [&](OperationId a, OperationId b) {
+        return worth[static_cast<std::size_t>(a.value)] < worth[static_cast<std::size_t>(b.value)];
+    };
+    std::stable_sort(shed_order_.begin(), shed_order_.end(), worth_less);
+}
+
+bool OverloadControl::sheds() const {
+    return std::ranges::any_of(shed_fractions_, [](double fraction) { return fraction > 0; });
+}
+
+void OverloadControl::update(Micros now, FleetState& fleet, const OutlierDetector& outliers,
+                             const SlowStart& slow_start,
+                             const std::vector<double>& demand_shares) {
+    if (!can_limit_admission() || work_seconds_.empty()) {
+        return;
+    }
+    if (now >= next_update_) {
+        for (std::size_t zone = 0; zone < shed_fractions_.size(); ++zone) {
+            shed_fractions_[zone] =
+                next_shed_fraction(shed_fractions_[zone], outliers.health()[zone].overload_score);
+        }
+        next_update_ = now + kUpdateInterval;
+    }
+    const OperationSets& operations = fleet.operations;
+    set_limits(fleet, measure_demand(now, fleet, nullptr),
+               {fleet.full_table(), operations.any_zone, mean_shed_fraction(fleet), 1});
+    for (ZoneId zone{0}; zone.value < fleet.zone_count; ++zone.value) {
+        const double shed_fraction = shed_fractions_[index_of(zone)];
+        const Demand demand = measure_demand(now, fleet, &zone);
+        set_limits(fleet, demand,
+                   {FleetState::zone_table(zone), operations.any_zone, shed_fraction, 1});
+        if (operations.local_only == 0) {
+            continue;
+        }
+        double zone_weight = 0;
+        double total_weight = 0;
+        for (const auto& [id, server] : fleet.servers) {
+            if (server.state == ServerState::Ready) {
+                total_weight += server.weight;
+                zone_weight += server.zone == zone
+                                   ? server.weight * slow_start.weight_fraction(now, server, 1)
+                                   : 0;
+            }
+        }
+        // The warming server of a zone that was just lost would meet the whole zone's calls.
+        const double wanted_weight = std::max(1e-9, demand_shares[index_of(zone)] * total_weight);
+        const double bearable = std::min(1.0, kWarmingHeadroom * zone_weight / wanted_weight);
+        set_limits(fleet, demand,
+                   {fleet.local_only_table(zone), operations.local_only, shed_fraction, bearable});
+    }
+}
+
+/// Over this instance's own proxies: overloads elsewhere are not heard here.
+double OverloadControl::mean_shed_fraction(const FleetState& fleet) const {
+    double total = 0;
+    double count = 0;
+    for (const auto& [id, proxy] : fleet.proxies) {
+        if (proxy.connected && fleet.knows(proxy.zone)) {
+            total += shed_fractions_[index_of(proxy.zone)];
+            count += 1;
+        }
+    }
+    return count > 0 ? total / count : 0;
+}
+
+OverloadControl::Demand OverloadControl::measure_demand(Micros now, const FleetState& fleet,
+                                                        const ZoneId* zone) const {
+    Demand demand;
+    demand.rates.resize(work_seconds_.size());
+    for (const auto& [id, proxy] : fleet.proxies) {
+        if (!proxy.connected || (zone != nullptr && proxy.zone != *zone)) {
+            continue;
+        }
+        for (std::size_t k = 0; k < work_seconds_.size(); ++k) {
+            const auto found = proxy.demand.find({static_cast<int>(k)});
+            const double rate =
+                found == proxy.demand.end() ? 0 : found->second.sum(now, kDemandBucketWidth).rate();
+            demand.rates[k].push_back(rate);
+            demand.work += rate * work_seconds_[k];
+        }
+    }
+    return demand;
+}
+
+void OverloadControl::set_limits(FleetState& fleet, const Demand& demand,
+                                 const Limits& limits) const {
+    double to_shed = limits.shed_fraction * demand.work;
+    for (const OperationId operation : shed_order_) {
+        const auto k = static_cast<std::size_t>(operation.value);
+        const std::vector<double>& rates = demand.rates[k];
+        const double rate = std::accumulate(rates.begin(), rates.end(), 0.0);
+        double admitted = 1;
+        if (rate > 0 && to_shed > 0) {
+            admitted = std::max(kMinAdmittedFraction, 1 - to_shed / (rate * work_seconds_[k]));
+        }
+        to_shed -= (1 - admitted) * rate * work_seconds_[k];
+        if ((limits.operations >> k & 1) == 0) {
+            continue;
+        }
+        const bool local_only = (fleet.operations.local_only >> k & 1) != 0;
+        admitted = std::min(admitted, local_only ? limits.local_only_fraction : 1.0);
+        admitted = std::floor(admitted * kFractionSteps) / kFractionSteps;
+        double limit = admitted;
+        if (admission_mode_ == AdmissionMode::Rate) {
+            limit = admitted >= 1 ? kUnlimitedRate : admission_rate_limit(rates, admitted);
+        }
+        fleet.tables[limits.table].desired_limits[operation] = limit;
+    }
+}
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/overload_control.h
@@ -0,0 +1,77 @@
+// How much of their work overloaded zones admit.
+//
+// Inputs: each zone's overload score (outlier_detection.h), what each proxy is asked for, the
+// operations' latency objectives and priority weights, and the warming servers of a zone. Outputs:
+// the desired admission limits of the tables, as fractions or as rates per second for each proxy,
+// by Settings::admission_mode; nothing where proxies can't limit what they admit.
+//
+// An overload shows in a zone's median server, whatever its cause; single bad servers do not move
+// it. While the score is high the shed fraction of the zone rises every second, by less the higher
+// it is; under a low score it falls. What is shed is a part of the work asked for (rate x latency
+// objective). The operation that is worth least for its work is shed first.
+//
+// Invariants: a fifth of the work, and a tenth of each operation, is always asked for, so that the
+// recovery can be seen; without an overload nothing is shed. docs/design.md, "Levels", has the
+// reasons.
+#pragma once
+
+#include <vector>
+
+#include "policy/fleet_state.h"
+#include "policy/outlier_detection.h"
+#include "policy/settings.h"
+#include "policy/slow_start.h"
+
+namespace badgergrade::policy {
+
+/// A limit that admits everything, in invocations per second.
+constexpr double kUnlimitedRate = 1e6;
+
+/// The shed fraction of a zone one second later.
+double next_shed_fraction(double shed_fraction, double overload_score);
+
+/// The rate, the same for all, with which proxies that are asked for these rates admit
+/// `admitted_fraction` of their sum: the busiest are cut first.
+double admission_rate_limit(std::vector<double> rates, double admitted_fraction);
+
+class OverloadControl {
+public:
+    explicit OverloadControl(const Settings& settings);
+
+    /// Sets the desired limits of the full table, the zone tables and the local-only tables.
+    /// `demand_shares`: by zone.
+    void update(Micros now, FleetState& fleet, const OutlierDetector& outliers,
+                const SlowStart& slow_start, const std::vector<double>& demand_shares);
+
+    bool sheds() const;
+
+    bool can_limit_admission() const { return admission_mode_ != AdmissionMode::None; }
+
+private:
+    struct Demand;
+
+    /// What a table's users are to admit.
+    struct Limits {
+        TableId table;
+        OperationMask operations;
+        double shed_fraction;
+        /// An upper bound for local-only operations.
+        double local_only_fraction;
+    };
+
+    /// `zone`: whose proxies are counted; null: all.
+    Demand measure_demand(Micros now, const FleetState& fleet, const ZoneId* zone) const;
+    void set_limits(FleetState& fleet, const Demand& demand, const Limits& limits) const;
+    double mean_shed_fraction(const FleetState& fleet) const;
+
+    AdmissionMode admission_mode_;
+    /// Seconds of work an invocation, by operation.
+    std::vector<double> work_seconds_;
+    /// Operations in the order in which they are shed.
+    std::vector<OperationId> shed_order_;
+    /// By zone.
+    std::vector<double> shed_fractions_;
+    Micros next_update_{};
+};
+
+}  // namespace badgergrade::policy
--- a/src/policy/planner.h
+++ b/src/policy/planner.h
@@ -1,5 +1,12 @@
-// Interface of the decision module: one Planner object an instance, nothing shared between
-// objects.
+// The entry of the decision module: events in, commands out. One Planner is one control plane
+// instance; objects share nothing.
+//
+// Hand in each event with on_event(), then call decide() once a moment and carry out its commands
+// in their order. Time points come from the caller and never go back. There is no I/O, no clock and
+// no thread in here; the same settings, seed, events and times give the same commands.
+//
+// The rules stand one a file; each header says what its rule decides and why. docs/design.md is the
+// design that they follow, with its sources.
 #pragma once
 
 #include <memory>
@@ -14,19 +21,19 @@
 
 class Planner {
 public:
-    Planner(const Settings& told, std::uint64_t seed, Micros now);
+    Planner(const Settings& settings, std::uint64_t seed, Micros now);
     ~Planner();
     Planner(Planner&&) noexcept;
     Planner& operator=(Planner&&) noexcept;
 
-    // Takes in one event; orders nothing yet.
-    void take(Micros now, const Event& event);
-    // Call once after the events of a moment: what is to be ordered now, in this order.
+    /// Takes in one event; decides nothing yet.
+    void on_event(Micros now, const Event& event);
+    /// What is to be done now. Call it once after the events of a moment.
     std::vector<Command> decide(Micros now);
 
 private:
-    struct Mind;
-    std::unique_ptr<Mind> mind_;
+    class State;
+    std::unique_ptr<State> state_;
 };
 
 }  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/publisher.cpp
@@ -0,0 +1,253 @@
+#include "policy/publisher.h"
+
+#include <algorithm>
+#include <bit>
+#include <cmath>
+#include <utility>
+#include <variant>
+
+namespace badgergrade::policy {
+namespace {
+
+/// Weights that differ by less are the same.
+constexpr double kWeightTolerance = 1e-9;
+
+/// Appends what is to be admitted other than published.
+void add_changed_limits(TableId id, const Table& table, std::vector<Command>& lines) {
+    for (const auto& [operation, limit] : table.desired_limits) {
+        const auto published = table.published_limits.find(operation);
+        if (published != table.published_limits.end() && published->second == limit) {
+            continue;
+        }
+        lines.emplace_back(command::SetAdmission{id, OperationMask{1} << operation.value, limit,
+                                                 RetryMode::OnlyUnprocessed});
+    }
+}
+
+void record_published(Table& table, const Command& line) {
+    if (const auto* change = std::get_if<command::SetWeight>(&line)) {
+        if (change->weight > 0) {
+            table.published_weights[change->server] = change->weight;
+        } else {
+            table.published_weights.erase(change->server);
+        }
+        return;
+    }
+    const OperationMask operations = std::get<command::SetAdmission>(line).operations;
+    const OperationId operation{std::countr_zero(operations)};
+    table.published_limits[operation] = table.desired_limits[operation];
+}
+
+}  // namespace
+
+TableDifference table_difference(TableId id, const Table& table, const FleetState& fleet,
+                                 const OutlierDetector& outliers) {
+    TableDifference difference;
+    std::vector<Command> lost;
+    std::vector<Command> added;
+    std::vector<Command> moved;
+    bool keeps_a_server = false;
+    for (const auto& [server, weight] : table.published_weights) {
+        if (table.desired_weights.contains(server)) {
+            keeps_a_server = true;
+        } else if (!fleet.is_ready(server)) {
+            lost.emplace_back(command::SetWeight{id, server, 0});
+        } else {
+            (outliers.ejecting_zones(server) > 0 ? added : moved)
+                .emplace_back(command::SetWeight{id, server, 0});
+            difference.has_removals = true;
+        }
+    }
+    for (const auto& [server, weight] : table.desired_weights) {
+        const auto published = table.published_weights.find(server);
+        const bool is_published = published != table.published_weights.end();
+        if (is_published && std::abs(published->second - weight) < kWeightTolerance) {
+            continue;
+        }
+        const bool too_heavy = is_published && weight < published->second;
+        (too_heavy ? lost : added).emplace_back(command::SetWeight{id, server, weight});
+    }
+    add_changed_limits(id, table, added);
+    difference.urgent_count = lost.size();
+    // A table that loses all it has gets newcomers before it is emptied.
+    if (!lost.empty() && !keeps_a_server) {
+        difference.urgent_count += added.size();
+    }
+    if (!keeps_a_server) {
+        lost.swap(added);
+    }
+    difference.lines = std::move(lost);
+    for (const auto* rest : {&added, &moved}) {
+        difference.lines.insert(difference.lines.end(), rest->begin(), rest->end());
+    }
+    return difference;
+}
+
+std::map<OperationMask, TableId> desired_tables(const Proxy& proxy, const FleetState& fleet,
+                                                bool full_table_mode,
+                                                const Subsetting& subsetting) {
+    // In commands 0 stands for all operations.
+    const auto mask = [&](OperationMask operations) {
+        return operations == fleet.operations.all ? 0 : operations;
+    };
+    std::map<OperationMask, TableId> desired;
+    const bool zone_known = fleet.knows(proxy.zone);
+    const auto zone_table = fleet.tables.find(FleetState::zone_table(proxy.zone));
+    const bool use_full_table = full_table_mode || !zone_known ||
+                                zone_table == fleet.tables.end() ||
+                                zone_table->second.desired_weights.empty();
+    if (fleet.operations.any_zone != 0) {
+        desired[mask(fleet.operations.any_zone)] =
+            use_full_table ? fleet.full_table() : FleetState::zone_table(proxy.zone);
+    }
+    if (fleet.operations.local_only != 0) {
+        desired[mask(fleet.operations.local_only)] =
+            zone_known ? fleet.local_only_table(proxy.zone) : fleet.full_table();
+    }
+    if (!zone_known || proxy.subset < 0 || subsetting.count(proxy.zone) < 2) {
+        return desired;
+    }
+    for (auto& [operations, table] : desired) {
+        const bool local_only = table == fleet.local_only_table(proxy.zone);
+        const TableId subset = fleet.subset_table(proxy.zone, proxy.subset, local_only);
+        const auto found = fleet.tables.find(subset);
+        if (table != fleet.full_table() && found != fleet.tables.end() &&
+            !found->second.desired_weights.empty()) {
+            table = subset;
+        }
+    }
+    return desired;
+}
+
+Publisher::Publisher(const Settings& settings, FleetState& fleet, const OutlierDetector& outliers,
+                     const Subsetting& subsetting, SendBudget& budget)
+    : fleet_(fleet),
+      outliers_(outliers),
+      subsetting_(subsetting),
+      budget_(budget),
+      urgent_interval_(settings.max_messages > 0
+                           ? 2 * settings.message_window / settings.max_messages
+                           : Micros{0}) {}
+
+std::vector<Command> Publisher::publish(Micros now, bool full_table_mode) {
+    budget_.begin(now);
+    TableUsers users = users_of_tables();
+    for (auto& [id, table] : fleet_.tables) {
+        publish_table(now, id, table, users[id], Priority::Urgent);
+    }
+    for (auto& [id, proxy] : fleet_.proxies) {
+        publish_assignment(now, id, proxy, full_table_mode);
+    }
+    users = users_of_tables();
+    for (auto& [id, table] : fleet_.tables) {
+        publish_table(now, id, table, users[id], Priority::Deferrable);
+    }
+    if (budget_.commit(now, fleet_.proxies)) {
+        commands_.emplace_back(command::RequestAck{{budget_.version()}, false});
+    }
+    return std::exchange(commands_, {});
+}
+
+Publisher::TableUsers Publisher::users_of_tables() const {
+    TableUsers users;
+    for (const auto& [id, proxy] : fleet_.proxies) {
+        for (const auto& [operations, table] : proxy.assigned_tables) {
+            if (proxy.connected && (users[table].empty() || users[table].back() != id)) {
+                users[table].push_back(id);
+            }
+        }
+    }
+    return users;
+}
+
+void Publisher::publish_table(Micros now, TableId id, Table& table,
+                              const std::vector<ProxyId>& users, Priority priority) {
+    // The users of a table that is given up can't be assigned elsewhere yet: only lost servers
+    // leave it.
+    if (table.desired_weights.empty() && !users.empty()) {
+        for (const auto& [server, weight] : table.published_weights) {
+            if (fleet_.is_ready(server)) {
+                table.desired_weights[server] = weight;
+            }
+        }
+    }
+    const TableDifference difference = table_difference(id, table, fleet_, outliers_);
+    const std::size_t count = sendable_lines(now, table, difference, users, priority);
+    if (count == 0) {
+        return;
+    }
+    for (std::size_t k = 0; k < count; ++k) {
+        record_published(table, difference.lines[k]);
+        commands_.push_back(difference.lines[k]);
+    }
+    if (users.empty()) {
+        return;
+    }
+    budget_.reserve(fleet_.proxies, users, static_cast<double>(count));
+    table.published_at = now;
+    table.version = budget_.next_version();
+}
+
+// Removals go at once and newcomers with them, but only what is lost may use the reserve, merged
+// so that messages last: ejections would use up what drains need.
+std::size_t Publisher::sendable_lines(Micros now, const Table& table,
+                                      const TableDifference& difference,
+                                      const std::vector<ProxyId>& users, Priority priority) const {
+    const std::size_t all = difference.lines.size();
+    if (users.empty()) {
+        return all;
+    }
+    const bool urgent = priority == Priority::Urgent;
+    std::size_t count = 0;
+    if (urgent && now - table.published_at >= urgent_interval_) {
+        count = std::min(difference.urgent_count,
+                         budget_.lines_available(now, fleet_.proxies, users, Priority::Urgent));
+    }
+    const bool send_all = urgent ? difference.urgent_count > 0 || difference.has_removals
+                                 : is_acknowledged(now, table, users);
+    if (send_all) {
+        const std::size_t available =
+            budget_.lines_available(now, fleet_.proxies, users, Priority::Deferrable);
+        count = std::max(count, std::min(all, available));
+    }
+    return count;
+}
+
+bool Publisher::is_acknowledged(Micros now, const Table& table,
+                                const std::vector<ProxyId>& users) const {
+    return now - table.published_at >= kAckTimeout ||
+           std::ranges::none_of(users, [&](ProxyId user) {
+               return has_unacknowledged(fleet_.proxies.at(user), table.version);
+           });
+}
+
+// A proxy without any table may hold lines that drain; one that changes tables can wait.
+void Publisher::publish_assignment(Micros now, ProxyId id, Proxy& proxy, bool full_table_mode) {
+    if (!proxy.connected) {
+        return;
+    }
+    const auto desired = desired_tables(proxy, fleet_, full_table_mode, subsetting_);
+    if (desired == proxy.assigned_tables) {
+        return;
+    }
+    std::size_t cost = 0;
+    for (const auto& [operations, table] : desired) {
+        const Table& target = fleet_.tables[table];
+        cost += 1 + target.published_weights.size() + target.published_limits.size();
+    }
+    const Priority priority =
+        proxy.assigned_tables.empty() ? Priority::Urgent : Priority::Deferrable;
+    if (budget_.lines_available(now, fleet_.proxies, {id}, priority) < cost) {
+        return;
+    }
+    for (const auto& [operations, table] : desired) {
+        const auto assigned = proxy.assigned_tables.find(operations);
+        if (assigned == proxy.assigned_tables.end() || assigned->second != table) {
+            commands_.emplace_back(command::AssignTable{table, operations, id});
+        }
+    }
+    proxy.assigned_tables = desired;
+    budget_.reserve(fleet_.proxies, {id}, static_cast<double>(cost));
+}
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/publisher.h
@@ -0,0 +1,75 @@
+// What is sent to the proxies now: the difference between desired and published tables, as far as
+// the send budget allows, and the tables that each proxy is to use.
+//
+// Inputs: the tables and proxies, ejections, the mode, subsets, and the send budget. Outputs:
+// commands in the order in which they must be carried out.
+//
+// Order of a table's lines: servers that are lost, or too heavy; newcomers and admission limits;
+// last what moved to another table, so that a part of the difference leaves the table usable.
+// Removals go at once; all else is merged until the table's users have acknowledged its last change
+// or the acknowledgement timeout has passed. Order of a batch: tables that nobody uses, so that an
+// assignment finds its table whole; then lost servers; assignments; the rest.
+//
+// Invariants: a table with users is never emptied before its newcomers are sent; a change is
+// recorded as published exactly when its command is given out; a batch is one message a proxy.
+// docs/design.md, "Channel guard", has the reasons.
+#pragma once
+
+#include <map>
+#include <vector>
+
+#include "policy/command.h"
+#include "policy/fleet_state.h"
+#include "policy/outlier_detection.h"
+#include "policy/send_budget.h"
+#include "policy/settings.h"
+#include "policy/subsetting.h"
+
+namespace badgergrade::policy {
+
+/// A table's difference, the most urgent lines first.
+struct TableDifference {
+    std::vector<Command> lines;
+    /// The first lines that may use the reserve: servers that are lost or too heavy, and the
+    /// newcomers of a table that would be empty otherwise.
+    std::size_t urgent_count = 0;
+    /// Holds removals of servers that are still ready: they don't wait for acknowledgements.
+    bool has_removals = false;
+};
+
+TableDifference table_difference(TableId id, const Table& table, const FleetState& fleet,
+                                 const OutlierDetector& outliers);
+
+/// The tables that a proxy is to use, by operations.
+std::map<OperationMask, TableId> desired_tables(const Proxy& proxy, const FleetState& fleet,
+                                                bool full_table_mode, const Subsetting& subsetting);
+
+class Publisher {
+public:
+    /// Keeps references: all must outlive the publisher.
+    Publisher(const Settings& settings, FleetState& fleet, const OutlierDetector& outliers,
+              const Subsetting& subsetting, SendBudget& budget);
+
+    std::vector<Command> publish(Micros now, bool full_table_mode);
+
+private:
+    using TableUsers = std::map<TableId, std::vector<ProxyId>>;
+
+    TableUsers users_of_tables() const;
+    void publish_table(Micros now, TableId id, Table& table, const std::vector<ProxyId>& users,
+                       Priority priority);
+    std::size_t sendable_lines(Micros now, const Table& table, const TableDifference& difference,
+                               const std::vector<ProxyId>& users, Priority priority) const;
+    bool is_acknowledged(Micros now, const Table& table, const std::vector<ProxyId>& users) const;
+    void publish_assignment(Micros now, ProxyId id, Proxy& proxy, bool full_table_mode);
+
+    FleetState& fleet_;
+    const OutlierDetector& outliers_;
+    const Subsetting& subsetting_;
+    SendBudget& budget_;
+    /// Urgent changes of one table are merged for this long, so that messages last.
+    Micros urgent_interval_;
+    std::vector<Command> commands_;
+};
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/send_budget.cpp
@@ -0,0 +1,146 @@
+#include "policy/send_budget.h"
+
+#include <algorithm>
+
+namespace badgergrade::policy {
+namespace {
+
+constexpr int kVersions = 65536;
+/// Even with several faults of the network at once the channel keeps this part of its pace.
+constexpr double kGuaranteedPaceFraction = 0.05;
+/// Which part of the queue may be filled.
+constexpr double kDeferrableQueueFraction = 0.75;
+constexpr double kUrgentQueueFraction = 0.95;
+/// Which part of a proxy's messages may be used for what can wait; drains need the others.
+constexpr double kDeferrableMessagesFraction = 0.4;
+constexpr Micros kMinMessageBucket{1000};
+/// Unacknowledged messages kept apart for each proxy; older ones are merged, to bound the memory.
+constexpr std::ptrdiff_t kMaxUnacknowledged = 64;
+/// Where the settings state no limit.
+constexpr double kUnlimitedLines = 1e18;
+
+}  // namespace
+
+bool is_newer(int version, int other) {
+    return version != other && ((version - other) & (kVersions - 1)) < kVersions / 2;
+}
+
+bool has_unacknowledged(const Proxy& proxy, int up_to_version) {
+    return !proxy.unacknowledged.empty() &&
+           !is_newer(proxy.unacknowledged.front().version, up_to_version);
+}
+
+SendBudget::SendBudget(const Settings& settings, Micros now)
+    : lines_per_second_(std::max(1.0, settings.channel_lines_per_second)),
+      head_lines_(settings.message_head_lines),
+      max_queued_lines_(settings.max_queued_lines > 0 ? settings.max_queued_lines
+                                                      : kUnlimitedLines),
+      max_messages_(settings.max_messages),
+      messages_bucket_width_(
+          std::max(kMinMessageBucket, settings.message_window / kMessageBucketsInWindow)),
+      drained_at_(now) {}
+
+void SendBudget::begin(Micros now) {
+    queued_lines_ = std::max(0.0, queued_lines_ - to_seconds(now - drained_at_) *
+                                                      lines_per_second_ * kGuaranteedPaceFraction);
+    drained_at_ = now;
+    batch_.clear();
+}
+
+int SendBudget::next_version() const {
+    return (version_ + 1) % kVersions;
+}
+
+bool SendBudget::may_message(Micros now, const Proxy& proxy, Priority priority) const {
+    if (max_messages_ <= 0) {
+        return true;
+    }
+    const double allowed = priority == Priority::Urgent
+                               ? max_messages_ - 1
+                               : max_messages_ * kDeferrableMessagesFraction;
+    return proxy.messages.sum(now, messages_bucket_width_) + 1 <= allowed;
+}
+
+std::size_t SendBudget::lines_available(Micros now, const Proxies& proxies,
+                                        const std::vector<ProxyId>& recipients,
+                                        Priority priority) const {
+    double heads = 0;
+    for (const ProxyId id : recipients) {
+        if (batch_.contains(id)) {
+            continue;
+        }
+        if (!may_message(now, proxies.at(id), priority)) {
+            return 0;
+        }
+        heads += head_lines_ + 1;
+    }
+    const double queue_fraction =
+        priority == Priority::Urgent ? kUrgentQueueFraction : kDeferrableQueueFraction;
+    const double available = max_queued_lines_ * queue_fraction - queued_lines_ - heads;
+    return static_cast<std::size_t>(
+        std::max(0.0, available / static_cast<double>(recipients.size())));
+}
+
+void SendBudget::reserve(Proxies& proxies, const std::vector<ProxyId>& recipients, double lines) {
+    for (const ProxyId id : recipients) {
+        std::deque<UnacknowledgedLines>& sent = proxies[id].unacknowledged;
+        const bool new_message = batch_.insert(id).second;
+        const double cost = lines + (new_message ? head_lines_ + 1 : 0);
+        sent.push_back({next_version(), cost});
+        queued_lines_ += cost;
+        unacknowledged_lines_ += cost;
+        if (std::ssize(sent) > kMaxUnacknowledged) {
+            sent[1].lines += sent[0].lines;
+            sent.pop_front();
+        }
+    }
+}
+
+bool SendBudget::commit(Micros now, Proxies& proxies) {
+    if (batch_.empty()) {
+        return false;
+    }
+    version_ = next_version();
+    for (const ProxyId id : batch_) {
+        proxies[id].messages.bucket(now, messages_bucket_width_) += 1;
+    }
+    return true;
+}
+
+void SendBudget::on_acknowledged(ProxyId id, int version, Proxies& proxies) {
+    if (const auto found = proxies.find(id); found != proxies.end()) {
+        settle(found->second, version, true);
+    }
+    if (lost_lines_ > 0 || !is_newer(version, acknowledged_version_)) {
+        return;
+    }
+    acknowledged_version_ = version;
+    for (auto& [other, proxy] : proxies) {
+        settle(proxy, acknowledged_version_ - 1, true);
+    }
+}
+
+void SendBudget::on_disconnected(Proxy& proxy) {
+    settle(proxy, version_, false);
+}
+
+void SendBudget::settle(Proxy& proxy, int up_to_version, bool acknowledged) {
+    for (; has_unacknowledged(proxy, up_to_version); proxy.unacknowledged.pop_front()) {
+        const auto [version, lines] = proxy.unacknowledged.front();
+        if (!acknowledged && lost_lines_ <= 0) {
+            version_at_loss_ = version_;
+        }
+        unacknowledged_lines_ -= lines;
+        lost_lines_ += acknowledged ? 0 : lines;
+        if (acknowledged && lost_lines_ > 0 && is_newer(version, version_at_loss_)) {
+            overtaking_lines_ += lines;
+        }
+    }
+    if (overtaking_lines_ >= lost_lines_) {
+        lost_lines_ = 0;
+        overtaking_lines_ = 0;
+    }
+    queued_lines_ = std::min(queued_lines_, unacknowledged_lines_ + overtaking_lines_);
+}
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/send_budget.h
@@ -0,0 +1,92 @@
+// How many lines may be sent to proxies now.
+//
+// Inputs: the settings (lines per second of the channel, lines that may wait in it, messages a
+// proxy may be sent in a window), what was sent, acknowledgements, and broken connections. All
+// figures are lines; a message to a proxy costs its head and one line for the acknowledgement.
+//
+// The lines that wait in the channel are not seen, so they are estimated: the channel surely moves
+// a twentieth of its stated pace; and an acknowledgement proves that all that was sent before it
+// has left. What waited for a connection that broke is lost with it. As many newer lines may then
+// pass older ones, and go on counting as waiting; until as many are acknowledged, an
+// acknowledgement proves the lines of its own proxy alone.
+//
+// Two priorities: what must not wait (lost servers, first assignments) may fill nearly the whole
+// queue and message allowance; all else leaves a reserve of both.
+//
+// Invariants: the estimate is never below what really waits; no proxy gets more messages in the
+// window than the settings allow. docs/design.md, "Channel guard", has the reasons.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <set>
+#include <vector>
+
+#include "policy/fleet_state.h"
+#include "policy/settings.h"
+
+namespace badgergrade::policy {
+
+enum class Priority {
+    Deferrable,
+    Urgent,  ///< may use the reserve
+};
+
+/// Versions wrap: whether `version` was given out after `other`.
+bool is_newer(int version, int other);
+
+class SendBudget {
+public:
+    using Proxies = std::map<ProxyId, Proxy>;
+
+    SendBudget(const Settings& settings, Micros now);
+
+    /// Begins a batch: all that is reserved until commit() is one message a proxy.
+    void begin(Micros now);
+    /// How many lines each of these proxies may be sent now, message heads not included.
+    std::size_t lines_available(Micros now, const Proxies& proxies,
+                                const std::vector<ProxyId>& recipients, Priority priority) const;
+    /// Counts these lines as sent to each recipient.
+    void reserve(Proxies& proxies, const std::vector<ProxyId>& recipients, double lines);
+    /// Ends the batch. False: nothing was reserved, and its version is not used.
+    bool commit(Micros now, Proxies& proxies);
+
+    /// The version of the batch.
+    int next_version() const;
+
+    /// The version of the last batch that sent something.
+    int version() const { return version_; }
+
+    void on_acknowledged(ProxyId id, int version, Proxies& proxies);
+    void on_disconnected(Proxy& proxy);
+
+private:
+    bool may_message(Micros now, const Proxy& proxy, Priority priority) const;
+    /// Takes off the lines up to this version: acknowledged, or lost with the connection.
+    void settle(Proxy& proxy, int up_to_version, bool acknowledged);
+
+    double lines_per_second_;
+    double head_lines_;
+    double max_queued_lines_;
+    int max_messages_;
+    Micros messages_bucket_width_;
+
+    int version_ = 0;
+    /// The newest version that proves all before it.
+    int acknowledged_version_ = 0;
+    /// The version at which lines were first lost.
+    int version_at_loss_ = 0;
+    Micros drained_at_;
+    double queued_lines_ = 0;
+    double unacknowledged_lines_ = 0;
+    double lost_lines_ = 0;
+    /// Lines that may have passed older ones since lines were lost.
+    double overtaking_lines_ = 0;
+    /// Who gets a message in this batch.
+    std::set<ProxyId> batch_;
+};
+
+/// Whether a proxy has not acknowledged all up to this version.
+bool has_unacknowledged(const Proxy& proxy, int up_to_version);
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/sliding_window.h
@@ -0,0 +1,98 @@
+// Sums over the recent past, kept in a fixed number of time buckets.
+//
+// A report counts from the moment it arrives until its bucket leaves the window. Memory is bounded
+// by the number of buckets, whatever the rate of reports.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+
+#include "policy/ids.h"
+
+namespace badgergrade::policy {
+
+/// The sum of the samples of the last `BucketCount` buckets. A bucket is reused once its time has
+/// passed. `Sample` needs `operator+=` and value initialization to zero. All calls for one window
+/// must name the same bucket width, and `now` never goes back.
+template <class Sample, int BucketCount>
+class SlidingWindow {
+public:
+    /// The bucket that `now` falls into; cleared if it held an older time.
+    Sample& bucket(Micros now, Micros bucket_width) {
+        const std::int64_t index = now / bucket_width;
+        Bucket& found = buckets_[static_cast<std::size_t>(index % BucketCount)];
+        if (found.index != index) {
+            found = {index, {}};
+        }
+        return found.sample;
+    }
+
+    /// The sum of the `newest` buckets up to the one that `now` falls into.
+    Sample sum(Micros now, Micros bucket_width, int newest = BucketCount) const {
+        Sample total{};
+        const std::int64_t index = now / bucket_width;
+        for (const Bucket& candidate : buckets_) {
+            if (candidate.index > index - newest && candidate.index <= index) {
+                total += candidate.sample;
+            }
+        }
+        return total;
+    }
+
+private:
+    struct Bucket {
+        std::int64_t index = -1;
+        Sample sample{};
+    };
+
+    std::array<Bucket, BucketCount> buckets_{};
+};
+
+/// What a proxy was asked for: invocations, and the time in which they came.
+struct DemandSample {
+    double invocations = 0;
+    double interval_seconds = 0;
+
+    DemandSample& operator+=(const DemandSample& other) {
+        invocations += other.invocations;
+        interval_seconds += other.interval_seconds;
+        return *this;
+    }
+
+    /// Invocations per second; 0 where nothing was reported.
+    double rate() const { return interval_seconds > 0 ? invocations / interval_seconds : 0; }
+};
+
+/// What proxies met at a server, or at several.
+struct AttemptStats {
+    /// From this mean CPU utilization on (0 to 1) a server counts as busy: measured utilization
+    /// stays somewhat under 1 when all cores are in use.
+    static constexpr double kBusyUtilization = 0.8;
+
+    double attempts = 0;
+    double failures = 0;
+    /// Sum of the latencies of the attempts that succeeded.
+    double latency_seconds = 0;
+    /// Sum over the attempts of the CPU utilization reported with them.
+    double utilization = 0;
+
+    AttemptStats& operator+=(const AttemptStats& other) {
+        attempts += other.attempts;
+        failures += other.failures;
+        latency_seconds += other.latency_seconds;
+        utilization += other.utilization;
+        return *this;
+    }
+
+    bool busy() const { return utilization >= kBusyUtilization * attempts; }
+
+    double failed_fraction() const { return attempts > 0 ? failures / attempts : 0; }
+
+    /// Of the attempts that succeeded; 0 where none did.
+    double mean_latency_seconds() const {
+        return attempts > failures ? latency_seconds / (attempts - failures) : 0;
+    }
+};
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/subsetting.cpp
@@ -0,0 +1,183 @@
+#include "policy/subsetting.h"
+
+#include <algorithm>
+#include <numeric>
+#include <utility>
+
+namespace badgergrade::policy {
+namespace {
+
+/// A subset is not made narrower than this for warm connections: a proxy needs a choice.
+constexpr double kMinWidth = 12;
+/// Nor than this where connections are refused: one dead server must not be a subset of its own.
+constexpr double kMinWidthRefused = 3;
+/// A split outlasts the degradation that caused it by this, against flapping.
+constexpr Micros kHoldTime = kHoldDownRounds * kRecomputeInterval;
+/// Time for a split to show its effect before the next.
+constexpr Micros kSplitInterval = 2 * kAckTimeout;
+/// A proxy that announced nothing counts as this rate per second.
+constexpr double kMinRate = 0.01;
+/// The load of a subset that takes no proxies.
+constexpr double kClosed = 1e18;
+
+double announced_rate(const Proxy& proxy) {
+    return std::max(kMinRate, proxy.announced_rate);
+}
+
+/// The requested rate for each unit of weight, were `more` added.
+double load_of(const ZoneSubsets& subsets, std::size_t subset, double mean_weight, double more) {
+    if (subsets.weight[subset] <= mean_weight / 2) {
+        return kClosed;
+    }
+    return (subsets.rate[subset] + more) / subsets.weight[subset];
+}
+
+std::size_t least_loaded(const ZoneSubsets& subsets, double mean_weight, double more) {
+    std::size_t best = 0;
+    for (std::size_t subset = 1; subset < subsets.rate.size(); ++subset) {
+        if (load_of(subsets, subset, mean_weight, more) <
+            load_of(subsets, best, mean_weight, more)) {
+            best = subset;
+        }
+    }
+    return best;
+}
+
+}  // namespace
+
+void assign_proxies(ZoneId zone, ZoneSubsets& subsets, FleetState& fleet) {
+    const double mean_weight =
+        std::accumulate(subsets.weight.begin(), subsets.weight.end(), 0.0) / subsets.count;
+    const auto is_open = [&](std::size_t subset) {
+        return load_of(subsets, subset, mean_weight, 0) < kClosed;
+    };
+    std::vector<std::pair<double, ProxyId>> busiest_first;
+    for (const auto& [id, proxy] : fleet.proxies) {
+        if (proxy.connected && proxy.zone == zone) {
+            busiest_first.emplace_back(-announced_rate(proxy), id);
+        }
+    }
+    std::sort(busiest_first.begin(), busiest_first.end());
+    std::vector<ProxyId> unassigned;
+    for (const auto& [negative_rate, id] : busiest_first) {
+        Proxy& proxy = fleet.proxies[id];
+        const auto subset = static_cast<std::size_t>(std::max(0, proxy.subset));
+        if (proxy.subset >= 0 && is_open(subset)) {
+            subsets.rate[subset] += announced_rate(proxy);
+        } else {
+            unassigned.push_back(id);
+        }
+    }
+    for (const ProxyId id : unassigned) {
+        Proxy& proxy = fleet.proxies[id];
+        const std::size_t subset = least_loaded(subsets, mean_weight, announced_rate(proxy));
+        proxy.subset = is_open(subset) ? static_cast<int>(subset) : -1;
+        subsets.rate[subset] += announced_rate(proxy);
+    }
+}
+
+Subsetting::Subsetting(int zone_count, Micros connection_idle_timeout)
+    : idle_seconds_(to_seconds(connection_idle_timeout)),
+      zones_(static_cast<std::size_t>(zone_count)) {}
+
+std::vector<SubsetCountChange> Subsetting::update(Micros now, FleetState& fleet,
+                                                  const OutlierDetector& outliers,
+                                                  const SlowStart& slow_start) {
+    std::vector<SubsetCountChange> changes;
+    for (ZoneId zone{0}; zone.value < fleet.zone_count; ++zone.value) {
+        ZoneSubsets& subsets = zones_[index_of(zone)];
+        const int count_before = subsets.count;
+        update_count(now, zone, fleet, outliers.health(zone));
+        const bool many_warming =
+            slow_start.warming_fraction(now, fleet) > kManyWarmingFraction / 2;
+        if (now >= subsets.until || many_warming) {
+            subsets.count = 1;
+        }
+        if (subsets.count != count_before) {
+            changes.push_back({zone, subsets.count});
+            for (auto& [id, proxy] : fleet.proxies) {
+                if (proxy.zone == zone) {
+                    proxy.subset = -1;
+                }
+            }
+        }
+        fill_tables(now, zone, fleet, slow_start);
+        if (subsets.count > 1) {
+            assign_proxies(zone, subsets, fleet);
+        }
+    }
+    return changes;
+}
+
+void Subsetting::update_count(Micros now, ZoneId zone, const FleetState& fleet,
+                              const ZoneHealth& health) {
+    ZoneSubsets& subsets = zones_[index_of(zone)];
+    double announced = 0;
+    double proxies = 0;
+    for (const auto& [id, proxy] : fleet.proxies) {
+        if (proxy.connected && proxy.zone == zone) {
+            announced += proxy.announced_rate;
+            proxies += 1;
+        }
+    }
+    const auto table = fleet.tables.find(FleetState::zone_table(zone));
+    const auto width =
+        static_cast<double>(table == fleet.tables.end() ? 0 : table->second.desired_weights.size());
+    // As many connections as a proxy's own traffic keeps from idling out.
+    const double warm_width =
+        proxies > 0 ? std::max(kMinWidth, announced / proxies * idle_seconds_) : width;
+    if (health.condition == ZoneCondition::Degraded) {
+        subsets.until = now + kHoldTime;
+        while (width / subsets.count > warm_width && subsets.count < kMaxSubsets) {
+            subsets.count *= 2;
+        }
+    }
+    if (health.refusing_connections && now >= subsets.next_split) {
+        if (width / subsets.count >= 2 * kMinWidthRefused && subsets.count < kMaxSubsets) {
+            subsets.count *= 2;
+        }
+        subsets.next_split = now + kSplitInterval;
+    }
+}
+
+void Subsetting::fill_tables(Micros now, ZoneId zone, FleetState& fleet,
+                             const SlowStart& slow_start) {
+    ZoneSubsets& subsets = zones_[index_of(zone)];
+    for (int subset = 0; subset < kMaxSubsets; ++subset) {
+        for (const bool local_only : {false, true}) {
+            const auto found = fleet.tables.find(fleet.subset_table(zone, subset, local_only));
+            if (found != fleet.tables.end()) {
+                found->second.desired_weights.clear();
+            }
+        }
+    }
+    subsets.rate.assign(static_cast<std::size_t>(subsets.count), 0.0);
+    subsets.weight = subsets.rate;
+    const bool has_local_only = fleet.operations.local_only != 0;
+    for (const bool local_only : {false, true}) {
+        if (subsets.count < 2 || (local_only && !has_local_only)) {
+            continue;
+        }
+        const Table& whole =
+            fleet.tables[local_only ? fleet.local_only_table(zone) : FleetState::zone_table(zone)];
+        for (int subset = 0; subset < subsets.count; ++subset) {
+            fleet.tables[fleet.subset_table(zone, subset, local_only)].desired_limits =
+                whole.desired_limits;
+        }
+        for (const auto& [id, weight] : whole.desired_weights) {
+            const Server& server = fleet.servers[id];
+            // In a subset a warming server would meet all that its busy neighbours turn away.
+            if (slow_start.is_warming_up(now, server)) {
+                continue;
+            }
+            const std::size_t subset = subset_of(server.subset_hash, subsets.count);
+            const TableId table = fleet.subset_table(zone, static_cast<int>(subset), local_only);
+            fleet.tables[table].desired_weights[id] = weight;
+            if (local_only == has_local_only) {
+                subsets.weight[subset] += weight;
+            }
+        }
+    }
+}
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/subsetting.h
@@ -0,0 +1,68 @@
+// Whether a zone's table is split into subsets, which servers each subset holds, and which proxies
+// use it.
+//
+// Inputs: each zone's health, the size of its table, and the rates that its proxies announced. A
+// table far wider than what a proxy's own traffic keeps connections for costs a handshake with
+// nearly every invocation, and hides slow and dead servers from the proxy's own picking; servers
+// short of connections turn its attempts away. While such a zone is degraded its table is halved
+// until it is narrow enough, and halved further while connections are refused.
+//
+// A server's subset follows from its subset hash. A proxy goes to the subset with the lowest
+// requested rate for its weight, the busiest proxies first, and leaves a subset that has lost half
+// of its mean weight.
+//
+// Invariants: servers that are warming up are in no subset; nothing is split while much of the
+// fleet is warming up; a proxy's subset does not change while it holds its weight.
+// docs/design.md, "Shelves", has the reasons.
+#pragma once
+
+#include <vector>
+
+#include "policy/fleet_state.h"
+#include "policy/outlier_detection.h"
+#include "policy/slow_start.h"
+
+namespace badgergrade::policy {
+
+struct ZoneSubsets {
+    int count = 1;
+    /// Not split after this, unless the zone is degraded again.
+    Micros until{};
+    Micros next_split{};
+    /// By subset: the announced rate of its proxies, and the weight of its servers.
+    std::vector<double> rate;
+    std::vector<double> weight;
+};
+
+struct SubsetCountChange {
+    ZoneId zone;
+    int count;
+};
+
+/// The place of a server with this hash among `count` subsets.
+inline std::size_t subset_of(double subset_hash, int count) {
+    return static_cast<std::size_t>(subset_hash * count);
+}
+
+/// Assigns the connected proxies of a zone to its subsets.
+void assign_proxies(ZoneId zone, ZoneSubsets& subsets, FleetState& fleet);
+
+class Subsetting {
+public:
+    Subsetting(int zone_count, Micros connection_idle_timeout);
+
+    std::vector<SubsetCountChange> update(Micros now, FleetState& fleet,
+                                          const OutlierDetector& outliers,
+                                          const SlowStart& slow_start);
+
+    int count(ZoneId zone) const { return zones_[index_of(zone)].count; }
+
+private:
+    void update_count(Micros now, ZoneId zone, const FleetState& fleet, const ZoneHealth& health);
+    void fill_tables(Micros now, ZoneId zone, FleetState& fleet, const SlowStart& slow_start);
+
+    double idle_seconds_;
+    std::vector<ZoneSubsets> zones_;
+};
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/src/policy/table_planner.cpp
@@ -0,0 +1,225 @@
+#include "policy/table_planner.h"
+
+#include <algorithm>
+#include <numeric>
+#include <set>
+#include <utility>
+
+namespace badgergrade::policy {
+namespace {
+
+/// From this load on (in mean loads) a degraded zone's demand is spread over all servers: the
+/// ceiling itself where a healthy zone is heard and admission can be limited ...
+constexpr double kSpreadLoad = 1.2;
+/// ... and later where it is unknown whether other zones have room, or where nothing limits what is
+/// spread: one wrongly ejected server must not send all proxies to the faulty ones of another zone.
+constexpr double kSpreadLoadCautious = 1.4;
+/// The overload score from which on the only zone that is heard counts as overloaded.
+constexpr double kLoneZoneOverloadScore = 0.2;
+
+/// Against a division by zero in a zone without servers.
+constexpr double kMinZoneWeight = 1e-9;
+
+/// Whether the proxies ask for more than they announced, past the allowed overload.
+bool demand_exceeds_announced(Micros now, const FleetState& fleet) {
+    double requested = 0;
+    double announced = 0;
+    for (const auto& [id, proxy] : fleet.proxies) {
+        if (proxy.connected) {
+            requested += requested_rate(now, proxy);
+            announced += proxy.announced_rate;
+        }
+    }
+    return requested > announced * (1 + kAllowedOverloadFraction);
+}
+
+/// Fills the full table and the local-only tables that ejections have left empty with all servers
+/// that belong there.
+void fill_empty_tables(FleetState& fleet, const std::vector<ServerCapacity>& ready) {
+    std::set<TableId> empty;
+    for (TableId table = fleet.full_table(); table <= fleet.last_whole_table(); ++table.value) {
+        if (fleet.tables[table].desired_weights.empty()) {
+            empty.insert(table);
+        }
+    }
+    const bool has_local_only = fleet.operations.local_only != 0;
+    for (const ServerCapacity& server : ready) {
+        const TableId local = has_local_only && fleet.knows(server.zone)
+                                  ? fleet.local_only_table(server.zone)
+                                  : fleet.full_table();
+        for (const TableId table : {fleet.full_table(), local}) {
+            if (empty.contains(table)) {
+                fleet.tables[table].desired_weights[server.server] =
+                    fleet.servers[server.server].weight;
+            }
+        }
+    }
+}
+
+}  // namespace
+
+double worst_zone_load(const std::vector<double>& demand_shares, const std::vector<double>& usable,
+                       const std::vector<ZoneHealth>& health, ZoneFilter filter) {
+    const double total = std::accumulate(usable.begin(), usable.end(), 0.0);
+    double worst = 0;
+    for (std::size_t zone = 0; zone < usable.size(); ++zone) {
+        const bool counts =
+            filter == ZoneFilter::All || health[zone].condition == ZoneCondition::Degraded;
+        if (demand_shares[zone] > 0 && counts) {
+            worst = std::max(worst,
+                             demand_shares[zone] * total / std::max(kMinZoneWeight, usable[zone]));
+        }
+    }
+    return worst;
+}
+
+TablePlanner::TablePlanner(const Settings& settings)
+    : only_instance_(settings.instance_count == 1),
+      can_limit_admission_(settings.admission_mode != AdmissionMode::None) {}
+
+std::optional<std::string> TablePlanner::update(Micros now, FleetState& fleet,
+                                                const OutlierDetector& outliers,
+                                                const SlowStart& slow_start,
+                                                DemandEstimator& demand) {
+    const Context context{now, fleet, outliers, slow_start, demand};
+    const std::vector<ServerCapacity> ready = ready_servers(context);
+    ZoneAllocation allocation = allocate(context, ready);
+    const std::string reason = allocation.full_table_reason.empty()
+                                   ? overload_reason(context, allocation)
+                                   : allocation.full_table_reason;
+    std::optional<std::string> log_text = update_mode(context, reason);
+    zone_of_server_ = std::move(allocation.zone_of_server);
+    fill_tables(context, ready);
+    fill_empty_tables(fleet, ready);
+    return log_text;
+}
+
+std::vector<ServerCapacity> TablePlanner::ready_servers(const Context& context) const {
+    std::vector<ServerCapacity> ready;
+    double mean_weight = 0;
+    for (const auto& [id, server] : context.fleet.servers) {
+        if (server.state != ServerState::Ready) {
+            continue;
+        }
+        double usable = 0;
+        if (!context.outliers.is_ejected(server.zone, id)) {
+            usable = context.slow_start.planned_weight(
+                context.now, server, context.outliers.is_on_probation(server.zone, id));
+        }
+        const bool warming_up = context.slow_start.is_warming_up(context.now, server);
+        ready.push_back({id, server.zone, server.weight, usable, warming_up});
+        mean_weight += server.weight;
+    }
+    if (!ready.empty()) {
+        mean_weight /= static_cast<double>(ready.size());
+    }
+    for (ServerCapacity& server : ready) {
+        server.listed /= mean_weight;
+        server.usable /= mean_weight;
+    }
+    return ready;
+}
+
+// The hold-down is for drift; a zone past the ceiling is not left to wait for it.
+ZoneAllocation TablePlanner::allocate(const Context& context,
+                                      const std::vector<ServerCapacity>& ready) {
+    const auto allocate_by_shares = [&] {
+        const std::vector<double> demand = reachable_demand(
+            context.now, context.fleet, context.demand.shares(), ready, only_instance_);
+        return allocate_zones(demand, ready, zone_of_server_);
+    };
+    ZoneAllocation allocation = allocate_by_shares();
+    if (!allocation.full_table_reason.empty() || context.now < next_early_adoption_) {
+        return allocation;
+    }
+    const std::vector<double> measured = context.demand.measure(context.now, context.fleet);
+    const double load =
+        worst_zone_load(measured, allocation.usable, context.outliers.health(), ZoneFilter::All);
+    if (load > 1 + kAllowedOverloadFraction) {
+        context.demand.adopt(measured);
+        next_early_adoption_ = context.now + kAckTimeout;
+        allocation = allocate_by_shares();
+    }
+    return allocation;
+}
+
+/// Why a feasible allocation is not used; empty: it is.
+std::string TablePlanner::overload_reason(const Context& context,
+                                          const ZoneAllocation& allocation) const {
+    const std::vector<ZoneHealth>& health = context.outliers.health();
+    const auto unreported =
+        std::ranges::count(health, ZoneCondition::Unreported, &ZoneHealth::condition);
+    const double max_score =
+        std::ranges::max(health, {}, &ZoneHealth::overload_score).overload_score;
+    // An instance that hears a single zone sees no idle one beside its overload. With many servers
+    // warming up every zone is overloaded, and spreading would meet in those servers.
+    if (context.slow_start.warming_fraction(context.now, context.fleet) <=
+            kManyWarmingFraction / 2 &&
+        demand_exceeds_announced(context.now, context.fleet) &&
+        unreported == context.fleet.zone_count - 1 && max_score > kLoneZoneOverloadScore) {
+        return "a zone jams, and no other is heard";
+    }
+    const bool room_elsewhere =
+        std::ranges::count(health, ZoneCondition::Healthy, &ZoneHealth::condition) > 0;
+    const double max_load =
+        room_elsewhere && can_limit_admission_ ? kSpreadLoad : kSpreadLoadCautious;
+    const double load =
+        worst_zone_load(context.demand.shares(), allocation.usable, health, ZoneFilter::Degraded);
+    return load > max_load ? "a zone stays over the ceiling after all moves" : "";
+}
+
+std::optional<std::string> TablePlanner::update_mode(const Context& context,
+                                                     const std::string& reason) {
+    if (!reason.empty()) {
+        const bool changed = !full_table_mode_ || full_table_reason_ != reason;
+        full_table_mode_ = true;
+        rounds_since_infeasible_ = 0;
+        full_table_reason_ = reason;
+        return changed ? std::optional("full table for all: " + reason) : std::nullopt;
+    }
+    if (!full_table_mode_) {
+        return std::nullopt;
+    }
+    const bool held_down = rounds_since_infeasible_ < kHoldDownRounds ||
+                           context.slow_start.warming_fraction(context.now, context.fleet) > 0;
+    if (held_down && !context.demand.before_first_round()) {
+        return std::nullopt;
+    }
+    full_table_mode_ = false;
+    return "zone tables again";
+}
+
+void TablePlanner::fill_tables(const Context& context,
+                               const std::vector<ServerCapacity>& ready) const {
+    FleetState& fleet = context.fleet;
+    const OutlierDetector& outliers = context.outliers;
+    for (TableId table{0}; table <= fleet.last_whole_table(); ++table.value) {
+        fleet.tables[table].desired_weights.clear();
+    }
+    const auto add = [&](TableId table, ZoneId zone, ServerId id) {
+        fleet.tables[table].desired_weights[id] = context.slow_start.planned_weight(
+            context.now, fleet.servers[id], outliers.is_on_probation(zone, id));
+    };
+    for (const ServerCapacity& capacity : ready) {
+        const ServerId id = capacity.server;
+        const Server& server = fleet.servers[id];
+        const double fraction = context.slow_start.weight_fraction(context.now, server);
+        if (fraction <= 0) {
+            continue;
+        }
+        // The full table drops a server that half of the zones have ejected.
+        if (outliers.ejecting_zones(id) * 2 < fleet.zone_count) {
+            fleet.tables[fleet.full_table()].desired_weights[id] = server.weight * fraction;
+        }
+        const auto allocated = zone_of_server_.find(id);
+        if (allocated != zone_of_server_.end() && !outliers.is_ejected(allocated->second, id)) {
+            add(FleetState::zone_table(allocated->second), allocated->second, id);
+        }
+        if (fleet.operations.local_only != 0 && fleet.knows(server.zone) &&
+            !outliers.is_ejected(server.zone, id)) {
+            add(fleet.local_only_table(server.zone), server.zone, id);
+        }
+    }
+}
+
+}  // namespace badgergrade::policy
--- a/src/runtime/policy_runner.cpp
+++ b/src/runtime/policy_runner.cpp
@@ -18,7 +18,7 @@
     if (on_event) {
         on_event(event);
     }
-    module_.take(clock_.now(), event);
+    module_.on_event(clock_.now(), event);
     if (!decide_.set()) {
         decide_.after(batch_, [this] { decide(); });
     }
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -305,7 +305,7 @@
             world_.listed[row.server.value] = row.state;
             out.endpoints.push_back(row);
         }
-        governor_->take(now_, out);
+        governor_->on_event(now_, out);
     }
 
     void event(const Words& w) {
@@ -317,37 +317,38 @@
         };
         if (w[0] == "join") {
             world_.bound[number(1)].clear();
-            governor_->take(
+            governor_->on_event(
                 now_, event::ProxyConnected{{number(1)}, true, {number(2)}, std::stod(w.at(3))});
         } else if (w[0] == "leave") {
             world_.bound.erase(number(1));
-            governor_->take(now_, event::ProxyDisconnected{{number(1)}});
+            governor_->on_event(now_, event::ProxyDisconnected{{number(1)}});
         } else if (w[0] == "heard") {
             std::vector<double> load;
             if (w.size() > 6) {
                 load.push_back(std::stod(w[6]));
             }
-            governor_->take(now_,
-                            event::ServerLoadReport{{number(1)},
-                                                    {static_cast<std::uint32_t>(std::stoul(w[2]))},
-                                                    number(3),
-                                                    number(4),
-                                                    secs(w.at(5)),
-                                                    Micros{1000000},
-                                                    load});
+            governor_->on_event(
+                now_, event::ServerLoadReport{{number(1)},
+                                              {static_cast<std::uint32_t>(std::stoul(w[2]))},
+                                              number(3),
+                                              number(4),
+                                              secs(w.at(5)),
+                                              Micros{1000000},
+                                              load});
         } else if (w[0] == "demand") {
-            governor_->take(now_, event::ProxyDemandReport{
-                                      {number(1)}, {number(2)}, number(3), 0, secs(w.at(4))});
+            governor_->on_event(now_, event::ProxyDemandReport{
+                                          {number(1)}, {number(2)}, number(3), 0, secs(w.at(4))});
         } else if (w[0] == "ack") {
-            governor_->take(now_, event::ConfigAcknowledged{{number(1)}, {number(2)}, {}});
+            governor_->on_event(now_, event::ConfigAcknowledged{{number(1)}, {number(2)}, {}});
         } else if (w[0] == "due") {
-            governor_->take(now_, event::TimerFired{w.at(1)});
+            governor_->on_event(now_, event::TimerFired{w.at(1)});
         } else if (w[0] == "slice") {
-            governor_->take(now_, event::ShardAssignmentChanged{{number(1)}, w.at(2) == "given"});
+            governor_->on_event(now_,
+                                event::ShardAssignmentChanged{{number(1)}, w.at(2) == "given"});
         } else if (w[0] == "stored") {
-            governor_->take(now_,
-                            event::ShardReplica{
-                                {number(1)}, {static_cast<std::uint32_t>(std::stoul(w[2]))}, 1});
+            governor_->on_event(
+                now_, event::ShardReplica{
+                          {number(1)}, {static_cast<std::uint32_t>(std::stoul(w[2]))}, 1});
         } else {
             CHECK(!"a known word");
         }
@@ -388,8 +389,8 @@
             now_ = at;
             while (!marks_.empty() && marks_.begin()->first <= now_) {
                 for (const auto& [proxy, bound] : world_.bound) {
-                    governor_->take(now_,
-                                    event::ConfigAcknowledged{{proxy}, marks_.begin()->second, {}});
+                    governor_->on_event(
+                        now_, event::ConfigAcknowledged{{proxy}, marks_.begin()->second, {}});
                 }
                 marks_.erase(marks_.begin());
             }
@@ -398,7 +399,7 @@
                     event_each({s.begin() + 1, s.end()});
                 }
             }
-            governor_->take(now_, event::TimerFired{token});
+            governor_->on_event(now_, event::TimerFired{token});
             decide();
         }
         now_ = to;
