--- /dev/null
+++ b/tests/policy/fleet_builder.h
@@ -0,0 +1,53 @@
+// Builds small fleets for the tests of single rules.
+#pragma once
+
+#include "policy/fleet_state.h"
+#include "policy/outlier_detection.h"
+#include "policy/settings.h"
+
+namespace badgergrade::policy {
+
+constexpr Micros kStart{100'000'000};
+constexpr Micros kSecond{1'000'000};
+constexpr Micros kObjective{100'000};
+/// No column of the load metrics: servers count as busy.
+constexpr std::size_t kNoCpuColumn = 9;
+
+/// One operation that any zone may serve, and no servers or proxies.
+inline FleetState empty_fleet(int zone_count) {
+    FleetState fleet;
+    fleet.zone_count = zone_count;
+    fleet.operations = {1, 0, 1};
+    return fleet;
+}
+
+inline Server& add_server(FleetState& fleet, unsigned id, int zone) {
+    Server& server = fleet.servers[{id}];
+    server.zone = {zone};
+    server.state = ServerState::Ready;
+    return server;
+}
+
+inline Proxy& add_proxy(FleetState& fleet, int id, int zone, double announced_rate) {
+    Proxy& proxy = fleet.proxies[{id}];
+    proxy.connected = true;
+    proxy.zone = {zone};
+    proxy.announced_rate = announced_rate;
+    return proxy;
+}
+
+inline Settings basic_settings(int zone_count) {
+    Settings settings;
+    settings.zone_count = zone_count;
+    Operation operation;
+    operation.latency_objective = kObjective;
+    settings.operations = {operation};
+    return settings;
+}
+
+inline event::ServerLoadReport load_report(int zone, unsigned server, int attempts, int failures,
+                                           Micros latency) {
+    return {{zone}, {server}, attempts, failures, latency, kSecond, {}};
+}
+
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/tests/policy/overload_control_test.cpp
@@ -0,0 +1,76 @@
+#include "policy/overload_control.h"
+
+#include <gtest/gtest.h>
+
+#include "fleet_builder.h"
+#include "policy/demand_estimator.h"
+
+namespace badgergrade::policy {
+namespace {
+
+// An overload is shed step by step, and never wholly: without any work the recovery could not be
+// seen.
+TEST(OverloadControl, ShedsMoreWhileOverloadedUpToAMaximum) {
+    EXPECT_DOUBLE_EQ(next_shed_fraction(0, 0.5), 0.2);
+    double shed = 0;
+    for (int step = 0; step < 100; ++step) {
+        shed = next_shed_fraction(shed, 1);
+    }
+    EXPECT_DOUBLE_EQ(shed, 0.8);
+}
+
+// Between overloaded and recovered nothing changes, against swinging; recovered, all is admitted
+// again in the end.
+TEST(OverloadControl, RecoversOnlyUnderALowScore) {
+    EXPECT_EQ(next_shed_fraction(0.5, 0.1), 0.5);
+    double shed = 0.8;
+    for (int step = 0; step < 100; ++step) {
+        shed = next_shed_fraction(shed, 0);
+    }
+    EXPECT_EQ(shed, 0);
+}
+
+// One limit for all proxies, so the busiest are cut first and quiet ones keep what they ask for.
+TEST(OverloadControl, RateLimitCutsTheBusiestFirst) {
+    EXPECT_DOUBLE_EQ(admission_rate_limit({1, 1, 10}, 0.5), 4);
+    EXPECT_DOUBLE_EQ(admission_rate_limit({}, 0.5), kUnlimitedRate);
+}
+
+// In an overload the operation that is worth least for its work is shed before the others.
+TEST(OverloadControl, ShedsTheLeastWorthFirst) {
+    Settings settings = basic_settings(1);
+    settings.admission_mode = AdmissionMode::Fraction;
+    settings.operations.push_back(settings.operations[0]);
+    settings.operations[0].priority_weight = 5;
+    FleetState fleet = empty_fleet(1);
+    fleet.operations = {3, 0, 3};
+    OutlierDetector outliers(1, kObjective, kNoCpuColumn);
+    for (unsigned id = 0; id < 3; ++id) {
+        add_server(fleet, id, 0);
+        outliers.on_load_report(kStart, load_report(0, id, 10, 5, kSecond / 50));
+    }
+    outliers.evaluate(kStart, fleet, outliers.fleet_stats(kStart, fleet));
+    Proxy& proxy = add_proxy(fleet, 1, 0, 20);
+    for (const int operation : {0, 1}) {
+        add_demand(kStart, {{1}, {operation}, 10, 0, kSecond}, proxy);
+    }
+    OverloadControl control(settings);
+    control.update(kStart, fleet, outliers, SlowStart(settings, kObjective, kStart), {1.0});
+    const auto& limits = fleet.tables[FleetState::zone_table({0})].desired_limits;
+    EXPECT_EQ(limits.at({0}), 1);
+    EXPECT_LT(limits.at({1}), 1);
+    EXPECT_TRUE(control.sheds());
+}
+
+// Proxies that can't limit admission are sent no limits.
+TEST(OverloadControl, SetsNothingWhereProxiesCannotLimit) {
+    const Settings settings = basic_settings(1);
+    FleetState fleet = empty_fleet(1);
+    OverloadControl control(settings);
+    control.update(kStart, fleet, OutlierDetector(1, kObjective, kNoCpuColumn),
+                   SlowStart(settings, kObjective, kStart), {1.0});
+    EXPECT_TRUE(fleet.tables.empty());
+}
+
+}  // namespace
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/tests/policy/publisher_test.cpp
@@ -0,0 +1,120 @@
+#include "policy/publisher.h"
+
+#include <gtest/gtest.h>
+
+#include "fleet_builder.h"
+
+namespace badgergrade::policy {
+namespace {
+
+constexpr TableId kZoneTable{0};
+
+class PublisherTest : public testing::Test {
+protected:
+    PublisherTest() {
+        for (unsigned id = 1; id <= 3; ++id) {
+            add_server(fleet_, id, 0);
+        }
+    }
+
+    static ServerId server_of(const Command& command) {
+        return std::get<command::SetWeight>(command).server;
+    }
+
+    static double weight_of(const Command& command) {
+        return std::get<command::SetWeight>(command).weight;
+    }
+
+    TableDifference difference(const Table& table) const {
+        return table_difference(kZoneTable, table, fleet_, outliers_);
+    }
+
+    Settings settings_ = basic_settings(1);
+    FleetState fleet_ = empty_fleet(1);
+    OutlierDetector outliers_{1, kObjective, kNoCpuColumn};
+    Subsetting subsetting_{1, kSecond};
+    SendBudget budget_{settings_, kStart};
+    Publisher publisher_{settings_, fleet_, outliers_, subsetting_, budget_};
+};
+
+// Lines beyond the budget wait, so the order decides what proxies suffer: a lost server goes first,
+// then newcomers, and last what only moved to another table.
+TEST_F(PublisherTest, LostServersGoFirstAndMovedOnesLast) {
+    fleet_.servers[{1}].state = ServerState::Gone;
+    add_server(fleet_, 4, 0);
+    Table table;
+    table.published_weights = {{{1}, 1}, {{2}, 1}, {{3}, 1}};
+    table.desired_weights = {{{3}, 1}, {{4}, 1}};
+    const auto result = difference(table);
+    ASSERT_EQ(result.lines.size(), 3U);
+    EXPECT_EQ(server_of(result.lines[0]), ServerId{1});
+    EXPECT_EQ(server_of(result.lines[1]), ServerId{4});
+    EXPECT_EQ(server_of(result.lines[2]), ServerId{2});
+    EXPECT_EQ(result.urgent_count, 1U);
+    EXPECT_TRUE(result.has_removals);
+}
+
+// A table that is emptied before its newcomers arrive leaves its proxies without a server.
+TEST_F(PublisherTest, NewcomersComeBeforeATableIsEmptied) {
+    fleet_.servers[{1}].state = ServerState::Gone;
+    Table table;
+    table.published_weights = {{{1}, 1}};
+    table.desired_weights = {{{2}, 1}};
+    const auto result = difference(table);
+    ASSERT_EQ(result.lines.size(), 2U);
+    EXPECT_EQ(server_of(result.lines[0]), ServerId{2});
+    EXPECT_EQ(weight_of(result.lines[1]), 0);
+    EXPECT_EQ(result.urgent_count, 2U);
+}
+
+// Nothing changed, nothing is sent: every line costs all users of the table.
+TEST_F(PublisherTest, NoDifferenceNoLines) {
+    Table table;
+    table.published_weights = {{{1}, 1}};
+    table.desired_weights = {{{1}, 1 + 1e-12}};
+    EXPECT_TRUE(difference(table).lines.empty());
+}
+
+// A proxy that is assigned a table before its lines would pick from an empty one. The lines go
+// first, then the assignment, then one request for an acknowledgement.
+TEST_F(PublisherTest, AnAssignmentFollowsTheLinesOfItsTable) {
+    add_proxy(fleet_, 1, 0, 1);
+    fleet_.tables[kZoneTable].desired_weights = {{{1}, 1}};
+    const auto commands = publisher_.publish(kStart, false);
+    ASSERT_EQ(commands.size(), 3U);
+    EXPECT_TRUE(std::holds_alternative<command::SetWeight>(commands[0]));
+    EXPECT_EQ(std::get<command::AssignTable>(commands[1]).table, kZoneTable);
+    EXPECT_TRUE(std::holds_alternative<command::RequestAck>(commands[2]));
+    EXPECT_TRUE(publisher_.publish(kStart + kSecond, false).empty());
+}
+
+// A second change of a table waits until the first is acknowledged, or for two seconds, so that
+// changes are merged; a removal goes at once.
+TEST_F(PublisherTest, MergesChangesUntilTheyAreAcknowledged) {
+    add_proxy(fleet_, 1, 0, 1);
+    Table& table = fleet_.tables[kZoneTable];
+    table.desired_weights = {{{1}, 1}};
+    publisher_.publish(kStart, false);
+    table.desired_weights[{2}] = 1;
+    publisher_.publish(kStart + kSecond, false);
+    table.desired_weights[{3}] = 1;
+    EXPECT_TRUE(publisher_.publish(kStart + kSecond, false).empty());
+    fleet_.servers[{1}].state = ServerState::Gone;
+    table.desired_weights.erase({1});
+    EXPECT_FALSE(publisher_.publish(kStart + kSecond, false).empty());
+}
+
+// A proxy whose zone table is empty, or of no known zone, must get the full table.
+TEST_F(PublisherTest, WithoutAZoneTableAProxyGetsTheFullTable) {
+    const Proxy& proxy = add_proxy(fleet_, 1, 0, 1);
+    const std::map<OperationMask, TableId> full{{0, fleet_.full_table()}};
+    EXPECT_EQ(desired_tables(proxy, fleet_, false, subsetting_), full);
+    fleet_.tables[kZoneTable].desired_weights = {{{1}, 1}};
+    const std::map<OperationMask, TableId> zone{{0, kZoneTable}};
+    EXPECT_EQ(desired_tables(proxy, fleet_, false, subsetting_), zone);
+    EXPECT_EQ(desired_tables(proxy, fleet_, true, subsetting_), full);
+    EXPECT_EQ(desired_tables(add_proxy(fleet_, 2, -1, 1), fleet_, false, subsetting_), full);
+}
+
+}  // namespace
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/tests/policy/slow_start_test.cpp
@@ -0,0 +1,85 @@
+#include "policy/slow_start.h"
+
+#include <gtest/gtest.h>
+
+#include "fleet_builder.h"
+
+namespace badgergrade::policy {
+namespace {
+
+Settings warming_settings() {
+    Settings settings = basic_settings(1);
+    settings.slow_start_window = 16 * kSecond;
+    settings.initial_capacity_fraction = 0.25;
+    settings.overload_collapse_factor = 4;
+    settings.overload_collapse_time = kSecond;
+    return settings;
+}
+
+Server started(Micros started_at) {
+    Server server;
+    server.state = ServerState::Ready;
+    server.started_at = started_at;
+    server.start_heard_at = started_at;
+    return server;
+}
+
+// A warm server, or one whose start is long past, has its whole weight, whatever the overload.
+TEST(SlowStart, WarmServersHaveTheirWholeWeight) {
+    const SlowStart slow_start(warming_settings(), kObjective, kStart);
+    EXPECT_EQ(slow_start.weight_fraction(kStart, started(kStart - 16 * kSecond), 8), 1);
+    EXPECT_EQ(slow_start.weight_fraction(kStart, started(Micros{0}), 8), 1);
+}
+
+// Proxies may still send to a restarted server by tables of their own. Until that is out of the
+// collapse window no weight is safe.
+TEST(SlowStart, WaitsForTheCollapseTimeAfterAStart) {
+    const SlowStart slow_start(warming_settings(), kObjective, kStart);
+    const Server server = started(kStart);
+    EXPECT_EQ(slow_start.weight_fraction(kStart + kSecond / 2, server, 1), 0);
+    EXPECT_EQ(slow_start.weight_fraction(kStart + kSecond, server, 1), 0.25);
+}
+
+// The weight rises with the age, and is lower where retries multiply what the server meets: at four
+// times the load it must stay under its capacity of the moment.
+TEST(SlowStart, RisesAndIsLowerInAnOverload) {
+    const SlowStart slow_start(warming_settings(), kObjective, kStart);
+    const Server server = started(kStart - 8 * kSecond);
+    EXPECT_EQ(slow_start.weight_fraction(kStart, server, 1), 0.5);
+    Settings fragile = warming_settings();
+    fragile.overload_collapse_factor = 2;
+    const SlowStart careful(fragile, kObjective, kStart);
+    EXPECT_DOUBLE_EQ(careful.weight_fraction(kStart, server, 4), 2.0 / 4 * 0.625);
+}
+
+// In a severe overload a warming server would draw what all busy ones turn away, and collapse.
+TEST(SlowStart, NothingInASevereOverload) {
+    const SlowStart slow_start(warming_settings(), kObjective, kStart);
+    EXPECT_EQ(slow_start.weight_fraction(kStart, started(kStart - 8 * kSecond), kSevereOverload),
+              0);
+}
+
+// An instance that starts in the middle of an overload has heard of none. It expects one at first;
+// good reports end that after five seconds.
+TEST(SlowStart, ExpectsAnOverloadAtItsOwnStart) {
+    const FleetState fleet = empty_fleet(1);
+    SlowStart slow_start(warming_settings(), kObjective, kStart);
+    const Server server = started(kStart - 8 * kSecond);
+    EXPECT_EQ(slow_start.weight_fraction(kStart, server), 0);
+    AttemptStats good;
+    good.attempts = 100;
+    slow_start.update_expected_overload(kStart + kSecond, good, false, fleet);
+    EXPECT_EQ(slow_start.weight_fraction(kStart + kSecond, server), 0);
+    slow_start.update_expected_overload(kStart + 5 * kSecond, good, false, fleet);
+    EXPECT_GT(slow_start.weight_fraction(kStart + 5 * kSecond, server), 0);
+}
+
+// On probation a server carries a quarter at most, warm or not.
+TEST(SlowStart, ProbationReducesTheWeight) {
+    const SlowStart slow_start(warming_settings(), kObjective, kStart);
+    EXPECT_EQ(slow_start.planned_weight(kStart, started(Micros{0}), true), 0.25);
+    EXPECT_EQ(slow_start.planned_weight(kStart, started(Micros{0}), false), 1);
+}
+
+}  // namespace
+}  // namespace badgergrade::policy
--- /dev/null
+++ b/tests/policy/table_planner_test.cpp
@@ -0,0 +1,88 @@
+#include "policy/table_planner.h"
+
+#include <gtest/gtest.h>
+
+#include "fleet_builder.h"
+
+namespace badgergrade::policy {
+namespace {
+
+constexpr Micros kFast{20'000};
+
+class TablePlannerTest : public testing::Test {
+protected:
+    TablePlannerTest() {
+        for (unsigned id = 0; id < 6; ++id) {
+            add_server(fleet_, id, static_cast<int>(id % 2));
+        }
+        add_proxy(fleet_, 1, 0, 10);
+        add_proxy(fleet_, 2, 1, 10);
+    }
+
+    std::optional<std::string> update(Micros now) {
+        demand_.update(now, fleet_);
+        return planner_.update(now, fleet_, outliers_, slow_start_, demand_);
+    }
+
+    std::size_t width(TableId table) { return fleet_.tables[table].desired_weights.size(); }
+
+    Settings settings_ = basic_settings(2);
+    FleetState fleet_ = empty_fleet(2);
+    OutlierDetector outliers_{2, kObjective, kNoCpuColumn};
+    SlowStart slow_start_{settings_, kObjective, kStart};
+    DemandEstimator demand_{2, 2, kStart};
+    TablePlanner planner_{settings_};
+};
+
+// The ordinary case: each zone's table holds its own servers, the full table all of them.
+TEST_F(TablePlannerTest, ZoneTablesHoldTheAllocatedServers) {
+    EXPECT_EQ(update(kStart), std::nullopt);
+    EXPECT_FALSE(planner_.full_table_mode());
+    EXPECT_EQ(width({0}), 3U);
+    EXPECT_EQ(width({1}), 3U);
+    EXPECT_EQ(width(fleet_.full_table()), 6U);
+}
+
+// Where zone tables can't keep the ceiling all proxies get the full table. It is logged once, and
+// zone tables come back only after the hold-down, against flapping.
+TEST_F(TablePlannerTest, InfeasibleMeansTheFullTableUntilTheHoldDownIsOver) {
+    demand_.update(kStart + kRecomputeInterval, fleet_);
+    add_server(fleet_, 9, -1);
+    EXPECT_EQ(update(kStart + kRecomputeInterval), "full table for all: a server without a zone");
+    EXPECT_EQ(update(kStart + kRecomputeInterval), std::nullopt);
+    fleet_.servers.erase({9});
+    for (int round = 1; round <= kHoldDownRounds; ++round) {
+        EXPECT_EQ(update(kStart + kRecomputeInterval), std::nullopt);
+        EXPECT_TRUE(planner_.full_table_mode());
+        planner_.on_round();
+    }
+    EXPECT_EQ(update(kStart + kRecomputeInterval), "zone tables again");
+}
+
+// A zone all of whose servers are ejected would leave its local-only operations without any: the
+// table then holds them all.
+TEST_F(TablePlannerTest, EjectionsNeverEmptyALocalOnlyTable) {
+    fleet_.operations = {3, 2, 1};
+    for (unsigned id = 0; id < 6; ++id) {
+        outliers_.on_load_report(
+            kStart, load_report(static_cast<int>(id % 2), id, 20, id % 2 == 0 ? 20 : 0, kFast));
+    }
+    outliers_.evaluate(kStart, fleet_, outliers_.fleet_stats(kStart, fleet_));
+    ASSERT_TRUE(outliers_.is_ejected({0}, {0}));
+    update(kStart);
+    EXPECT_EQ(width(fleet_.local_only_table({0})), 3U);
+}
+
+// The load of a zone is its demand for its servers, in units of the mean; an empty zone counts as
+// overloaded, not as a division by zero.
+TEST(WorstZoneLoad, LooksAtTheMostLoadedZone) {
+    std::vector<ZoneHealth> health(2);
+    EXPECT_DOUBLE_EQ(worst_zone_load({0.5, 0.5}, {1, 3}, health, ZoneFilter::All), 2);
+    EXPECT_EQ(worst_zone_load({0.5, 0.5}, {1, 3}, health, ZoneFilter::Degraded), 0);
+    health[1].condition = ZoneCondition::Degraded;
+    EXPECT_DOUBLE_EQ(worst_zone_load({0.5, 0.5}, {1, 3}, health, ZoneFilter::Degraded), 2.0 / 3);
+    EXPECT_GT(worst_zone_load({0.5, 0.5}, {0, 4}, health, ZoneFilter::All), 1e6);
+}
+
+}  // namespace
+}  // namespace badgergrade::policy
