--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -38,6 +38,34 @@
 /// Fewer servers say nothing of a zone.
 constexpr std::size_t kMinOverloadServers = 2;
 
+double min_attempts(const OutlierState& state) {
+    return state.state == EjectionState::Probation ? kMinProbationAttempts : kMinAttempts;
+}
+
+/// How many of a zone's `members` may be ejected together with such a server. One crawling server
+/// may always be, however small the zone.
+double max_ejected(bool crawling, const AttemptStats& stats, int members) {
+    if (crawling) {
+        return std::max(1.0, kMaxEjectedCrawling * members);
+    }
+    const bool nearly_all_failed = stats.failed_fraction() >= kNearlyAllFailed;
+    return (nearly_all_failed ? kMaxEjectedNearlyAllFailed : kMaxEjectedFailing) * members;
+}
+
+void eject(Micros now, OutlierState& state) {
+    if (state.state == EjectionState::Probation) {
+        state.ejection_time = std::min(kMaxEjectionTime, state.ejection_time * 2);
+    }
+    state.state = EjectionState::Ejected;
+    state.until = now + state.ejection_time;
+}
+
+void begin_probation(Micros now, OutlierState& state) {
+    state.state = EjectionState::Probation;
+    state.until = now + kProbationTime;
+    state.attempts = {};
+}
+
 }  // namespace
 
 double median(std::vector<double> values) {
@@ -195,13 +223,11 @@
 
 bool OutlierDetector::is_failing(const OutlierState& state, const AttemptStats& stats,
                                  const ZoneObservation& zone) const {
-    const double min_attempts =
-        state.state == EjectionState::Probation ? kMinProbationAttempts : kMinAttempts;
     const double failed = stats.failed_fraction();
     const bool overloaded =
         stats.mean_latency_seconds() > kLoadedLatencyFactor * objective_seconds_ &&
         failed < kNearlyAllFailed;
-    if (stats.attempts < min_attempts || stats.failures < kMinFailures ||
+    if (stats.attempts < min_attempts(state) || stats.failures < kMinFailures ||
         !(failed >= kFailingFraction) || overloaded) {
         return false;
     }
@@ -211,9 +237,8 @@
 
 bool OutlierDetector::is_crawling(const OutlierState& state, const AttemptStats& stats,
                                   const ZoneObservation& zone) const {
-    const double min_attempts =
-        state.state == EjectionState::Probation ? kMinProbationAttempts : kMinAttempts;
-    return stats.attempts - stats.failures >= min_attempts && zone.usual_latency_seconds > 0 &&
+    return stats.attempts - stats.failures >= min_attempts(state) &&
+           zone.usual_latency_seconds > 0 &&
            stats.mean_latency_seconds() >=
                std::max(kCrawlingFactor * zone.usual_latency_seconds, objective_seconds_);
 }
@@ -224,29 +249,18 @@
     const AttemptStats& stats = server.stats;
     if (state.state == EjectionState::Ejected) {
         if (now >= state.until) {
-            state.state = EjectionState::Probation;
-            state.until = now + kProbationTime;
-            state.attempts = {};
+            begin_probation(now, state);
         }
         return;
     }
     const bool failing = is_failing(state, stats, zone);
     const bool crawling = !failing && is_crawling(state, stats, zone);
     if (failing || crawling) {
-        const double max_fraction = crawling ? kMaxEjectedCrawling
-                                    : stats.failed_fraction() >= kNearlyAllFailed
-                                        ? kMaxEjectedNearlyAllFailed
-                                        : kMaxEjectedFailing;
-        // One crawling server may always be ejected, however small the zone.
-        const double max_ejected = std::max(crawling ? 1.0 : 0.0, max_fraction * zone.members);
-        if (!zone.zone_dead && zone.ejected + 1 > max_ejected) {
+        const double allowed = max_ejected(crawling, stats, zone.members);
+        if (!zone.zone_dead && zone.ejected + 1 > allowed) {
             return;
         }
-        if (state.state == EjectionState::Probation) {
-            state.ejection_time = std::min(kMaxEjectionTime, state.ejection_time * 2);
-        }
-        state.state = EjectionState::Ejected;
-        state.until = now + state.ejection_time;
+        eject(now, state);
         ++zone.ejected;
         changes.push_back({zone.zone, server.server, true, stats, zone.usual_latency_seconds});
     } else if (state.state == EjectionState::Probation && now >= state.until) {
--- a/src/policy/send_budget.h
+++ b/src/policy/send_budget.h
@@ -13,8 +13,9 @@
 // Two priorities: what must not wait (lost servers, first assignments) may fill nearly the whole
 // queue and message allowance; all else leaves a reserve of both.
 //
-// Invariants: the estimate is never below what really waits; no proxy gets more messages in the
-// window than the settings allow. docs/design.md, "Channel guard", has the reasons.
+// Invariants: no proxy gets more messages in the window than the settings allow; lines count as
+// waiting until the guaranteed pace or an acknowledgement takes them off. docs/design.md, "Channel
+// guard", has the reasons.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/shard_assignment.h
+++ b/src/policy/shard_assignment.h
@@ -4,7 +4,7 @@
 // replicas. A shard whose server is lost goes to the ready server with the fewest shards. Where a
 // shard has one owner at a time, the next one gets it only when all writes of the former are over.
 //
-// Invariants: a shard has at most one server from this instance; where owners are exclusive, two
+// Invariants: only a shard without any server gets one; where owners are exclusive, two
 // owners are apart by the settle time and the network delay.
 #pragma once
 
--- a/src/policy/subsetting.h
+++ b/src/policy/subsetting.h
@@ -12,7 +12,8 @@
 // of its mean weight.
 //
 // Invariants: servers that are warming up are in no subset; nothing is split while much of the
-// fleet is warming up; a proxy's subset does not change while it holds its weight.
+// fleet is warming up; a proxy keeps its subset while the count stays the same and the
+// subset holds its weight.
 // docs/design.md, "Shelves", has the reasons.
 #pragma once
 
--- a/src/policy/zone_allocation.h
+++ b/src/policy/zone_allocation.h
@@ -11,7 +11,7 @@
 // surplus to the one with the largest deficit, as long as a whole server fits on both sides.
 //
 // Invariants: every ready server has exactly one zone; a server that is warming up stays in its own
-// zone; the same inputs give the same result, whatever came before but the previous allocation.
+// zone; the result depends on the arguments alone.
 // docs/design.md names the sources.
 #pragma once
 
