--- a/tests/policy/endpoint_list_test.cpp
+++ b/tests/policy/endpoint_list_test.cpp
@@ -14,72 +14,72 @@
 class EndpointListTest : public testing::Test {
 protected:
     void apply(EndpointList& list, UpdateKind kind, std::vector<Endpoint> endpoints) {
-        list.apply(kStart, {kind, std::move(endpoints)}, fleet_, outliers_);
+        list.apply(kStart, {kind, std::move(endpoints)}, fleet, outliers);
     }
 
-    FleetState fleet_ = empty_fleet(1);
-    OutlierDetector outliers_{1, kObjective, kNoCpuColumn};
-    Settings settings_ = basic_settings(1);
+    FleetState fleet = empty_fleet(1);
+    OutlierDetector outliers{1, kObjective, kNoCpuColumn};
+    Settings settings = basic_settings(1);
 };
 
 // A snapshot names all servers: one that is missing is gone, or proxies would go on sending there.
 TEST_F(EndpointListTest, ASnapshotRemovesWhatItDoesNotName) {
-    EndpointList list(settings_, 1);
+    EndpointList list(settings, 1);
     apply(list, UpdateKind::Snapshot, {endpoint(1), endpoint(2)});
     apply(list, UpdateKind::Delta, {endpoint(3)});
-    EXPECT_TRUE(fleet_.is_ready({1}));
+    EXPECT_TRUE(fleet.is_ready({1}));
     apply(list, UpdateKind::Snapshot, {endpoint(2)});
-    EXPECT_FALSE(fleet_.is_ready({1}));
-    EXPECT_TRUE(fleet_.is_ready({2}));
+    EXPECT_FALSE(fleet.is_ready({1}));
+    EXPECT_TRUE(fleet.is_ready({2}));
 }
 
 // A list that falls back to an old state names most of a live fleet gone. Where only a stated drain
 // binds, servers that answer stay, and those that show failures leave.
 TEST_F(EndpointListTest, VanishedServersStayWhileTheyAnswer) {
-    settings_.vanished_may_stay = true;
-    EndpointList list(settings_, 1);
+    settings.vanished_may_stay = true;
+    EndpointList list(settings, 1);
     apply(list, UpdateKind::Snapshot, {endpoint(1), endpoint(2)});
-    outliers_.on_load_report(kStart, load_report(0, 1, 10, 0, kSecond / 50));
-    outliers_.on_load_report(kStart, load_report(0, 2, 10, 9, kSecond / 50));
+    outliers.on_load_report(kStart, load_report(0, 1, 10, 0, kSecond / 50));
+    outliers.on_load_report(kStart, load_report(0, 2, 10, 9, kSecond / 50));
     apply(list, UpdateKind::Snapshot, {});
-    EXPECT_TRUE(fleet_.is_ready({2}));
-    list.remove_unresponsive(kStart, fleet_, outliers_);
-    EXPECT_TRUE(fleet_.is_ready({1}));
-    EXPECT_FALSE(fleet_.is_ready({2}));
+    EXPECT_TRUE(fleet.is_ready({2}));
+    list.remove_unresponsive(kStart, fleet, outliers);
+    EXPECT_TRUE(fleet.is_ready({1}));
+    EXPECT_FALSE(fleet.is_ready({2}));
 }
 
 // A stated drain always binds.
 TEST_F(EndpointListTest, AStatedDrainBindsAtOnce) {
-    settings_.vanished_may_stay = true;
-    EndpointList list(settings_, 1);
+    settings.vanished_may_stay = true;
+    EndpointList list(settings, 1);
     apply(list, UpdateKind::Snapshot, {endpoint(1)});
     apply(list, UpdateKind::Delta, {endpoint(1, ServerState::Draining)});
-    EXPECT_FALSE(fleet_.is_ready({1}));
+    EXPECT_FALSE(fleet.is_ready({1}));
 }
 
 // Live weights follow the load; used as capacity they would send all to whoever is idle now.
 TEST_F(EndpointListTest, LiveWeightsAreNotCapacity) {
-    settings_.listed_weights = ListedWeights::Live;
-    EndpointList live(settings_, 1);
+    settings.listed_weights = ListedWeights::Live;
+    EndpointList live(settings, 1);
     apply(live, UpdateKind::Delta, {endpoint(1)});
-    EXPECT_EQ(fleet_.servers[{1}].weight, 1);
-    settings_.listed_weights = ListedWeights::Nominal;
-    EndpointList nominal(settings_, 1);
+    EXPECT_EQ(fleet.servers[{1}].weight, 1);
+    settings.listed_weights = ListedWeights::Nominal;
+    EndpointList nominal(settings, 1);
     apply(nominal, UpdateKind::Delta, {endpoint(1)});
-    EXPECT_EQ(fleet_.servers[{1}].weight, 2);
+    EXPECT_EQ(fleet.servers[{1}].weight, 2);
 }
 
 // A server that restarts must keep its subset, or its proxies would all change connections.
 TEST_F(EndpointListTest, ARestartKeepsTheSubsetHash) {
-    EndpointList list(settings_, 1);
+    EndpointList list(settings, 1);
     apply(list, UpdateKind::Delta, {endpoint(1)});
-    const double hash = fleet_.servers[{1}].subset_hash;
+    const double hash = fleet.servers[{1}].subset_hash;
     EXPECT_GE(hash, 0);
     EXPECT_LT(hash, 1);
     apply(list, UpdateKind::Delta, {endpoint(1, ServerState::Gone)});
     apply(list, UpdateKind::Delta, {endpoint(1, ServerState::Ready, kStart)});
-    EXPECT_EQ(fleet_.servers[{1}].subset_hash, hash);
-    EXPECT_EQ(fleet_.servers[{1}].start_heard_at, kStart);
+    EXPECT_EQ(fleet.servers[{1}].subset_hash, hash);
+    EXPECT_EQ(fleet.servers[{1}].start_heard_at, kStart);
 }
 
 }  // namespace
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -13,7 +13,7 @@
 protected:
     OutlierDetection() {
         for (unsigned id = 0; id < 10; ++id) {
-            add_server(fleet_, id, 0);
+            add_server(fleet, id, 0);
         }
     }
 
@@ -21,17 +21,17 @@
     void report(Micros now, unsigned bad_server, int failures_of_ten, Micros latency) {
         for (unsigned id = 0; id < 10; ++id) {
             const bool bad = id == bad_server;
-            detector_.on_load_report(
+            detector.on_load_report(
                 now, load_report(0, id, 10, bad ? failures_of_ten : 0, bad ? latency : kFast));
         }
     }
 
     std::vector<EjectionChange> evaluate(Micros now) {
-        return detector_.evaluate(now, fleet_, detector_.fleet_stats(now, fleet_));
+        return detector.evaluate(now, fleet, detector.fleet_stats(now, fleet));
     }
 
-    FleetState fleet_ = empty_fleet(1);
-    OutlierDetector detector_{1, kObjective, kNoCpuColumn};
+    FleetState fleet = empty_fleet(1);
+    OutlierDetector detector{1, kObjective, kNoCpuColumn};
 };
 
 // A hung server stays in the endpoint list and eats every invocation that is sent there. It leaves
@@ -42,9 +42,9 @@
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes[0].server, ServerId{3});
     EXPECT_TRUE(changes[0].ejected);
-    EXPECT_TRUE(detector_.is_ejected({0}, {3}));
+    EXPECT_TRUE(detector.is_ejected({0}, {3}));
     EXPECT_TRUE(evaluate(kStart + kFirstEjectionTime).empty());
-    EXPECT_TRUE(detector_.is_on_probation({0}, {3}));
+    EXPECT_TRUE(detector.is_on_probation({0}, {3}));
     report(kStart + 7 * kSecond, 3, 0, kFast);
     EXPECT_TRUE(evaluate(kStart + 7 * kSecond).empty());
     const auto back = evaluate(kStart + 12 * kSecond);
@@ -62,19 +62,19 @@
     report(probation + kSecond, 3, 10, kFast);
     EXPECT_EQ(evaluate(probation + kSecond).size(), 1U);
     evaluate(probation + kSecond + kFirstEjectionTime);
-    EXPECT_TRUE(detector_.is_ejected({0}, {3}));
+    EXPECT_TRUE(detector.is_ejected({0}, {3}));
     evaluate(probation + kSecond + 2 * kFirstEjectionTime);
-    EXPECT_TRUE(detector_.is_on_probation({0}, {3}));
+    EXPECT_TRUE(detector.is_on_probation({0}, {3}));
 }
 
 // In an overload all servers fail alike. Ejecting some would load the others still more.
 TEST_F(OutlierDetection, EjectsNobodyWhereAllFail) {
     for (unsigned id = 0; id < 10; ++id) {
-        detector_.on_load_report(kStart, load_report(0, id, 10, 6, kFast));
+        detector.on_load_report(kStart, load_report(0, id, 10, 6, kFast));
     }
     EXPECT_TRUE(evaluate(kStart).empty());
-    EXPECT_EQ(detector_.health({0}).condition, ZoneCondition::Degraded);
-    EXPECT_DOUBLE_EQ(detector_.health({0}).overload_score, 0.6);
+    EXPECT_EQ(detector.health({0}).condition, ZoneCondition::Degraded);
+    EXPECT_DOUBLE_EQ(detector.health({0}).overload_score, 0.6);
 }
 
 // Failures beside long answers are a server at its limit. Ejecting it tips the next one.
@@ -86,8 +86,8 @@
 // Of a loaded zone the weakest crawl, and ejecting them all tips it: a tenth may go.
 TEST_F(OutlierDetection, EjectsATenthOfCrawlingServers) {
     for (unsigned id = 0; id < 10; ++id) {
-        detector_.on_load_report(kStart,
-                                 load_report(0, id, 10, 0, id < 3 ? 10 * kObjective : kFast));
+        detector.on_load_report(kStart,
+                                load_report(0, id, 10, 0, id < 3 ? 10 * kObjective : kFast));
     }
     EXPECT_EQ(evaluate(kStart).size(), 1U);
 }
@@ -95,14 +95,14 @@
 // One attempt that failed says nothing; four are needed.
 TEST_F(OutlierDetection, NeedsSomeAttempts) {
     report(kStart, 20, 0, kFast);
-    detector_.on_load_report(kStart + 4 * kSecond, load_report(0, 3, 3, 3, kFast));
+    detector.on_load_report(kStart + 4 * kSecond, load_report(0, 3, 3, 3, kFast));
     EXPECT_TRUE(evaluate(kStart + 4 * kSecond).empty());
 }
 
 // A restarted server answers for itself, not for the process before it.
 TEST_F(OutlierDetection, ForgetsARestartedServer) {
     report(kStart, 3, 10, kFast);
-    detector_.forget({3});
+    detector.forget({3});
     EXPECT_TRUE(evaluate(kStart).empty());
 }
 
--- a/tests/policy/publisher_test.cpp
+++ b/tests/policy/publisher_test.cpp
@@ -13,7 +13,7 @@
 protected:
     PublisherTest() {
         for (unsigned id = 1; id <= 3; ++id) {
-            add_server(fleet_, id, 0);
+            add_server(fleet, id, 0);
         }
     }
 
@@ -26,22 +26,22 @@
     }
 
     TableDifference difference(const Table& table) const {
-        return table_difference(kZoneTable, table, fleet_, outliers_);
+        return table_difference(kZoneTable, table, fleet, outliers);
     }
 
-    Settings settings_ = basic_settings(1);
-    FleetState fleet_ = empty_fleet(1);
-    OutlierDetector outliers_{1, kObjective, kNoCpuColumn};
-    Subsetting subsetting_{1, kSecond};
-    SendBudget budget_{settings_, kStart};
-    Publisher publisher_{settings_, fleet_, outliers_, subsetting_, budget_};
+    Settings settings = basic_settings(1);
+    FleetState fleet = empty_fleet(1);
+    OutlierDetector outliers{1, kObjective, kNoCpuColumn};
+    Subsetting subsetting{1, kSecond};
+    SendBudget budget{settings, kStart};
+    Publisher publisher{settings, fleet, outliers, subsetting, budget};
 };
 
 // Lines beyond the budget wait, so the order decides what proxies suffer: a lost server goes first,
 // then newcomers, and last what only moved to another table.
 TEST_F(PublisherTest, LostServersGoFirstAndMovedOnesLast) {
-    fleet_.servers[{1}].state = ServerState::Gone;
-    add_server(fleet_, 4, 0);
+    fleet.servers[{1}].state = ServerState::Gone;
+    add_server(fleet, 4, 0);
     Table table;
     table.published_weights = {{{1}, 1}, {{2}, 1}, {{3}, 1}};
     table.desired_weights = {{{3}, 1}, {{4}, 1}};
@@ -56,7 +56,7 @@
 
 // A table that is emptied before its newcomers arrive leaves its proxies without a server.
 TEST_F(PublisherTest, NewcomersComeBeforeATableIsEmptied) {
-    fleet_.servers[{1}].state = ServerState::Gone;
+    fleet.servers[{1}].state = ServerState::Gone;
     Table table;
     table.published_weights = {{{1}, 1}};
     table.desired_weights = {{{2}, 1}};
@@ -78,42 +78,42 @@
 // A proxy that is assigned a table before its lines would pick from an empty one. The lines go
 // first, then the assignment, then one request for an acknowledgement.
 TEST_F(PublisherTest, AnAssignmentFollowsTheLinesOfItsTable) {
-    add_proxy(fleet_, 1, 0, 1);
-    fleet_.tables[kZoneTable].desired_weights = {{{1}, 1}};
-    const auto commands = publisher_.publish(kStart, false);
+    add_proxy(fleet, 1, 0, 1);
+    fleet.tables[kZoneTable].desired_weights = {{{1}, 1}};
+    const auto commands = publisher.publish(kStart, false);
     ASSERT_EQ(commands.size(), 3U);
     EXPECT_TRUE(std::holds_alternative<command::SetWeight>(commands[0]));
     EXPECT_EQ(std::get<command::AssignTable>(commands[1]).table, kZoneTable);
     EXPECT_TRUE(std::holds_alternative<command::RequestAck>(commands[2]));
-    EXPECT_TRUE(publisher_.publish(kStart + kSecond, false).empty());
+    EXPECT_TRUE(publisher.publish(kStart + kSecond, false).empty());
 }
 
 // A second change of a table waits until the first is acknowledged, or for two seconds, so that
 // changes are merged; a removal goes at once.
 TEST_F(PublisherTest, MergesChangesUntilTheyAreAcknowledged) {
-    add_proxy(fleet_, 1, 0, 1);
-    Table& table = fleet_.tables[kZoneTable];
+    add_proxy(fleet, 1, 0, 1);
+    Table& table = fleet.tables[kZoneTable];
     table.desired_weights = {{{1}, 1}};
-    publisher_.publish(kStart, false);
+    publisher.publish(kStart, false);
     table.desired_weights[{2}] = 1;
-    publisher_.publish(kStart + kSecond, false);
+    publisher.publish(kStart + kSecond, false);
     table.desired_weights[{3}] = 1;
-    EXPECT_TRUE(publisher_.publish(kStart + kSecond, false).empty());
-    fleet_.servers[{1}].state = ServerState::Gone;
+    EXPECT_TRUE(publisher.publish(kStart + kSecond, false).empty());
+    fleet.servers[{1}].state = ServerState::Gone;
     table.desired_weights.erase({1});
-    EXPECT_FALSE(publisher_.publish(kStart + kSecond, false).empty());
+    EXPECT_FALSE(publisher.publish(kStart + kSecond, false).empty());
 }
 
 // A proxy whose zone table is empty, or of no known zone, must get the full table.
 TEST_F(PublisherTest, WithoutAZoneTableAProxyGetsTheFullTable) {
-    const Proxy& proxy = add_proxy(fleet_, 1, 0, 1);
-    const std::map<OperationMask, TableId> full{{0, fleet_.full_table()}};
-    EXPECT_EQ(desired_tables(proxy, fleet_, false, subsetting_), full);
-    fleet_.tables[kZoneTable].desired_weights = {{{1}, 1}};
+    const Proxy& proxy = add_proxy(fleet, 1, 0, 1);
+    const std::map<OperationMask, TableId> full{{0, fleet.full_table()}};
+    EXPECT_EQ(desired_tables(proxy, fleet, false, subsetting), full);
+    fleet.tables[kZoneTable].desired_weights = {{{1}, 1}};
     const std::map<OperationMask, TableId> zone{{0, kZoneTable}};
-    EXPECT_EQ(desired_tables(proxy, fleet_, false, subsetting_), zone);
-    EXPECT_EQ(desired_tables(proxy, fleet_, true, subsetting_), full);
-    EXPECT_EQ(desired_tables(add_proxy(fleet_, 2, -1, 1), fleet_, false, subsetting_), full);
+    EXPECT_EQ(desired_tables(proxy, fleet, false, subsetting), zone);
+    EXPECT_EQ(desired_tables(proxy, fleet, true, subsetting), full);
+    EXPECT_EQ(desired_tables(add_proxy(fleet, 2, -1, 1), fleet, false, subsetting), full);
 }
 
 }  // namespace
--- a/tests/policy/send_budget_test.cpp
+++ b/tests/policy/send_budget_test.cpp
@@ -10,31 +10,31 @@
 class SendBudgetTest : public testing::Test {
 protected:
     SendBudgetTest() {
-        settings_.channel_lines_per_second = 100;
-        settings_.max_queued_lines = 100;
-        settings_.message_head_lines = 1;
-        settings_.message_window = 14 * kSecond;
-        add_proxy(fleet_, 1, 0, 1);
-        add_proxy(fleet_, 2, 0, 1);
+        settings.channel_lines_per_second = 100;
+        settings.max_queued_lines = 100;
+        settings.message_head_lines = 1;
+        settings.message_window = 14 * kSecond;
+        add_proxy(fleet, 1, 0, 1);
+        add_proxy(fleet, 2, 0, 1);
     }
 
     void send(SendBudget& budget, Micros now, int proxy, double lines) {
         budget.begin(now);
-        budget.reserve(fleet_.proxies, {{proxy}}, lines);
-        budget.commit(now, fleet_.proxies);
+        budget.reserve(fleet.proxies, {{proxy}}, lines);
+        budget.commit(now, fleet.proxies);
     }
 
     std::size_t available(const SendBudget& budget, Micros now, int proxy, Priority priority) {
-        return budget.lines_available(now, fleet_.proxies, {{proxy}}, priority);
+        return budget.lines_available(now, fleet.proxies, {{proxy}}, priority);
     }
 
-    Settings settings_ = basic_settings(1);
-    FleetState fleet_ = empty_fleet(1);
+    Settings settings = basic_settings(1);
+    FleetState fleet = empty_fleet(1);
 };
 
 // A queue that is full of what can wait would delay drains past their grace: a reserve is kept.
 TEST_F(SendBudgetTest, KeepsAReserveForWhatIsUrgent) {
-    SendBudget budget(settings_, kStart);
+    SendBudget budget(settings, kStart);
     budget.begin(kStart);
     EXPECT_EQ(available(budget, kStart, 1, Priority::Deferrable), 73U);
     EXPECT_EQ(available(budget, kStart, 1, Priority::Urgent), 93U);
@@ -43,43 +43,43 @@
 // The queue can't be seen. Unacknowledged it is taken to drain at a twentieth of the stated pace,
 // since a slow network must not fill it; an acknowledgement empties it.
 TEST_F(SendBudgetTest, DrainsSlowlyOrByAcknowledgement) {
-    SendBudget budget(settings_, kStart);
+    SendBudget budget(settings, kStart);
     send(budget, kStart, 1, 48);
     budget.begin(kStart + 2 * kSecond);
     EXPECT_EQ(available(budget, kStart + 2 * kSecond, 1, Priority::Deferrable), 33U);
-    budget.on_acknowledged({1}, budget.version(), fleet_.proxies);
+    budget.on_acknowledged({1}, budget.version(), fleet.proxies);
     EXPECT_EQ(available(budget, kStart + 2 * kSecond, 1, Priority::Deferrable), 73U);
 }
 
 // Lines to one proxy leave the channel in order with those to all others: one acknowledgement
 // proves what was sent before it to anyone.
 TEST_F(SendBudgetTest, AnAcknowledgementProvesEarlierLinesOfOthers) {
-    SendBudget budget(settings_, kStart);
+    SendBudget budget(settings, kStart);
     send(budget, kStart, 1, 40);
     send(budget, kStart, 2, 10);
-    budget.on_acknowledged({2}, budget.version(), fleet_.proxies);
+    budget.on_acknowledged({2}, budget.version(), fleet.proxies);
     EXPECT_EQ(available(budget, kStart, 1, Priority::Deferrable), 73U);
 }
 
 // What waited for a broken connection is lost, and newer lines may pass older ones. Until as many
 // are acknowledged, an acknowledgement proves its own proxy's lines alone.
 TEST_F(SendBudgetTest, AfterALossAnAcknowledgementProvesItsOwnProxyAlone) {
-    SendBudget budget(settings_, kStart);
-    add_proxy(fleet_, 3, 0, 1);
+    SendBudget budget(settings, kStart);
+    add_proxy(fleet, 3, 0, 1);
     send(budget, kStart, 3, 30);
     send(budget, kStart, 1, 30);
-    budget.on_disconnected(fleet_.proxies[{1}]);
+    budget.on_disconnected(fleet.proxies[{1}]);
     send(budget, kStart, 2, 5);
-    budget.on_acknowledged({2}, budget.version(), fleet_.proxies);
-    EXPECT_FALSE(fleet_.proxies[{3}].unacknowledged.empty());
+    budget.on_acknowledged({2}, budget.version(), fleet.proxies);
+    EXPECT_FALSE(fleet.proxies[{3}].unacknowledged.empty());
 }
 
 // More messages than the settings allow break the deployment's rule; two fifths may be used for
 // what can wait.
 TEST_F(SendBudgetTest, LimitsMessages) {
-    settings_.max_messages = 5;
-    settings_.max_queued_lines = 0;
-    SendBudget budget(settings_, kStart);
+    settings.max_messages = 5;
+    settings.max_queued_lines = 0;
+    SendBudget budget(settings, kStart);
     send(budget, kStart, 1, 1);
     send(budget, kStart, 1, 1);
     budget.begin(kStart);
--- a/tests/policy/shard_assignment_test.cpp
+++ b/tests/policy/shard_assignment_test.cpp
@@ -10,53 +10,53 @@
 class ShardAssignmentTest : public testing::Test {
 protected:
     ShardAssignmentTest() {
-        settings_.exclusive_shards = true;
-        settings_.shard_settle_time = 3 * kSecond;
-        settings_.max_network_delay = kSecond;
-        add_server(fleet_, 1, 0);
-        add_server(fleet_, 2, 0);
+        settings.exclusive_shards = true;
+        settings.shard_settle_time = 3 * kSecond;
+        settings.max_network_delay = kSecond;
+        add_server(fleet, 1, 0);
+        add_server(fleet, 2, 0);
     }
 
-    Settings settings_ = basic_settings(1);
-    FleetState fleet_ = empty_fleet(1);
+    Settings settings = basic_settings(1);
+    FleetState fleet = empty_fleet(1);
 };
 
 // Shards are spread evenly: each goes to the ready server with the fewest.
 TEST_F(ShardAssignmentTest, SpreadsShardsEvenly) {
-    ShardAssignment shards(settings_);
+    ShardAssignment shards(settings);
     for (int shard = 0; shard < 4; ++shard) {
-        shards.on_assignment_changed({{shard}, true}, fleet_);
+        shards.on_assignment_changed({{shard}, true}, fleet);
     }
-    EXPECT_EQ(shards.update(kStart, fleet_).size(), 4U);
+    EXPECT_EQ(shards.update(kStart, fleet).size(), 4U);
     std::map<ServerId, int> counts;
-    for (const auto& [shard, table] : fleet_.tables) {
+    for (const auto& [shard, table] : fleet.tables) {
         ++counts[table.published_weights.begin()->first];
     }
     EXPECT_EQ(counts[{1}], 2);
     EXPECT_EQ(counts[{2}], 2);
-    EXPECT_TRUE(shards.update(kStart, fleet_).empty());
+    EXPECT_TRUE(shards.update(kStart, fleet).empty());
 }
 
 // Writes of a lost owner may still take effect for the settle time and the network delay. A second
 // owner before that would let both write.
 TEST_F(ShardAssignmentTest, WaitsForTheFormerOwnersWrites) {
-    ShardAssignment shards(settings_);
-    shards.on_assignment_changed({{7}, true}, fleet_);
-    ShardAssignment::on_replica({{7}, {1}, 1}, fleet_);
-    fleet_.servers[{1}].state = ServerState::Gone;
-    EXPECT_EQ(shards.update(kStart, fleet_).size(), 1U);
-    EXPECT_TRUE(shards.update(kStart + 4 * kSecond - Micros{1}, fleet_).empty());
-    const auto commands = shards.update(kStart + 4 * kSecond, fleet_);
+    ShardAssignment shards(settings);
+    shards.on_assignment_changed({{7}, true}, fleet);
+    ShardAssignment::on_replica({{7}, {1}, 1}, fleet);
+    fleet.servers[{1}].state = ServerState::Gone;
+    EXPECT_EQ(shards.update(kStart, fleet).size(), 1U);
+    EXPECT_TRUE(shards.update(kStart + 4 * kSecond - Micros{1}, fleet).empty());
+    const auto commands = shards.update(kStart + 4 * kSecond, fleet);
     ASSERT_EQ(commands.size(), 1U);
     EXPECT_EQ(std::get<command::SetWeight>(commands[0]).server, ServerId{2});
 }
 
 // Another instance decides on a shard that was taken away: nothing may be said of it any more.
 TEST_F(ShardAssignmentTest, ForgetsAShardThatIsTakenAway) {
-    ShardAssignment shards(settings_);
-    shards.on_assignment_changed({{7}, true}, fleet_);
-    shards.on_assignment_changed({{7}, false}, fleet_);
-    EXPECT_TRUE(shards.update(kStart, fleet_).empty());
+    ShardAssignment shards(settings);
+    shards.on_assignment_changed({{7}, true}, fleet);
+    shards.on_assignment_changed({{7}, false}, fleet);
+    EXPECT_TRUE(shards.update(kStart, fleet).empty());
 }
 
 }  // namespace
--- a/tests/policy/table_planner_test.cpp
+++ b/tests/policy/table_planner_test.cpp
@@ -13,48 +13,48 @@
 protected:
     TablePlannerTest() {
         for (unsigned id = 0; id < 6; ++id) {
-            add_server(fleet_, id, static_cast<int>(id % 2));
+            add_server(fleet, id, static_cast<int>(id % 2));
         }
-        add_proxy(fleet_, 1, 0, 10);
-        add_proxy(fleet_, 2, 1, 10);
+        add_proxy(fleet, 1, 0, 10);
+        add_proxy(fleet, 2, 1, 10);
     }
 
     std::optional<std::string> update(Micros now) {
-        demand_.update(now, fleet_);
-        return planner_.update(now, fleet_, outliers_, slow_start_, demand_);
+        demand.update(now, fleet);
+        return planner.update(now, fleet, outliers, slow_start, demand);
     }
 
-    std::size_t width(TableId table) { return fleet_.tables[table].desired_weights.size(); }
+    std::size_t width(TableId table) { return fleet.tables[table].desired_weights.size(); }
 
-    Settings settings_ = basic_settings(2);
-    FleetState fleet_ = empty_fleet(2);
-    OutlierDetector outliers_{2, kObjective, kNoCpuColumn};
-    SlowStart slow_start_{settings_, kObjective, kStart};
-    DemandEstimator demand_{2, 2, kStart};
-    TablePlanner planner_{settings_};
+    Settings settings = basic_settings(2);
+    FleetState fleet = empty_fleet(2);
+    OutlierDetector outliers{2, kObjective, kNoCpuColumn};
+    SlowStart slow_start{settings, kObjective, kStart};
+    DemandEstimator demand{2, 2, kStart};
+    TablePlanner planner{settings};
 };
 
 // The ordinary case: each zone's table holds its own servers, the full table all of them.
 TEST_F(TablePlannerTest, ZoneTablesHoldTheAllocatedServers) {
     EXPECT_EQ(update(kStart), std::nullopt);
-    EXPECT_FALSE(planner_.full_table_mode());
+    EXPECT_FALSE(planner.full_table_mode());
     EXPECT_EQ(width({0}), 3U);
     EXPECT_EQ(width({1}), 3U);
-    EXPECT_EQ(width(fleet_.full_table()), 6U);
+    EXPECT_EQ(width(fleet.full_table()), 6U);
 }
 
 // Where zone tables can't keep the ceiling all proxies get the full table. It is logged once, and
 // zone tables come back only after the hold-down, against flapping.
 TEST_F(TablePlannerTest, InfeasibleMeansTheFullTableUntilTheHoldDownIsOver) {
-    demand_.update(kStart + kRecomputeInterval, fleet_);
-    add_server(fleet_, 9, -1);
+    demand.update(kStart + kRecomputeInterval, fleet);
+    add_server(fleet, 9, -1);
     EXPECT_EQ(update(kStart + kRecomputeInterval), "full table for all: a server without a zone");
     EXPECT_EQ(update(kStart + kRecomputeInterval), std::nullopt);
-    fleet_.servers.erase({9});
+    fleet.servers.erase({9});
     for (int round = 1; round <= kHoldDownRounds; ++round) {
         EXPECT_EQ(update(kStart + kRecomputeInterval), std::nullopt);
-        EXPECT_TRUE(planner_.full_table_mode());
-        planner_.on_round();
+        EXPECT_TRUE(planner.full_table_mode());
+        planner.on_round();
     }
     EXPECT_EQ(update(kStart + kRecomputeInterval), "zone tables again");
 }
@@ -62,15 +62,15 @@
 // A zone all of whose servers are ejected would leave its local-only operations without any: the
 // table then holds them all.
 TEST_F(TablePlannerTest, EjectionsNeverEmptyALocalOnlyTable) {
-    fleet_.operations = {3, 2, 1};
+    fleet.operations = {3, 2, 1};
     for (unsigned id = 0; id < 6; ++id) {
-        outliers_.on_load_report(
+        outliers.on_load_report(
             kStart, load_report(static_cast<int>(id % 2), id, 20, id % 2 == 0 ? 20 : 0, kFast));
     }
-    outliers_.evaluate(kStart, fleet_, outliers_.fleet_stats(kStart, fleet_));
-    ASSERT_TRUE(outliers_.is_ejected({0}, {0}));
+    outliers.evaluate(kStart, fleet, outliers.fleet_stats(kStart, fleet));
+    ASSERT_TRUE(outliers.is_ejected({0}, {0}));
     update(kStart);
-    EXPECT_EQ(width(fleet_.local_only_table({0})), 3U);
+    EXPECT_EQ(width(fleet.local_only_table({0})), 3U);
 }
 
 // The load of a zone is its demand for its servers, in units of the mean; an empty zone counts as
