--- a/src/platform/config_writer.cpp
+++ b/src/platform/config_writer.cpp
@@ -41,18 +41,18 @@
 
 void add_lines(std::vector<Words>& parts, const runtime::TableUpdate& part, const Names& names,
                const ServerIds& servers) {
-    if (!part.whole && part.lines.empty()) {
+    if (!part.replace_all && part.weights.empty()) {
         return;
     }
-    auto it = part.lines.begin();
+    auto it = part.weights.begin();
     bool first = true;
     do {
         std::string rows;
-        for (std::size_t count = 0; it != part.lines.end() && count < kRowsMost; ++it, ++count) {
+        for (std::size_t count = 0; it != part.weights.end() && count < kRowsMost; ++it, ++count) {
             rows += (rows.empty() ? "" : ",") + servers.id(it->first) + ":" + number(it->second);
         }
-        Words words = opening(part.ops, names);
-        if (part.whole && first) {
+        Words words = opening(part.operations, names);
+        if (part.replace_all && first) {
             words.insert(words.end(), {"replace", "1"});
         }
         if (!rows.empty()) {
@@ -60,13 +60,13 @@
         }
         parts.push_back(std::move(words));
         first = false;
-    } while (it != part.lines.end());
+    } while (it != part.weights.end());
 }
 
 // Operations with the same level share a part.
 void add_levels(std::vector<Words>& parts, const runtime::TableUpdate& part, const Names& names) {
     std::vector<std::pair<runtime::AdmissionSetting, OperationMask>> groups;
-    for (const auto& [op, level] : part.levels) {
+    for (const auto& [op, level] : part.admission) {
         const OperationMask bit = OperationMask{1} << op.value;
         bool found = false;
         for (auto& [known, ops] : groups) {
@@ -81,8 +81,8 @@
     }
     for (const auto& [level, ops] : groups) {
         Words words = opening(ops, names);
-        words.insert(words.end(), {"gate", number(level.let_in), "again",
-                                   std::to_string(static_cast<int>(level.again))});
+        words.insert(words.end(), {"gate", number(level.limit), "again",
+                                   std::to_string(static_cast<int>(level.retry_mode))});
         parts.push_back(std::move(words));
     }
 }
@@ -100,7 +100,7 @@
 std::optional<std::string> to_config(const runtime::ProxyUpdate& order, const Names& names,
                                      const ServerIds& servers) {
     std::vector<Words> parts;
-    for (const auto& part : order.parts) {
+    for (const auto& part : order.tables) {
         add_lines(parts, *part, names, servers);
         add_levels(parts, *part, names);
     }
@@ -109,14 +109,14 @@
     }
     // These speak of the whole proxy: any part may carry them, the last one does.
     Words& last = parts.back();
-    if (!order.out.empty()) {
-        last.insert(last.end(), {"drop", ids(order.out, servers)});
+    if (!order.eject.empty()) {
+        last.insert(last.end(), {"drop", ids(order.eject, servers)});
     }
-    if (!order.back.empty()) {
-        last.insert(last.end(), {"undrop", ids(order.back, servers)});
+    if (!order.restore.empty()) {
+        last.insert(last.end(), {"undrop", ids(order.restore, servers)});
     }
-    if (order.mark) {
-        last.insert(last.end(), {"stamp", std::to_string(order.mark->value)});
+    if (order.ack_version) {
+        last.insert(last.end(), {"stamp", std::to_string(order.ack_version->value)});
     }
     if (parts.size() > kPartsMost) {
         return std::nullopt;
--- a/src/platform_server/platform_server.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -49,7 +49,7 @@
       listen_again_(clock_, actor),
       listen_until_(clock_.now() + kListenFor),
       discovery_(loop, actor, config.name, config.discovery, config.known.generation, config.seed) {
-    driver_.on_actions = [this](std::vector<Command> actions) {
+    driver_.on_commands = [this](std::vector<Command> actions) {
         carry_out(actions);
     };
     discovery_.on_list = [this](const platform::InstanceList& list) {
@@ -294,10 +294,10 @@
         return;
     }
     streams_.erase(stands);
-    orders_.left(connection.proxy);
+    orders_.on_proxy_disconnected(connection.proxy);
     ++figures_.leaves;
     if (!stopping_) {
-        driver_.tell(event::ProxyDisconnected{connection.proxy});
+        driver_.post(event::ProxyDisconnected{connection.proxy});
     }
 }
 
@@ -407,13 +407,13 @@
         end(stands->second, "a newer stream of this proxy");
     }
     streams_[joined.proxy] = id;
-    orders_.joined(joined.proxy);
+    orders_.on_proxy_connected(joined.proxy);
     ++figures_.joins;
     log_.info("proxy.joined", {{"proxy", joined.proxy.value},
                                {"zone", joined.zone.value},
                                {"fresh", joined.fresh_start},
                                {"peer", connection.stream->peer()}});
-    driver_.tell(joined);
+    driver_.post(joined);
 }
 
 void PlatformServer::handle_proxy(Connection& connection, const platform::Message& message) {
@@ -429,7 +429,7 @@
             return;
         }
         ++figures_.applied;
-        driver_.tell(*applied);
+        driver_.post(*applied);
     } else if (const auto* demand = std::get_if<event::ProxyDemandReport>(&message)) {
         if (demand->proxy != connection.proxy) {
             throw platform::InvalidMessage("a RATE in another proxy's name");
@@ -439,7 +439,7 @@
                              {"tries", demand->attempts},
                              {"failed", demand->failures},
                              {"span_us", demand->interval.count()}});
-        driver_.tell(*demand);
+        driver_.post(*demand);
     } else {
         throw platform::InvalidMessage("a message that is not a proxy's");
     }
@@ -458,9 +458,9 @@
                              {"failed", heard->failures},
                              {"mean_us", heard->mean_latency.count()},
                              {"span_us", heard->interval.count()}});
-        driver_.tell(*heard);
+        driver_.post(*heard);
     } else if (const auto* demand = std::get_if<event::ProxyDemandReport>(&message)) {
-        driver_.tell(*demand);
+        driver_.post(*demand);
     } else {
         throw platform::InvalidMessage("a message that is not a collector's");
     }
@@ -478,7 +478,7 @@
                              {"whole", form != UpdateKind::Delta},
                              {"rows", event.endpoints.size()},
                              {"ready", ready}});
-    driver_.tell(event);
+    driver_.post(event);
 }
 
 // ---- orders
@@ -489,18 +489,17 @@
             log_.info("module.says", {{"text", line->text}});
         }
     }
-    std::vector<std::string> refused;
-    const std::vector<runtime::ProxyUpdate> orders = orders_.take(actions, refused);
-    for (const std::string& why : refused) {
-        warn("order.refused", {{"why", why}});
+    const runtime::ApplyResult result = orders_.apply(actions);
+    for (const runtime::RejectedCommand& rejected : result.rejected) {
+        warn("order.refused", {{"why", rejected.reason}});
     }
     // Proxies with the same order get the same bytes.
     std::map<std::tuple<std::vector<runtime::TableUpdatePtr>, std::vector<ServerId>,
                         std::vector<ServerId>>,
              std::optional<std::string>>
         written;
-    for (const runtime::ProxyUpdate& order : orders) {
-        const auto [known, fresh] = written.try_emplace({order.parts, order.out, order.back});
+    for (const runtime::ProxyUpdate& order : result.updates) {
+        const auto [known, fresh] = written.try_emplace({order.tables, order.eject, order.restore});
         if (fresh) {
             known->second = platform::to_config(order, config_.names, servers_);
         }
@@ -520,8 +519,8 @@
     }
     const ConnectionId id = stands->second;
     Connection& connection = connections_.at(id);
-    if (order.mark) {
-        connection.marks.written(*order.mark);
+    if (order.ack_version) {
+        connection.marks.written(*order.ack_version);
     }
     ++figures_.orders;
     connection.stream->write(bytes);
@@ -532,7 +531,7 @@
 
 void PlatformServer::look() {
     look_.after(kLook, [this] { look(); });
-    servers_.forget(clock_.now(), [this](ServerId server) { return orders_.names(server); });
+    servers_.forget(clock_.now(), [this](ServerId server) { return orders_.references(server); });
     const Figures now = figures();
     log_.info("node.state", {{"proxies", now.proxies},
                              {"strangers", now.strangers},
--- a/src/runtime/config_state.cpp
+++ b/src/runtime/config_state.cpp
@@ -4,243 +4,279 @@
 
 namespace badgergrade::runtime {
 
-ConfigState::ConfigState(const Settings& told)
-    : head_lines_(told.message_head_lines),
-      all_let_in_(told.admission_mode == AdmissionMode::Rate ? kAnyRate : 1),
-      usual_again_(told.default_retry_mode) {
-    for (int k = 0; k < static_cast<int>(told.operations.size()); ++k) {
+ConfigState::ConfigState(const Settings& settings)
+    : head_lines_(settings.message_head_lines),
+      unlimited_(settings.admission_mode == AdmissionMode::Rate ? kUnlimitedRate : 1),
+      default_retry_mode_(settings.default_retry_mode) {
+    for (int k = 0; k < static_cast<int>(settings.operations.size()); ++k) {
         operations_.push_back({k});
-        all_ops_ |= OperationMask{1} << k;
+        all_operations_ |= OperationMask{1} << k;
     }
 }
 
-void ConfigState::joined(ProxyId proxy) {
-    Held& held = proxies_[proxy];
-    held.joined = true;
-    held.bound.clear();
+void ConfigState::on_proxy_connected(ProxyId proxy) {
+    ProxyConfig& config = proxies_[proxy];
+    config.connected = true;
+    config.assigned.clear();
 }
 
-void ConfigState::left(ProxyId proxy) {
+void ConfigState::on_proxy_disconnected(ProxyId proxy) {
     const auto it = proxies_.find(proxy);
     if (it == proxies_.end()) {
         return;
     }
-    it->second.joined = false;
-    it->second.bound.clear();
+    it->second.connected = false;
+    it->second.assigned.clear();
 }
 
-void ConfigState::carry_out(const command::SetWeight& a, Turn& turn) {
-    Lines& lines = tables_[a.table].lines;
-    if (a.weight > 0) {
-        lines[a.server] = a.weight;
+void ConfigState::set_weight(const command::SetWeight& command, PendingChanges& changes) {
+    Weights& weights = tables_[command.table].weights;
+    if (command.weight > 0) {
+        weights[command.server] = command.weight;
     } else {
-        lines.erase(a.server);
+        weights.erase(command.server);
     }
-    turn.changed[a.table].lines[a.server] = std::max(0.0, a.weight);
+    changes.tables[command.table].weights[command.server] = std::max(0.0, command.weight);
 }
 
-void ConfigState::carry_out(const command::ClearTable& a, Turn& turn) {
-    tables_[a.table] = {};
-    turn.changed[a.table] = {{}, {}, true};
+void ConfigState::clear_table(const command::ClearTable& command, PendingChanges& changes) {
+    tables_[command.table] = {};
+    changes.tables[command.table] = {{}, {}, true};
 }
 
-void ConfigState::carry_out(const command::AssignTable& a, Turn& turn,
-                            std::vector<std::string>& refused) {
-    const auto it = proxies_.find(a.proxy);
-    if (it == proxies_.end() || !it->second.joined) {
-        refused.push_back("a binding for proxy " + std::to_string(a.proxy.value) +
-                          ", which is not joined");
+void ConfigState::assign_table(const command::AssignTable& command, PendingChanges& changes,
+                               std::vector<RejectedCommand>& rejected) {
+    const auto it = proxies_.find(command.proxy);
+    if (it == proxies_.end() || !it->second.connected) {
+        rejected.push_back({"a binding for proxy " + std::to_string(command.proxy.value) +
+                            ", which is not joined"});
         return;
     }
-    // Operations are bound by mask; what this binding names leaves the masks it was in.
-    const OperationMask ops = a.operations == 0 ? all_ops_ : a.operations & all_ops_;
-    std::map<OperationMask, TableId> rest;
-    for (const auto& [mask, table] : it->second.bound) {
-        if (const OperationMask kept = mask & ~ops) {
-            rest[kept] = table;
-            if (kept != mask && turn.bound.erase({a.proxy, mask}) > 0) {
-                turn.bound.insert({a.proxy, kept});
-            }
+    // An operation uses one table: those of this command leave the masks that held them before.
+    const OperationMask operations =
+        command.operations == 0 ? all_operations_ : command.operations & all_operations_;
+    std::map<OperationMask, TableId> assigned;
+    for (const auto& [mask, table] : it->second.assigned) {
+        const OperationMask kept = mask & ~operations;
+        if (kept == 0) {
+            continue;
+        }
+        assigned[kept] = table;
+        if (kept != mask && changes.assigned.erase({command.proxy, mask}) > 0) {
+            changes.assigned.insert({command.proxy, kept});
         }
     }
-    rest[ops] = a.table;
-    it->second.bound = std::move(rest);
-    turn.bound.insert({a.proxy, ops});
+    assigned[operations] = command.table;
+    it->second.assigned = std::move(assigned);
+    changes.assigned.insert({command.proxy, operations});
 }
 
-void ConfigState::carry_out(const command::SetAdmission& a, Turn& turn) {
-    for (const OperationId op : operations_) {
-        if (!names_op(a.operations, op)) {
+void ConfigState::set_admission(const command::SetAdmission& command, PendingChanges& changes) {
+    for (const OperationId operation : operations_) {
+        if (!includes(command.operations, operation)) {
             continue;
         }
-        const AdmissionSetting level{a.limit, a.retry_mode};
-        if (a.table == kAllTables) {
-            every_table_[op] = level;
-            turn.levels_for_all = true;
+        const AdmissionSetting setting{command.limit, command.retry_mode};
+        if (command.table == kAllTables) {
+            admission_of_all_tables_[operation] = setting;
+            changes.admission_of_all_tables = true;
         } else {
-            tables_[a.table].levels[op] = level;
-            turn.changed[a.table].levels.insert(op);
+            tables_[command.table].admission[operation] = setting;
+            changes.tables[command.table].admission.insert(operation);
         }
     }
 }
 
-// Where a level is set for all and for the table the lower holds, and the table's own manner of
-// trying again.
-AdmissionSetting ConfigState::level(TableId id, OperationId op) const {
-    AdmissionSetting out{all_let_in_, usual_again_};
-    if (const auto it = every_table_.find(op); it != every_table_.end()) {
-        out = it->second;
+void ConfigState::set_ejected(const command::SetEjected& command) {
+    if (command.ejected) {
+        ejected_.insert(command.server);
+    } else {
+        ejected_.erase(command.server);
+    }
+}
+
+AdmissionSetting ConfigState::admission(TableId id, OperationId operation) const {
+    AdmissionSetting setting{unlimited_, default_retry_mode_};
+    if (const auto it = admission_of_all_tables_.find(operation);
+        it != admission_of_all_tables_.end()) {
+        setting = it->second;
     }
     const auto table = tables_.find(id);
     if (table == tables_.end()) {
-        return out;
+        return setting;
     }
-    if (const auto own = table->second.levels.find(op); own != table->second.levels.end()) {
-        out = {std::min(out.let_in, own->second.let_in), own->second.again};
+    const auto own = table->second.admission.find(operation);
+    if (own == table->second.admission.end()) {
+        return setting;
     }
-    return out;
+    return {std::min(setting.limit, own->second.limit), own->second.retry_mode};
 }
 
-TableUpdatePtr ConfigState::part_for(ProxyId proxy, TableId table, OperationMask ops, Turn& turn) {
-    const auto changed = turn.changed.find(table);
-    const bool bound = turn.bound.contains({proxy, ops});
-    const bool whole = bound || (changed != turn.changed.end() && changed->second.cleared);
-    if (!whole && changed == turn.changed.end() && !turn.levels_for_all) {
-        return nullptr;
-    }
-    TableUpdatePtr& made = turn.made[{table, ops, whole}];
-    if (made) {
-        return made;
-    }
-    auto part = std::make_shared<TableUpdate>();
-    const Table& stands = tables_[table];
-    part->table = table;
-    part->ops = ops == all_ops_ ? 0 : ops;
-    part->whole = whole;
-    if (whole) {
-        part->lines = stands.lines;
-    } else if (changed != turn.changed.end()) {
-        part->lines = changed->second.lines;
-    }
-    for (const OperationId op : operations_) {
-        if (!names_op(ops, op)) {
+AdmissionSettings ConfigState::changed_admission(TableId id, OperationMask operations,
+                                                 bool replace_all,
+                                                 const PendingChanges& changes) const {
+    const AdmissionSettings& own = tables_.at(id).admission;
+    const auto change = changes.tables.find(id);
+    AdmissionSettings changed;
+    for (const OperationId operation : operations_) {
+        if (!includes(operations, operation)) {
             continue;
         }
-        const bool set = stands.levels.contains(op) || every_table_.contains(op);
-        const bool fresh = whole || turn.levels_for_all ||
-                           (changed != turn.changed.end() && changed->second.levels.contains(op));
-        if (set && fresh) {
-            part->levels[op] = level(table, op);
+        const bool is_set = own.contains(operation) || admission_of_all_tables_.contains(operation);
+        const bool is_changed =
+            replace_all || changes.admission_of_all_tables ||
+            (change != changes.tables.end() && change->second.admission.contains(operation));
+        if (is_set && is_changed) {
+            changed[operation] = admission(id, operation);
         }
     }
-    return made = std::move(part);
+    return changed;
 }
 
-// A proxy keeps what it was told to shut out across its streams, while the module takes a proxy to
-// follow the withdrawals of this governor alone: what differs is told, and nothing else.
-void ConfigState::add_withdrawals(Held& held, ProxyUpdate& order) {
-    if (held.shut_out == withdrawn_) {
+TableUpdatePtr ConfigState::table_update_for(ProxyId proxy, TableId id, OperationMask operations,
+                                             PendingChanges& changes) {
+    const auto change = changes.tables.find(id);
+    const bool has_change = change != changes.tables.end();
+    const bool replace_all =
+        changes.assigned.contains({proxy, operations}) || (has_change && change->second.cleared);
+    if (!replace_all && !has_change && !changes.admission_of_all_tables) {
+        return nullptr;
+    }
+    TableUpdatePtr& built = changes.built[{id, operations, replace_all}];
+    if (built) {
+        return built;
+    }
+    auto update = std::make_shared<TableUpdate>();
+    update->table = id;
+    update->operations = operations == all_operations_ ? 0 : operations;
+    update->replace_all = replace_all;
+    const Table& table = tables_[id];
+    if (replace_all) {
+        update->weights = table.weights;
+    } else if (has_change) {
+        update->weights = change->second.weights;
+    }
+    update->admission = changed_admission(id, operations, replace_all, changes);
+    built = std::move(update);
+    return built;
+}
+
+bool ConfigState::may_use(const ProxyConfig& config, ServerId server) const {
+    // Before its first assignment a proxy uses a table that this instance does not know.
+    if (config.assigned.empty()) {
+        return true;
+    }
+    return std::any_of(config.assigned.begin(), config.assigned.end(),
+                       [&](const auto& entry) { return weights(entry.second).contains(server); });
+}
+
+/// A proxy keeps its ejections across streams, while the policy expects it to follow the ejections
+/// of this instance alone: the difference between the two is sent, and nothing else.
+void ConfigState::add_ejections(ProxyConfig& config, ProxyUpdate& update) {
+    if (config.ejected == ejected_) {
         return;
     }
-    const auto holds = [&](ServerId server) {
-        for (const auto& [ops, table] : held.bound) {
-            if (tables_[table].lines.contains(server)) {
-                return true;
-            }
-        }
-        // Before its first binding a proxy picks from a table that this governor does not know.
-        return held.bound.empty();
-    };
-    for (const ServerId server : withdrawn_) {
-        if (!held.shut_out.contains(server) && holds(server)) {
-            order.out.push_back(server);
+    for (const ServerId server : ejected_) {
+        if (!config.ejected.contains(server) && may_use(config, server)) {
+            update.eject.push_back(server);
         }
     }
-    for (const ServerId server : held.shut_out) {
-        if (!withdrawn_.contains(server)) {
-            order.back.push_back(server);
+    for (const ServerId server : config.ejected) {
+        if (!ejected_.contains(server)) {
+            update.restore.push_back(server);
         }
     }
-    for (const ServerId server : order.out) {
-        held.shut_out.insert(server);
-    }
-    for (const ServerId server : order.back) {
-        held.shut_out.erase(server);
-    }
-}
-
-std::vector<ProxyUpdate> ConfigState::take(const std::vector<Command>& actions,
-                                           std::vector<std::string>& refused) {
-    Turn turn;
-    for (const Command& action : actions) {
-        if (const auto* line = std::get_if<command::SetWeight>(&action)) {
-            carry_out(*line, turn);
-        } else if (const auto* clear = std::get_if<command::ClearTable>(&action)) {
-            carry_out(*clear, turn);
-        } else if (const auto* bind = std::get_if<command::AssignTable>(&action)) {
-            carry_out(*bind, turn, refused);
-        } else if (const auto* level = std::get_if<command::SetAdmission>(&action)) {
-            carry_out(*level, turn);
-        } else if (const auto* withdraw = std::get_if<command::SetEjected>(&action)) {
-            if (withdraw->ejected) {
-                withdrawn_.insert(withdraw->server);
-            } else {
-                withdrawn_.erase(withdraw->server);
-            }
-        } else if (const auto* mark = std::get_if<command::RequestAck>(&action)) {
-            turn.mark = mark->version;
-            turn.everyone = turn.everyone || mark->all_proxies;
-        }
+    for (const ServerId server : update.eject) {
+        config.ejected.insert(server);
+    }
+    for (const ServerId server : update.restore) {
+        config.ejected.erase(server);
     }
-    std::vector<ProxyUpdate> out;
-    for (auto& [proxy, held] : proxies_) {
-        if (!held.joined) {
+}
+
+void ConfigState::apply_command(const Command& command, PendingChanges& changes,
+                                std::vector<RejectedCommand>& rejected) {
+    if (const auto* weight = std::get_if<command::SetWeight>(&command)) {
+        set_weight(*weight, changes);
+    } else if (const auto* clear = std::get_if<command::ClearTable>(&command)) {
+        clear_table(*clear, changes);
+    } else if (const auto* assign = std::get_if<command::AssignTable>(&command)) {
+        assign_table(*assign, changes, rejected);
+    } else if (const auto* admission = std::get_if<command::SetAdmission>(&command)) {
+        set_admission(*admission, changes);
+    } else if (const auto* eject = std::get_if<command::SetEjected>(&command)) {
+        set_ejected(*eject);
+    } else if (const auto* request = std::get_if<command::RequestAck>(&command)) {
+        changes.ack_version = request->version;
+        changes.all_proxies_acknowledge |= request->all_proxies;
+    }
+}
+
+/// Nothing where the decision changes nothing for this proxy and asks it for no acknowledgement.
+std::optional<ProxyUpdate> ConfigState::update_for(ProxyId proxy, ProxyConfig& config,
+                                                   PendingChanges& changes) {
+    ProxyUpdate update;
+    update.proxy = proxy;
+    for (const auto& [operations, table] : config.assigned) {
+        const TableUpdatePtr part = table_update_for(proxy, table, operations, changes);
+        if (!part) {
             continue;
         }
-        ProxyUpdate order;
-        order.proxy = proxy;
-        for (const auto& [ops, table] : held.bound) {
-            if (const TableUpdatePtr part = part_for(proxy, table, ops, turn)) {
-                order.parts.push_back(part);
-                order.lines += (part->whole ? 1.0 : 0.0) +
-                               static_cast<double>(part->lines.size() + part->levels.size());
-            }
-        }
-        add_withdrawals(held, order);
-        order.lines += static_cast<double>(order.out.size() + order.back.size());
-        if (order.lines <= 0 && !(turn.everyone && turn.mark)) {
+        update.tables.push_back(part);
+        update.line_count += (part->replace_all ? 1.0 : 0.0) +
+                             static_cast<double>(part->weights.size() + part->admission.size());
+    }
+    add_ejections(config, update);
+    update.line_count += static_cast<double>(update.eject.size() + update.restore.size());
+    const bool must_acknowledge = changes.all_proxies_acknowledge && changes.ack_version;
+    if (update.line_count <= 0 && !must_acknowledge) {
+        return std::nullopt;
+    }
+    update.ack_version = changes.ack_version;
+    update.line_count += head_lines_ + (changes.ack_version ? 1 : 0);
+    return update;
+}
+
+ApplyResult ConfigState::apply(const std::vector<Command>& commands) {
+    ApplyResult result;
+    PendingChanges changes;
+    for (const Command& command : commands) {
+        apply_command(command, changes, result.rejected);
+    }
+    for (auto& [proxy, config] : proxies_) {
+        if (!config.connected) {
             continue;
         }
-        order.mark = turn.mark;
-        order.lines += head_lines_ + (turn.mark ? 1 : 0);
-        out.push_back(std::move(order));
+        if (auto update = update_for(proxy, config, changes)) {
+            result.updates.push_back(*std::move(update));
+        }
     }
-    return out;
+    return result;
 }
 
-const std::map<OperationMask, TableId>& ConfigState::held_by(ProxyId proxy) const {
+const std::map<OperationMask, TableId>& ConfigState::assigned_tables(ProxyId proxy) const {
     static const std::map<OperationMask, TableId> none;
     const auto it = proxies_.find(proxy);
-    return it == proxies_.end() ? none : it->second.bound;
+    return it == proxies_.end() ? none : it->second.assigned;
 }
 
-const Lines& ConfigState::lines(TableId table) const {
-    static const Lines none;
+const Weights& ConfigState::weights(TableId table) const {
+    static const Weights none;
     const auto it = tables_.find(table);
-    return it == tables_.end() ? none : it->second.lines;
+    return it == tables_.end() ? none : it->second.weights;
 }
 
-bool ConfigState::names(ServerId server) const {
-    if (withdrawn_.contains(server)) {
+bool ConfigState::references(ServerId server) const {
+    if (ejected_.contains(server)) {
         return true;
     }
     for (const auto& [id, table] : tables_) {
-        if (table.lines.contains(server)) {
+        if (table.weights.contains(server)) {
             return true;
         }
     }
-    for (const auto& [proxy, held] : proxies_) {
-        if (held.shut_out.contains(server)) {
+    for (const auto& [proxy, config] : proxies_) {
+        if (config.ejected.contains(server)) {
             return true;
         }
     }
--- a/src/runtime/config_state.h
+++ b/src/runtime/config_state.h
@@ -1,6 +1,7 @@
-// What the module's orders are for each proxy, in words of no protocol: whole tables where it was
-// bound, changed lines and levels where it was before, servers shut out, the mark. No socket and no
-// decision in here.
+/// \file
+/// The configuration that this instance has published: weights, admission settings, ejections and
+/// which tables each proxy is assigned. Turns the commands of one decision into one update per
+/// proxy, in the terms of no protocol. No I/O and no decision in here.
 #pragma once
 
 #include <map>
@@ -18,111 +19,145 @@
 
 namespace badgergrade::runtime {
 
-// A rate at or above this lets everything in (the module's word for "all").
-constexpr double kAnyRate = 1e6;
+/// An admission limit (attempts per second) at or above this admits everything.
+constexpr double kUnlimitedRate = 1e6;
 
-// Whether a mask of operations names this one; 0 names all.
-constexpr bool names_op(OperationMask ops, OperationId op) {
-    return ops == 0 || (ops >> op.value & 1) != 0;
+/// Whether a mask of operations includes this one; the mask 0 includes all.
+constexpr bool includes(OperationMask mask, OperationId operation) {
+    return mask == 0 || (mask >> operation.value & 1) != 0;
 }
 
+/// What a proxy admits of one operation and how it retries.
 struct AdmissionSetting {
-    double let_in = 0;
-    RetryMode again = RetryMode::OnlyUnprocessed;
+    /// A fraction of [0, 1] or attempts per second, as Settings::admission_mode says.
+    double limit = 0;
+    RetryMode retry_mode = RetryMode::OnlyUnprocessed;
     friend bool operator==(const AdmissionSetting&, const AdmissionSetting&) = default;
 };
 
-using Lines = std::map<ServerId, double>;  // weight 0 removes a line
-using Levels = std::map<OperationId, AdmissionSetting>;
+/// Weight by server. In an update, weight 0 removes the server from the table.
+using Weights = std::map<ServerId, double>;
+using AdmissionSettings = std::map<OperationId, AdmissionSetting>;
 
-// One table for some of a proxy's operations; shared by all proxies that get the same.
+/// One table for some of a proxy's operations; shared by all proxies that get the same.
 struct TableUpdate {
     TableId table;
-    OperationMask ops = 0;  // 0: all
-    bool whole = false;  // the lines are the whole table, and levels ordered before are forgotten
-    Lines lines;
-    Levels levels;
+    OperationMask operations = 0;  ///< 0: all
+    /// The weights are the entire table, and earlier admission settings of it no longer hold.
+    bool replace_all = false;
+    Weights weights;
+    AdmissionSettings admission;
 };
 
 using TableUpdatePtr = std::shared_ptr<const TableUpdate>;
 
-// What one decision is for one proxy.
+/// What one decision changes for one proxy.
 struct ProxyUpdate {
     ProxyId proxy;
-    std::vector<TableUpdatePtr> parts;
-    std::vector<ServerId> out, back;  // servers to shut out, to let back
-    std::optional<ConfigVersion> mark;
-    double lines = 0;  // head, lines, levels, withdrawals, bindings and mark
+    std::vector<TableUpdatePtr> tables;
+    std::vector<ServerId> eject;
+    std::vector<ServerId> restore;
+    std::optional<ConfigVersion> ack_version;  ///< the proxy is asked to acknowledge it
+    /// Size in lines as the channel counts them: head, weights, admission settings, ejections,
+    /// replaced tables and the acknowledgement request.
+    double line_count = 0;
+};
+
+/// A command that was not carried out.
+struct RejectedCommand {
+    std::string reason;  ///< for the log
+};
+
+struct ApplyResult {
+    std::vector<ProxyUpdate> updates;  ///< for the connected proxies concerned, by ascending id
+    std::vector<RejectedCommand> rejected;
 };
 
 class ConfigState {
 public:
-    struct Table {
-        Lines lines;
-        Levels levels;
-    };
-
-    explicit ConfigState(const Settings& told);
+    explicit ConfigState(const Settings& settings);
 
-    // A proxy's stream stands, and it is bound to nothing of ours; or its stream is over. What it
-    // was told to shut out it goes on shutting out, whatever stream it comes on: that is kept here
-    // as long as this governor lives.
-    void joined(ProxyId proxy);
-    void left(ProxyId proxy);
+    /// A proxy's stream is open; no table is assigned to it yet. Its ejections are kept for as long
+    /// as this instance runs, since a proxy keeps them across streams.
+    void on_proxy_connected(ProxyId proxy);
+    /// A proxy's stream is closed: its assignments end. An unknown proxy is ignored.
+    void on_proxy_disconnected(ProxyId proxy);
 
-    // Carries out the table orders among `actions` and gives what they are for each joined proxy,
-    // by number. What names a proxy that is not joined is left out and told in `refused`.
-    std::vector<ProxyUpdate> take(const std::vector<Command>& actions,
-                                  std::vector<std::string>& refused);
+    /// Carries out the table commands among `commands`; the other ones are ignored. A command that
+    /// names a proxy that is not connected is rejected.
+    ApplyResult apply(const std::vector<Command>& commands);
 
-    // How things stand: for those who say them as whole resources. `held_by` gives the tables by
-    // operations.
-    const std::map<OperationMask, TableId>& held_by(ProxyId proxy) const;
-    const Lines& lines(TableId table) const;
-    AdmissionSetting level(TableId table, OperationId op) const;
+    /// The tables of a proxy by the operations that use them; empty for an unknown proxy.
+    const std::map<OperationMask, TableId>& assigned_tables(ProxyId proxy) const;
+    /// The servers of a table; empty for an unknown table.
+    const Weights& weights(TableId table) const;
+    /// The setting in force for an operation of a table. Where one is set for all tables and one
+    /// for this table, the lower limit and the table's own retry mode hold.
+    AdmissionSetting admission(TableId table, OperationId operation) const;
 
-    const std::set<ServerId>& withdrawn() const { return withdrawn_; }
+    const std::set<ServerId>& ejected_servers() const { return ejected_; }
 
-    // Whether a table, a withdrawal or a proxy still names this server.
-    bool names(ServerId server) const;
+    /// Whether a table, an ejection or a proxy's ejections still reference this server, so that its
+    /// id must not be given to another one.
+    bool references(ServerId server) const;
 
 private:
-    struct Held {
-        bool joined = false;
-        std::map<OperationMask, TableId> bound;
-        std::set<ServerId> shut_out;
+    struct Table {
+        Weights weights;
+        AdmissionSettings admission;
+    };
+
+    struct ProxyConfig {
+        bool connected = false;
+        std::map<OperationMask, TableId> assigned;
+        std::set<ServerId> ejected;
     };
 
-    // What this decision changed so far in a table.
-    struct Changed {
-        Lines lines;
-        std::set<OperationId> levels;
+    /// What the commands of one call of apply() have changed in a table so far.
+    struct TableChange {
+        Weights weights;
+        std::set<OperationId> admission;
         bool cleared = false;
     };
 
-    struct Turn {
-        std::map<TableId, Changed> changed;
-        std::set<std::pair<ProxyId, OperationMask>> bound;
-        std::map<std::tuple<TableId, OperationMask, bool>, TableUpdatePtr> made;
-        bool levels_for_all = false, everyone = false;
-        std::optional<ConfigVersion> mark;
+    /// What the commands of one call of apply() have changed so far.
+    struct PendingChanges {
+        std::map<TableId, TableChange> tables;
+        std::set<std::pair<ProxyId, OperationMask>> assigned;
+        /// Updates that are built already, by table, operations and replace_all.
+        std::map<std::tuple<TableId, OperationMask, bool>, TableUpdatePtr> built;
+        bool admission_of_all_tables = false;
+        std::optional<ConfigVersion> ack_version;
+        bool all_proxies_acknowledge = false;
     };
 
-    void carry_out(const command::SetWeight& a, Turn& turn);
-    void carry_out(const command::ClearTable& a, Turn& turn);
-    void carry_out(const command::AssignTable& a, Turn& turn, std::vector<std::string>& refused);
-    void carry_out(const command::SetAdmission& a, Turn& turn);
-    TableUpdatePtr part_for(ProxyId proxy, TableId table, OperationMask ops, Turn& turn);
-    void add_withdrawals(Held& held, ProxyUpdate& order);
+    void apply_command(const Command& command, PendingChanges& changes,
+                       std::vector<RejectedCommand>& rejected);
+    void set_weight(const command::SetWeight& command, PendingChanges& changes);
+    void clear_table(const command::ClearTable& command, PendingChanges& changes);
+    void assign_table(const command::AssignTable& command, PendingChanges& changes,
+                      std::vector<RejectedCommand>& rejected);
+    void set_admission(const command::SetAdmission& command, PendingChanges& changes);
+    void set_ejected(const command::SetEjected& command);
+
+    std::optional<ProxyUpdate> update_for(ProxyId proxy, ProxyConfig& config,
+                                          PendingChanges& changes);
+    TableUpdatePtr table_update_for(ProxyId proxy, TableId table, OperationMask operations,
+                                    PendingChanges& changes);
+    AdmissionSettings changed_admission(TableId table, OperationMask operations, bool replace_all,
+                                        const PendingChanges& changes) const;
+    void add_ejections(ProxyConfig& config, ProxyUpdate& update);
+    bool may_use(const ProxyConfig& config, ServerId server) const;
 
     std::vector<OperationId> operations_;
-    double head_lines_, all_let_in_;
-    RetryMode usual_again_;
-    OperationMask all_ops_ = 0;
+    OperationMask all_operations_ = 0;
+    double head_lines_;
+    double unlimited_;
+    RetryMode default_retry_mode_;
     std::map<TableId, Table> tables_;
-    Levels every_table_;
-    std::set<ServerId> withdrawn_;
-    std::map<ProxyId, Held> proxies_;
+    AdmissionSettings admission_of_all_tables_;
+    std::set<ServerId> ejected_;
+    std::map<ProxyId, ProxyConfig> proxies_;
 };
 
 }  // namespace badgergrade::runtime
--- a/src/runtime/policy_runner.cpp
+++ b/src/runtime/policy_runner.cpp
@@ -6,58 +6,58 @@
 
 namespace badgergrade::runtime {
 
-PolicyRunner::PolicyRunner(base::Clock& clock, base::ActorId actor, const Settings& told,
+PolicyRunner::PolicyRunner(base::Clock& clock, base::ActorId actor, const Settings& settings,
                            std::uint64_t seed, Micros batch)
     : clock_(clock),
       actor_(actor),
       batch_(batch),
-      module_(told, seed, clock.now()),
-      decide_(clock, actor) {}
+      planner_(settings, seed, clock.now()),
+      decision_timer_(clock, actor) {}
 
-void PolicyRunner::tell(const Event& event) {
+void PolicyRunner::post(const Event& event) {
     if (on_event) {
         on_event(event);
     }
-    module_.take(clock_.now(), event);
-    if (!decide_.set()) {
-        decide_.after(batch_, [this] { decide(); });
+    planner_.take(clock_.now(), event);
+    if (!decision_timer_.set()) {
+        decision_timer_.after(batch_, [this] { decide(); });
     }
 }
 
-void PolicyRunner::decide_soon() {
-    decide_.after(Micros{0}, [this] { decide(); });
+void PolicyRunner::schedule_decision() {
+    decision_timer_.after(Micros{0}, [this] { decide(); });
 }
 
 void PolicyRunner::stop() {
-    decide_.stop();
+    decision_timer_.stop();
     timers_.clear();
 }
 
 void PolicyRunner::set_timer(const command::SetTimer& timer) {
     const auto it = timers_.emplace(timers_.end(), clock_, actor_);
     it->after(timer.delay, [this, it, token = timer.token] {
-        const event::TimerFired due{token};
+        const event::TimerFired fired{token};
         timers_.erase(it);
-        tell(due);
+        post(fired);
     });
 }
 
 void PolicyRunner::decide() {
     const base::CpuMeter meter(cpu_us_);
-    std::vector<Command> decided = module_.decide(clock_.now());
-    std::vector<Command> orders;
+    std::vector<Command> decided = planner_.decide(clock_.now());
     if (on_decided) {
         on_decided(decided);
     }
-    for (Command& action : decided) {
-        if (const auto* timer = std::get_if<command::SetTimer>(&action)) {
+    std::vector<Command> commands;
+    for (Command& command : decided) {
+        if (const auto* timer = std::get_if<command::SetTimer>(&command)) {
             set_timer(*timer);
         } else {
-            orders.push_back(std::move(action));
+            commands.push_back(std::move(command));
         }
     }
-    if (!orders.empty()) {
-        on_actions(std::move(orders));
+    if (!commands.empty()) {
+        on_commands(std::move(commands));
     }
 }
 
--- a/src/runtime/policy_runner.h
+++ b/src/runtime/policy_runner.h
@@ -1,5 +1,6 @@
-// Drives one module: events that come close together are decided on together, its timers are
-// separate events, and its clock is the one handed in. Knows no protocol.
+/// \file
+/// Runs one policy::Planner on a clock: events that arrive close together share one decision, and
+/// the timers that the planner sets come back to it as events. Knows no protocol.
 #pragma once
 
 #include <functional>
@@ -13,26 +14,30 @@
 
 class PolicyRunner {
 public:
-    // What comes within `batch` is decided on together.
-    PolicyRunner(base::Clock& clock, base::ActorId actor, const Settings& told, std::uint64_t seed,
-                 Micros batch);
+    /// \param batch  events that arrive within this time share one decision
+    PolicyRunner(base::Clock& clock, base::ActorId actor, const Settings& settings,
+                 std::uint64_t seed, Micros batch);
 
-    // Each event before the module takes it, its own timers included. May be unset.
+    /// Called with each event before the planner gets it, timer events included. May be unset.
     std::function<void(const Event&)> on_event;
-    // All that was decided, before it is carried out: for those who watch, and for tests. May be
-    // unset.
+    /// Called with all commands of a decision before any of them is carried out, for observers and
+    /// for tests, which may change them. May be unset.
     std::function<void(std::vector<Command>&)> on_decided;
-    // All that was decided but the timers, which are kept here. Must be set before the first event.
-    std::function<void(std::vector<Command>)> on_actions;
-
-    void tell(const Event& event);
-    // Decides at the next turn, whether anything happened or not.
-    void decide_soon();
+    /// Called with the commands of a decision but the timers, which are kept here; not called where
+    /// there are none. Must be set before the first event.
+    std::function<void(std::vector<Command>)> on_commands;
+
+    /// Hands an event to the planner and schedules a decision, if none is scheduled yet.
+    void post(const Event& event);
+    /// Schedules a decision without delay, with or without an event.
+    void schedule_decision();
+    /// Cancels the scheduled decision and all timers.
     void stop();
 
+    /// Number of timers that are set.
     std::size_t timers() const { return timers_.size(); }
 
-    // CPU that decisions took, with all that was done with them.
+    /// CPU time in microseconds of the decisions and of carrying them out.
     std::int64_t cpu_us() const { return cpu_us_; }
 
 private:
@@ -42,9 +47,9 @@
     base::Clock& clock_;
     base::ActorId actor_;
     Micros batch_;
-    policy::Planner module_;
-    base::Timer decide_;
-    // Each setting is an event of its own, also of a token that is set already.
+    policy::Planner planner_;
+    base::Timer decision_timer_;
+    /// Each SetTimer is an event of its own, also where its token is set already.
     std::list<base::Timer> timers_;
     std::int64_t cpu_us_ = 0;
 };
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -69,12 +69,12 @@
 
 void SnapshotCache::joined(ProxyId proxy) {
     proxies_[proxy] = {};
-    book_.joined(proxy);
+    book_.on_proxy_connected(proxy);
 }
 
 void SnapshotCache::left(ProxyId proxy) {
     proxies_.erase(proxy);
-    book_.left(proxy);
+    book_.on_proxy_disconnected(proxy);
 }
 
 std::vector<Message> SnapshotCache::order(Micros now, std::vector<Command> actions,
@@ -97,13 +97,17 @@
         return withdraw && !known(withdraw->server, "a withdrawal of");
     });
     std::vector<Message> out;
-    for (const runtime::ProxyUpdate& order : book_.take(actions, refused)) {
+    const runtime::ApplyResult result = book_.apply(actions);
+    for (const runtime::RejectedCommand& rejected : result.rejected) {
+        refused.push_back(rejected.reason);
+    }
+    for (const runtime::ProxyUpdate& order : result.updates) {
         Message message;
         message.proxy = order.proxy;
         message.order = orders_;
         message.ordered = now;
-        message.mark = order.mark;
-        message.lines = order.lines;
+        message.mark = order.ack_version;
+        message.lines = order.line_count;
         message.changes = changes_for(order);
         out.push_back(std::move(message));
     }
@@ -113,15 +117,15 @@
 // Tables whose lines an order changes, also by what it shuts out or lets back.
 std::set<TableId> SnapshotCache::assignments_of(const runtime::ProxyUpdate& order) const {
     std::set<TableId> out;
-    for (const auto& part : order.parts) {
-        if (part->whole || !part->lines.empty()) {
+    for (const auto& part : order.tables) {
+        if (part->replace_all || !part->weights.empty()) {
             out.insert(part->table);
         }
     }
-    for (const auto* servers : {&order.out, &order.back}) {
+    for (const auto* servers : {&order.eject, &order.restore}) {
         for (const ServerId server : *servers) {
-            for (const auto& [ops, table] : book_.held_by(order.proxy)) {
-                if (book_.lines(table).contains(server)) {
+            for (const auto& [ops, table] : book_.assigned_tables(order.proxy)) {
+                if (book_.weights(table).contains(server)) {
                     out.insert(table);
                 }
             }
@@ -132,7 +136,7 @@
 
 std::vector<Change> SnapshotCache::changes_for(const runtime::ProxyUpdate& order) {
     Held& held = proxies_.at(order.proxy);
-    const auto& bound = book_.held_by(order.proxy);
+    const auto& bound = book_.assigned_tables(order.proxy);
     const std::set<TableId> assignments = assignments_of(order);
     std::vector<Change> out;
     const auto put = [&](ResourcePtr resource) {
@@ -152,7 +156,7 @@
             put(assignment(table));
         }
     }
-    if (!order.out.empty() || !order.back.empty()) {
+    if (!order.eject.empty() || !order.restore.empty()) {
         put(startup());
     }
     if (!bound.empty()) {
@@ -243,8 +247,8 @@
     }
     envoy::config::endpoint::v3::ClusterLoadAssignment out;
     out.set_cluster_name(cluster_name(table));
-    for (const auto& [server, weight] : book_.lines(table)) {
-        add_endpoint(out, places_.at(server), weight, book_.withdrawn().contains(server));
+    for (const auto& [server, weight] : book_.weights(table)) {
+        add_endpoint(out, places_.at(server), weight, book_.ejected_servers().contains(server));
     }
     return made = keep(Type::Endpoints, out.cluster_name(), stable_bytes(out));
 }
@@ -256,7 +260,7 @@
     }
     envoy::config::endpoint::v3::ClusterLoadAssignment out;
     out.set_cluster_name(std::string(kStartup));
-    for (const ServerId server : book_.withdrawn()) {
+    for (const ServerId server : book_.ejected_servers()) {
         add_endpoint(out, places_.at(server), 0, true);
     }
     return made = keep(Type::Endpoints, out.cluster_name(), stable_bytes(out));
@@ -291,11 +295,11 @@
 std::string SnapshotCache::routes_key(ProxyId proxy) const {
     std::string key;
     for (std::size_t k = 0; k < operations_.size(); ++k) {
-        for (const auto& [ops, table] : book_.held_by(proxy)) {
-            if (!runtime::names_op(ops, {static_cast<int>(k)})) {
+        for (const auto& [ops, table] : book_.assigned_tables(proxy)) {
+            if (!runtime::includes(ops, {static_cast<int>(k)})) {
                 continue;
             }
-            const auto [let_in, again] = book_.level(table, {static_cast<int>(k)});
+            const auto [let_in, again] = book_.admission(table, {static_cast<int>(k)});
             key += std::to_string(table.value) + ":" + std::to_string(let_in) + ":" +
                    std::to_string(static_cast<int>(again)) + ";";
         }
@@ -315,12 +319,12 @@
     host->set_name(std::string(kRoutes));
     host->add_domains("*");
     for (std::size_t k = 0; k < operations_.size(); ++k) {
-        for (const auto& [ops, table] : book_.held_by(proxy)) {
-            if (!runtime::names_op(ops, {static_cast<int>(k)})) {
+        for (const auto& [ops, table] : book_.assigned_tables(proxy)) {
+            if (!runtime::includes(ops, {static_cast<int>(k)})) {
                 continue;
             }
             const Operation& op = operations_[k];
-            const auto [let_in, again] = book_.level(table, {static_cast<int>(k)});
+            const auto [let_in, again] = book_.admission(table, {static_cast<int>(k)});
             auto* route = host->add_routes();
             route->set_name(op.name);
             route->mutable_match()->set_path(path_of(op.name));
@@ -343,7 +347,7 @@
                             static_cast<double>(op.latency_objective.count()) * try_factor_));
                 }
             }
-            if (admit_ == AdmissionMode::Rate && let_in < runtime::kAnyRate) {
+            if (admit_ == AdmissionMode::Rate && let_in < runtime::kUnlimitedRate) {
                 limit::LocalRateLimit bucket;
                 bucket.set_stat_prefix(op.name);
                 // Filled ten times a second, so that a rate under one a second still lets single
--- a/src/xds_server/xds_server.cpp
+++ b/src/xds_server/xds_server.cpp
@@ -86,7 +86,7 @@
             watcher_->decided(clock_.now(), *this, actions);
         }
     };
-    driver_.on_actions = [this](std::vector<Command> actions) {
+    driver_.on_commands = [this](std::vector<Command> actions) {
         carry_out(std::move(actions));
     };
     server_.on_call = [this](net::GrpcCallPtr call) {
@@ -122,7 +122,7 @@
     }
     tick();
     period_.after(config.told.report_interval, [this] { end_period(); });
-    driver_.decide_soon();
+    driver_.schedule_decision();
 }
 
 XdsServer::~XdsServer() {
@@ -489,7 +489,7 @@
 // ---- the module
 
 void XdsServer::tell(const Event& event) {
-    driver_.tell(event);
+    driver_.post(event);
 }
 
 void XdsServer::tick() {
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -225,15 +225,17 @@
 
 struct Orders : Words {
     runtime::ConfigState book{config.settings};
-    std::vector<std::string> refused;
+    std::vector<runtime::RejectedCommand> rejected;
 
     std::map<int, std::string> give(std::vector<Command> actions) {
         std::map<int, std::string> out;
         lines.clear();
-        for (const auto& order : book.take(actions, refused)) {
+        const runtime::ApplyResult result = book.apply(actions);
+        rejected.insert(rejected.end(), result.rejected.begin(), result.rejected.end());
+        for (const auto& order : result.updates) {
             out[order.proxy.value] =
                 readable(platform::to_config(order, config.names, servers).value_or("too long"));
-            lines[order.proxy.value] = order.lines;
+            lines[order.proxy.value] = order.line_count;
         }
         return out;
     }
@@ -247,8 +249,8 @@
 
 TEST(Orders, ABindingIsTheWholeTableAndLaterLinesAreItsChanges) {
     Orders o;
-    o.book.joined({1});
-    o.book.joined({2});
+    o.book.on_proxy_connected({1});
+    o.book.on_proxy_connected({2});
     auto sent = o.give({o.line(7, "s-a", 1.5), o.line(7, "s-b", 0.25),
                         command::AssignTable{{7}, 0, {1}}, command::RequestAck{{905}, false}});
     ASSERT_EQ(sent.size(), 1u);
@@ -262,7 +264,7 @@
 
 TEST(Orders, OperationsAreNamedWhereATableIsNotForAll) {
     Orders o;
-    o.book.joined({1});
+    o.book.on_proxy_connected({1});
     auto sent = o.give({o.line(7, "s-a", 1), o.line(8, "s-b", 1), command::AssignTable{{7}, 1, {1}},
                         command::AssignTable{{8}, 2, {1}}, command::RequestAck{{1}, false}});
     EXPECT_EQ(sent[1],
@@ -274,8 +276,8 @@
 
 TEST(Orders, LevelsGoWithTheirMannerOfTryingAgain) {
     Orders o;
-    o.book.joined({1});
-    o.book.joined({2});
+    o.book.on_proxy_connected({1});
+    o.book.on_proxy_connected({2});
     auto sent = o.give({o.line(7, "s-a", 1), command::SetAdmission{{7}, 1, 0.5, RetryMode::Never},
                         command::AssignTable{{7}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1 part 1\nCONFIG for look up gate 0.5 again 0\n");
@@ -291,28 +293,28 @@
 
 TEST(Orders, AProxyThatComesOverIsToldOnlyWhatItShutsOutWrongly) {
     Orders o;
-    o.book.joined({1});
+    o.book.on_proxy_connected({1});
     o.give({o.line(7, "s-a", 1), o.line(7, "s-b", 1), command::AssignTable{{7}, 0, {1}}});
     auto sent = o.give(
         {command::SetEjected{o.server("s-a"), true}, command::SetEjected{o.server("s-c"), true}});
     EXPECT_EQ(sent[1], "CONFIG drop s-a\n") << "s-c is in no table that it holds";
-    o.book.left({1});
+    o.book.on_proxy_disconnected({1});
     EXPECT_TRUE(o.give({command::SetEjected{o.server("s-a"), false},
                         command::SetEjected{o.server("s-b"), true}})
                     .empty());
-    o.book.joined({1});
+    o.book.on_proxy_connected({1});
     sent = o.give({command::AssignTable{{7}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1,s-b:1 drop s-b undrop s-a\n");
 }
 
 TEST(Orders, AMarkForEveryoneReachesThoseWithoutChanges) {
     Orders o;
-    o.book.joined({1});
-    o.book.joined({2});
+    o.book.on_proxy_connected({1});
+    o.book.on_proxy_connected({2});
     const auto sent = o.give({command::RequestAck{{5}, true}});
     EXPECT_EQ(sent, (std::map<int, std::string>{{1, "CONFIG stamp 5\n"}, {2, "CONFIG stamp 5\n"}}));
     o.give({command::AssignTable{{7}, 0, {9}}});
-    EXPECT_EQ(o.refused.size(), 1u) << "not joined";
+    EXPECT_EQ(o.rejected.size(), 1u) << "not joined";
 }
 
 // ---- driving
@@ -322,16 +324,16 @@
     Words w;
     runtime::PolicyRunner driver(clock, {1}, w.config.settings, 1, 4ms);
     int decisions = 0;
-    driver.on_actions = [&](const std::vector<Command>&) {
+    driver.on_commands = [&](const std::vector<Command>&) {
         ++decisions;
     };
-    driver.tell(w.servers.take(w.config.known, UpdateKind::Cached, clock.now()));
-    driver.tell(event::ProxyConnected{{1}, true, {0}, 5});
+    driver.post(w.servers.take(w.config.known, UpdateKind::Cached, clock.now()));
+    driver.post(event::ProxyConnected{{1}, true, {0}, 5});
     EXPECT_EQ(driver.timers(), 0u);
     while (clock.step(1000s + 10ms)) {}
     EXPECT_EQ(decisions, 1) << "one binding for the two events";
     EXPECT_EQ(driver.timers(), 1u);
-    driver.tell(event::TimerFired{"beat"});
+    driver.post(event::TimerFired{"beat"});
     while (clock.step(1000s + 20ms)) {}
     EXPECT_EQ(driver.timers(), 2u) << "the beat that was told by hand set a second one";
 }
