--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -7,57 +7,70 @@
 
 namespace {
 
+/// This field is the last one of its line and may hold tabs.
+constexpr std::string_view kFreeText = "what";
+/// Lines with more fields than this get an index: a linear search is faster for fewer ones.
+constexpr std::size_t kMaxLinearSearch = 12;
+/// Range of instance, proxy, zone, table and version numbers on the wire.
+constexpr std::int64_t kMaxId = 65535;
+constexpr std::int64_t kMaxServerId = 4294967295LL;
+constexpr std::int64_t kMaxOperations = 64;
+constexpr std::int64_t kMaxCount = 1LL << 40;
+/// Milliseconds; more would overflow whole microseconds.
+constexpr double kMaxTimeMs = 1e15;
+
 std::string quoted(std::string_view text) {
     return "'" + std::string(text.substr(0, 80)) + "'";
 }
 
-double to_number(std::string_view name, std::string_view text) {
+double parse_number(std::string_view name, std::string_view text) {
     double value = 0;
     const auto end = text.data() + text.size();
     const auto [at, error] = std::from_chars(text.data(), end, value);
     if (error != std::errc{} || at != end || !std::isfinite(value)) {
-        throw Malformed(std::string(name) + " is no number: " + quoted(text));
+        throw InvalidLine(std::string(name) + " is no number: " + quoted(text));
     }
     return value;
 }
 
-template <class Rep>
-Rep to_whole(std::string_view name, std::string_view text) {
-    Rep value = 0;
+template <class Integer>
+Integer parse_integer(std::string_view name, std::string_view text) {
+    Integer value = 0;
     const auto end = text.data() + text.size();
     const auto [at, error] = std::from_chars(text.data(), end, value);
     if (error != std::errc{} || at != end) {
-        throw Malformed(std::string(name) + " is no whole number: " + quoted(text));
+        throw InvalidLine(std::string(name) + " is no whole number: " + quoted(text));
     }
     return value;
 }
 
-Micros to_time(std::string_view name, std::string_view text) {
-    const double ms = to_number(name, text);
-    if (std::abs(ms) > 1e15) {
-        throw Malformed(std::string(name) + " is out of range: " + quoted(text));
+Micros parse_time(std::string_view name, std::string_view text) {
+    const double ms = parse_number(name, text);
+    if (std::abs(ms) > kMaxTimeMs) {
+        throw InvalidLine(std::string(name) + " is out of range: " + quoted(text));
     }
     return Micros(std::llround(ms * 1000.0));
 }
 
 template <class Enum>
-Enum choice(std::string_view name, std::string_view text,
-            std::initializer_list<std::pair<std::string_view, Enum>> known) {
+Enum parse_choice(std::string_view name, std::string_view text,
+                  std::initializer_list<std::pair<std::string_view, Enum>> known) {
     for (const auto& [word, value] : known) {
         if (word == text) {
             return value;
         }
     }
-    throw Malformed(std::string(name) + " is not known: " + quoted(text));
+    throw InvalidLine(std::string(name) + " is not known: " + quoted(text));
 }
 
-constexpr std::string_view kDigits =
+constexpr std::string_view kBase64Digits =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
+/// One line of output, ended by its destructor.
 class Line {
 public:
-    Line(std::string& out, std::string_view word, std::string_view governor) : out_(out) {
-        out_.append(word).append("\tgovernor_id=").append(governor);
+    Line(std::string& out, std::string_view word, std::string_view instance_id) : out_(out) {
+        out_.append(word).append("\tgovernor_id=").append(instance_id);
     }
 
     ~Line() { out_.push_back('\n'); }
@@ -71,9 +84,9 @@
 
     template <class Number>
     Line& number(std::string_view name, Number value) {
-        char room[64];
-        const auto end = std::to_chars(room, room + sizeof room, value).ptr;
-        return text(name, {room, static_cast<std::size_t>(end - room)});
+        char buffer[64];
+        const auto end = std::to_chars(buffer, buffer + sizeof buffer, value).ptr;
+        return text(name, {buffer, static_cast<std::size_t>(end - buffer)});
     }
 
     Line& flag(std::string_view name, bool value) { return text(name, value ? "1" : "0"); }
@@ -82,20 +95,22 @@
     std::string& out_;
 };
 
-struct Writer {
+/// Writes a command in the simulator's words.
+struct CommandWriter {
     std::string& out;
-    std::string_view governor;
+    std::string_view instance_id;
 
-    Line line(std::string_view word) const { return {out, word, governor}; }
+    Line line(std::string_view word) const { return {out, word, instance_id}; }
 
-    void operator()(const command::SetTimer& a) const {
+    void operator()(const command::SetTimer& command) const {
         line("timer")
-            .text("mark", a.token)
-            .number("offset", static_cast<double>(a.delay.count()) / 1000.0);
+            .text("mark", command.token)
+            .number("offset", static_cast<double>(command.delay.count()) / 1000.0);
     }
 
-    void operator()(const command::LogMessage& a) const {
-        std::string clean = a.text;
+    void operator()(const command::LogMessage& command) const {
+        // A line break would end the message.
+        std::string clean = command.text;
         for (char& c : clean) {
             if (c == '\n' || c == '\r') {
                 c = ' ';
@@ -104,194 +119,396 @@
         line("record").text("what", clean);
     }
 
-    void operator()(const command::WatchEndpoints& a) const {
-        line("observe").flag("flag", a.enabled);
+    void operator()(const command::WatchEndpoints& command) const {
+        line("observe").flag("flag", command.enabled);
     }
 
     void operator()(const command::FetchEndpoints&) const { line("fetch"); }
 
-    void operator()(const command::CheckHealth& a) const {
-        line("check").number("replica", a.server.value);
+    void operator()(const command::CheckHealth& command) const {
+        line("check").number("replica", command.server.value);
     }
 
-    void operator()(const command::SendGossip& a) const {
+    void operator()(const command::SendGossip& command) const {
         line("share")
-            .text("recipient", a.recipient ? std::to_string(a.recipient->value) : "*")
-            .text("blob", to_base64(a.payload));
+            .text("recipient", command.recipient ? std::to_string(command.recipient->value) : "*")
+            .text("blob", to_base64(command.payload));
     }
 
-    void operator()(const command::SetWeight& a) const {
+    void operator()(const command::SetWeight& command) const {
         line("set_weight")
-            .number("map_id", a.table.value)
-            .number("part", a.weight)
-            .number("replica", a.server.value);
+            .number("map_id", command.table.value)
+            .number("part", command.weight)
+            .number("replica", command.server.value);
     }
 
-    void operator()(const command::ClearTable& a) const {
-        line("blank").number("map_id", a.table.value);
+    void operator()(const command::ClearTable& command) const {
+        line("blank").number("map_id", command.table.value);
     }
 
-    void operator()(const command::AssignTable& a) const {
+    void operator()(const command::AssignTable& command) const {
         line("bind")
-            .number("only", a.operations)
-            .number("map_id", a.table.value)
-            .number("sidecar", a.proxy.value);
+            .number("only", command.operations)
+            .number("map_id", command.table.value)
+            .number("sidecar", command.proxy.value);
     }
 
-    void operator()(const command::SetEjected& a) const {
-        line("bench").number("replica", a.server.value).flag("flag", a.ejected);
+    void operator()(const command::SetEjected& command) const {
+        line("bench").number("replica", command.server.value).flag("flag", command.ejected);
     }
 
-    void operator()(const command::SetAdmission& a) const {
+    void operator()(const command::SetAdmission& command) const {
         line("ration")
-            .number("map_id", a.table.value)
-            .number("only", a.operations)
-            .number("let_in", a.limit)
-            .number("second_try", static_cast<int>(a.retry_mode));
+            .number("map_id", command.table.value)
+            .number("only", command.operations)
+            .number("let_in", command.limit)
+            .number("second_try", static_cast<int>(command.retry_mode));
     }
 
-    void operator()(const command::RequestAck& a) const {
-        line("barrier").flag("flag", a.all_proxies).number("version", a.version.value);
+    void operator()(const command::RequestAck& command) const {
+        line("barrier").flag("flag", command.all_proxies).number("version", command.version.value);
     }
 };
 
-ServerId server_of(const Parts& p) {
-    return {static_cast<std::uint32_t>(p.whole("replica", 0, 4294967295LL))};
+int id_of(const WireFields& fields, std::string_view name) {
+    return static_cast<int>(fields.integer(name, 0, kMaxId));
+}
+
+ServerId server_of(const WireFields& fields) {
+    return {static_cast<std::uint32_t>(fields.integer("replica", 0, kMaxServerId))};
+}
+
+TableId table_of(const WireFields& fields) {
+    return {id_of(fields, "map_id")};
+}
+
+ProxyId proxy_of(const WireFields& fields) {
+    return {id_of(fields, "sidecar")};
+}
+
+ZoneId zone_of(const WireFields& fields) {
+    return {id_of(fields, "rack_zone")};
 }
 
-TableId table_of(const Parts& p) {
-    return {static_cast<int>(p.whole("map_id", 0, 65535))};
+OperationId operation_of(const WireFields& fields) {
+    return {static_cast<int>(fields.integer("kind", 0, kMaxOperations - 1))};
 }
 
-ProxyId proxy_of(const Parts& p) {
-    return {static_cast<int>(p.whole("sidecar", 0, 65535))};
+std::int64_t count_of(const WireFields& fields, std::string_view name) {
+    return fields.integer(name, 0, kMaxCount, 0);
 }
 
-ZoneId zone_of(const Parts& p) {
-    return {static_cast<int>(p.whole("rack_zone", 0, 65535))};
+Operation read_operation(const WireFields& fields, const std::string& prefix) {
+    Operation operation;
+    operation.name = fields.text(prefix + "name");
+    operation.latency_objective = fields.time(prefix + "aim");
+    operation.integration_timeout = fields.time(prefix + "deadline");
+    operation.effect = parse_choice<Effect>(prefix + "effect", fields.text(prefix + "effect"),
+                                            {{"safe", Effect::Idempotent},
+                                             {"keyed", Effect::Fingerprinted},
+                                             {"unsafe", Effect::SideEffecting}});
+    if (fields.has(prefix + "group")) {
+        operation.scope = parse_choice<Scope>(
+            prefix + "group", fields.text(prefix + "group"),
+            {{"all", Scope::All}, {"zone", Scope::Zone}, {"cell", Scope::Cell}});
+    }
+    operation.fingerprint_ttl = fields.time(prefix + "key_ttl", Micros{0});
+    operation.priority_weight = fields.number(prefix + "worth", 1);
+    return operation;
 }
 
-OperationId op_of(const Parts& p) {
-    return {static_cast<int>(p.whole("kind", 0, 63))};
+void read_topology(const WireFields& fields, Settings& settings) {
+    settings.ordinal = static_cast<int>(fields.integer("ordinal", 0, kMaxId, 0));
+    settings.instance_count = static_cast<int>(fields.integer("balancers", 1, kMaxId, 1));
+    settings.zone = {static_cast<int>(fields.integer("zone", 0, kMaxId, 0))};
+    settings.zone_count = std::max(1, static_cast<int>(fields.words("zones").size()));
 }
 
-std::int64_t count_of(const Parts& p, std::string_view name) {
-    return p.whole(name, 0, 1LL << 40, 0);
+void read_operations(const WireFields& fields, Settings& settings) {
+    const std::int64_t count = fields.integer("request_classes.count", 0, kMaxOperations, 0);
+    for (std::int64_t k = 0; k < count; ++k) {
+        const std::string prefix = "request_classes." + std::to_string(k) + ".";
+        settings.operations.push_back(read_operation(fields, prefix));
+    }
+    const auto local_only = fields.words("extra.class_own_zone");
+    for (std::size_t k = 0; k < local_only.size() && k < settings.operations.size(); ++k) {
+        settings.operations[k].local_only = local_only[k] == "true" || local_only[k] == "1";
+    }
 }
 
-Operation read_operation(const Parts& p, const std::string& at) {
-    Operation op;
-    op.name = p.text(at + "name");
-    op.latency_objective = p.time(at + "aim");
-    op.integration_timeout = p.time(at + "deadline");
-    op.effect = choice<Effect>(at + "effect", p.text(at + "effect"),
-                               {{"safe", Effect::Idempotent},
-                                {"keyed", Effect::Fingerprinted},
-                                {"unsafe", Effect::SideEffecting}});
-    if (p.has(at + "group")) {
-        op.scope =
-            choice<Scope>(at + "group", p.text(at + "group"),
-                          {{"all", Scope::All}, {"zone", Scope::Zone}, {"cell", Scope::Cell}});
+void read_sources(const WireFields& fields, Settings& settings) {
+    if (fields.has("weights")) {
+        settings.listed_weights = parse_choice<ListedWeights>("weights", fields.text("weights"),
+                                                              {{"none", ListedWeights::None},
+                                                               {"nominal", ListedWeights::Nominal},
+                                                               {"rough", ListedWeights::Rough},
+                                                               {"live", ListedWeights::Live}});
     }
-    op.fingerprint_ttl = p.time(at + "key_ttl", Micros{0});
-    op.priority_weight = p.number(at + "worth", 1);
-    return op;
+    settings.endpoints_on_request =
+        fields.has("discovery") && fields.text("discovery") == "on_request";
+    settings.health_checks_allowed = fields.boolean("bounds.may_probe", false);
+    settings.gossip_allowed = fields.boolean("bounds.peers", false);
+    settings.load_metric_names = fields.words("report.columns");
+}
+
+void read_proxies(const WireFields& fields, Settings& settings) {
+    if (fields.has("extra.admit")) {
+        settings.admission_mode =
+            parse_choice<AdmissionMode>("extra.admit", fields.text("extra.admit"),
+                                        {{"none", AdmissionMode::None},
+                                         {"share", AdmissionMode::Fraction},
+                                         {"rate", AdmissionMode::Rate}});
+    }
+    if (fields.has("extra.lb_method")) {
+        settings.pick_policy =
+            parse_choice<PickPolicy>("extra.lb_method", fields.text("extra.lb_method"),
+                                     {{"weighted", PickPolicy::WeightedRandom},
+                                      {"round", PickPolicy::RoundRobin},
+                                      {"two", PickPolicy::LeastOfTwo}});
+    }
+    settings.default_retry_mode =
+        static_cast<RetryMode>(fields.integer("extra.default_retry", 0, 3, 1));
+    settings.proxy_count = static_cast<int>(fields.number("extra.data_plane_size", 0));
+}
+
+void read_shards(const WireFields& fields, Settings& settings) {
+    settings.shard_count = static_cast<int>(fields.number("extra.key_ranges", 0));
+    settings.exclusive_shards = fields.boolean("extra.exclusive", false);
+    settings.shard_settle_time = fields.time("extra.settle", Micros{0});
+}
+
+void read_channel(const WireFields& fields, Settings& settings) {
+    settings.channel_lines_per_second = fields.number("extra.channel_rate", 0);
+    settings.message_head_lines = fields.number("extra.per_message", 0);
+    settings.max_queued_lines = fields.number("extra.pending_max", 0);
+    settings.max_messages = static_cast<int>(fields.number("extra.reloads_max", 0));
+    settings.message_window = fields.time("extra.update_window", Micros{0});
+    settings.mean_network_delay = fields.time("extra.transit", Micros{0});
+    settings.max_network_delay = fields.time("extra.push_delay_max", Micros{0});
+}
+
+void read_reports(const WireFields& fields, Settings& settings) {
+    settings.report_interval = fields.time("extra.period", Micros{0});
+    settings.max_reports_per_second = fields.number("extra.intake_per_s", 0);
+}
+
+void read_proxy_limits(const WireFields& fields, Settings& settings) {
+    settings.proxy_ejection_failures = static_cast<int>(fields.number("extra.outlier_after", 0));
+    settings.attempt_timeout_factor = fields.number("extra.try_factor", 1);
+    settings.max_time_without_server = fields.time("extra.empty_for", Micros{0});
+}
+
+void read_rules(const WireFields& fields, Settings& settings) {
+    settings.initial_capacity_fraction = fields.number("rules.cold_from", 1);
+    settings.slow_start_window = fields.time("rules.cold", Micros{0});
+    settings.drain_grace = fields.time("rules.stop_sending_within", Micros{0});
+    settings.connection_idle_timeout = fields.time("bounds.conn_idle", Micros{0});
+    settings.vanished_may_stay = fields.boolean("rules.dropped_stay_open", false);
+    settings.overload_collapse_factor = fields.number("rules.tip_multiple", 0);
+    settings.overload_collapse_time = fields.time("rules.tip_after", Micros{0});
+}
+
+UpdateKind read_update_kind(const WireFields& fields) {
+    switch (fields.integer("form", 0, 4)) {
+        case 0:
+            return UpdateKind::WatchFailed;
+        case 1:
+            return UpdateKind::Delta;
+        case 2:
+            return UpdateKind::Cached;
+        case 4:
+            return UpdateKind::Snapshot;
+        default:
+            throw InvalidLine("form is not known: '3'");
+    }
+}
+
+Event read_endpoint_list_update(const WireFields& fields, const EndpointLists& lists) {
+    event::EndpointListUpdate update;
+    update.kind = read_update_kind(fields);
+    if (update.kind == UpdateKind::WatchFailed) {
+        return update;
+    }
+    const auto it = lists.find(static_cast<int>(fields.integer("ref", 0, kMaxListNumber)));
+    if (it == lists.end()) {
+        throw InvalidLine("ref names no inventory");
+    }
+    update.endpoints = it->second;
+    return update;
+}
+
+Event read_timer_fired(const WireFields& fields, const EndpointLists&) {
+    return event::TimerFired{std::string(fields.text("mark"))};
 }
 
+Event read_health_check_result(const WireFields& fields, const EndpointLists&) {
+    const auto outcome =
+        parse_choice<HealthCheckOutcome>("outcome", fields.text("outcome"),
+                                         {{"GOOD", HealthCheckOutcome::Healthy},
+                                          {"BAD", HealthCheckOutcome::Failed},
+                                          {"FULL", HealthCheckOutcome::Overloaded},
+                                          {"LATE", HealthCheckOutcome::TimedOut},
+                                          {"NOCONN", HealthCheckOutcome::Unreachable},
+                                          {"RST", HealthCheckOutcome::Reset},
+                                          {"CXL", HealthCheckOutcome::Other},
+                                          {"NOP", HealthCheckOutcome::Other}});
+    return event::HealthCheckResult{server_of(fields), outcome, fields.time("took", Micros{0}),
+                                    fields.numbers("gauge")};
+}
+
+Event read_gossip_message(const WireFields& fields, const EndpointLists&) {
+    return event::GossipMessage{{id_of(fields, "neighbour")}, from_base64(fields.text("blob"))};
+}
+
+Event read_proxy_connected(const WireFields& fields, const EndpointLists&) {
+    return event::ProxyConnected{proxy_of(fields), fields.boolean("flag", false), zone_of(fields),
+                                 fields.number("part", 0)};
+}
+
+Event read_proxy_disconnected(const WireFields& fields, const EndpointLists&) {
+    return event::ProxyDisconnected{proxy_of(fields)};
+}
+
+Event read_server_load_report(const WireFields& fields, const EndpointLists&) {
+    return event::ServerLoadReport{zone_of(fields),
+                                   server_of(fields),
+                                   count_of(fields, "many"),
+                                   count_of(fields, "failed"),
+                                   fields.time("took", Micros{0}),
+                                   fields.time("over", Micros{0}),
+                                   fields.numbers("gauge")};
+}
+
+Event read_proxy_demand_report(const WireFields& fields, const EndpointLists&) {
+    return event::ProxyDemandReport{proxy_of(fields), operation_of(fields),
+                                    count_of(fields, "many"), count_of(fields, "failed"),
+                                    fields.time("over", Micros{0})};
+}
+
+Event read_shard_demand_report(const WireFields& fields, const EndpointLists&) {
+    return event::ShardDemandReport{table_of(fields), operation_of(fields),
+                                    count_of(fields, "many"), count_of(fields, "failed"),
+                                    fields.time("over", Micros{0})};
+}
+
+Event read_shard_assignment_changed(const WireFields& fields, const EndpointLists&) {
+    return event::ShardAssignmentChanged{table_of(fields), fields.boolean("flag")};
+}
+
+Event read_shard_replica(const WireFields& fields, const EndpointLists&) {
+    return event::ShardReplica{table_of(fields), server_of(fields), fields.number("part", 1)};
+}
+
+Event read_config_acknowledged(const WireFields& fields, const EndpointLists&) {
+    return event::ConfigAcknowledged{
+        proxy_of(fields), {id_of(fields, "version")}, fields.time("took", Micros{0})};
+}
+
+using EventReader = Event (*)(const WireFields&, const EndpointLists&);
+
+/// The simulator's word for each event.
+constexpr std::pair<std::string_view, EventReader> kEventReaders[] = {
+    {"targets", read_endpoint_list_update},    {"due", read_timer_fired},
+    {"ping_result", read_health_check_result}, {"from_peer", read_gossip_message},
+    {"connected", read_proxy_connected},       {"left", read_proxy_disconnected},
+    {"heard", read_server_load_report},        {"demand", read_proxy_demand_report},
+    {"slice_load", read_shard_demand_report},  {"tenure", read_shard_assignment_changed},
+    {"in_store", read_shard_replica},          {"in_force", read_config_acknowledged},
+};
+
 }  // namespace
 
-Parts::Parts(std::string_view line) {
-    std::size_t at = 0;
-    bool first = true;
-    while (at <= line.size()) {
-        const std::size_t end = std::min(line.find('\t', at), line.size());
-        const std::string_view part = line.substr(at, end - at);
-        if (first) {
-            word_ = part;
-            first = false;
-        } else if (const std::size_t eq = part.find('='); eq != std::string_view::npos && eq > 0) {
-            const std::string_view name = part.substr(0, eq);
-            parts_.emplace_back(name,
-                                name == "what" ? line.substr(at + eq + 1) : part.substr(eq + 1));
-            if (name == "what") {
-                break;
-            }
-        } else if (!part.empty()) {
-            throw Malformed("a part has no name=value form: " + quoted(part));
+WireFields::WireFields(std::string_view line) {
+    const std::size_t word_end = std::min(line.find('\t'), line.size());
+    word_ = line.substr(0, word_end);
+    std::size_t begin = word_end + 1;
+    while (begin <= line.size()) {
+        const std::size_t end = std::min(line.find('\t', begin), line.size());
+        const std::string_view field = line.substr(begin, end - begin);
+        const std::size_t equals = field.find('=');
+        const bool has_name = equals != std::string_view::npos && equals > 0;
+        if (!has_name && !field.empty()) {
+            throw InvalidLine("a part has no name=value form: " + quoted(field));
         }
-        at = end + 1;
-    }
-    if (parts_.size() > 12) {
-        for (const auto& [name, value] : parts_) {
-            index_.emplace(name, value);
+        if (has_name && field.substr(0, equals) == kFreeText) {
+            fields_.emplace_back(kFreeText, line.substr(begin + equals + 1));
+            break;
+        }
+        if (has_name) {
+            fields_.emplace_back(field.substr(0, equals), field.substr(equals + 1));
         }
+        begin = end + 1;
+    }
+    if (fields_.size() > kMaxLinearSearch) {
+        index_.insert(fields_.begin(), fields_.end());
     }
 }
 
-const std::string_view* Parts::find(std::string_view name) const {
+const std::string_view* WireFields::find(std::string_view name) const {
     if (!index_.empty()) {
         const auto it = index_.find(name);
         return it == index_.end() ? nullptr : &it->second;
     }
-    for (const auto& part : parts_) {
-        if (part.first == name) {
-            return &part.second;
+    for (const auto& field : fields_) {
+        if (field.first == name) {
+            return &field.second;
         }
     }
     return nullptr;
 }
 
-std::string_view Parts::text(std::string_view name) const {
+std::string_view WireFields::text(std::string_view name) const {
     const auto* value = find(name);
     if (!value) {
-        throw Malformed(std::string(name) + " is missing");
+        throw InvalidLine(std::string(name) + " is missing");
     }
     return *value;
 }
 
-double Parts::number(std::string_view name) const {
-    return to_number(name, text(name));
+double WireFields::number(std::string_view name) const {
+    return parse_number(name, text(name));
 }
 
-double Parts::number(std::string_view name, double absent) const {
-    return has(name) ? number(name) : absent;
+double WireFields::number(std::string_view name, double default_value) const {
+    return has(name) ? number(name) : default_value;
 }
 
-std::int64_t Parts::whole(std::string_view name, std::int64_t least, std::int64_t most) const {
-    const auto value = to_whole<std::int64_t>(name, text(name));
-    if (value < least || value > most) {
-        throw Malformed(std::string(name) + " is out of range: " + quoted(text(name)));
+std::int64_t WireFields::integer(std::string_view name, std::int64_t minimum,
+                                 std::int64_t maximum) const {
+    const auto value = parse_integer<std::int64_t>(name, text(name));
+    if (value < minimum || value > maximum) {
+        throw InvalidLine(std::string(name) + " is out of range: " + quoted(text(name)));
     }
     return value;
 }
 
-std::int64_t Parts::whole(std::string_view name, std::int64_t least, std::int64_t most,
-                          std::int64_t absent) const {
-    return has(name) ? whole(name, least, most) : absent;
+std::int64_t WireFields::integer(std::string_view name, std::int64_t minimum, std::int64_t maximum,
+                                 std::int64_t default_value) const {
+    return has(name) ? integer(name, minimum, maximum) : default_value;
 }
 
-std::uint64_t Parts::seed(std::string_view name) const {
-    return to_whole<std::uint64_t>(name, text(name));
+std::uint64_t WireFields::seed(std::string_view name) const {
+    return parse_integer<std::uint64_t>(name, text(name));
 }
 
-bool Parts::truth(std::string_view name) const {
-    return choice<bool>(name, text(name),
-                        {{"1", true}, {"0", false}, {"true", true}, {"false", false}});
+bool WireFields::boolean(std::string_view name) const {
+    return parse_choice<bool>(name, text(name),
+                              {{"1", true}, {"0", false}, {"true", true}, {"false", false}});
 }
 
-bool Parts::truth(std::string_view name, bool absent) const {
-    return has(name) ? truth(name) : absent;
+bool WireFields::boolean(std::string_view name, bool default_value) const {
+    return has(name) ? boolean(name) : default_value;
 }
 
-Micros Parts::time(std::string_view name) const {
-    return to_time(name, text(name));
+Micros WireFields::time(std::string_view name) const {
+    return parse_time(name, text(name));
 }
 
-Micros Parts::time(std::string_view name, Micros absent) const {
-    return has(name) ? time(name) : absent;
+Micros WireFields::time(std::string_view name, Micros default_value) const {
+    return has(name) ? time(name) : default_value;
 }
 
-std::vector<std::string> Parts::words(std::string_view name) const {
+std::vector<std::string> WireFields::words(std::string_view name) const {
     std::vector<std::string> out;
     std::string_view rest = has(name) ? text(name) : std::string_view{};
     while (!rest.empty()) {
@@ -302,161 +519,51 @@
     return out;
 }
 
-std::vector<double> Parts::numbers(std::string_view name) const {
+std::vector<double> WireFields::numbers(std::string_view name) const {
     std::vector<double> out;
     for (const auto& word : words(name)) {
-        out.push_back(to_number(name, word));
+        out.push_back(parse_number(name, word));
     }
     return out;
 }
 
-Settings read_settings(const Parts& p) {
-    Settings s;
-    s.ordinal = static_cast<int>(p.whole("ordinal", 0, 65535, 0));
-    s.instance_count = static_cast<int>(p.whole("balancers", 1, 65535, 1));
-    s.zone = {static_cast<int>(p.whole("zone", 0, 65535, 0))};
-    s.zone_count = std::max(1, static_cast<int>(p.words("zones").size()));
-    for (std::int64_t k = 0, n = p.whole("request_classes.count", 0, 64, 0); k < n; ++k) {
-        s.operations.push_back(read_operation(p, "request_classes." + std::to_string(k) + "."));
-    }
-    const auto own = p.words("extra.class_own_zone");
-    for (std::size_t k = 0; k < own.size() && k < s.operations.size(); ++k) {
-        s.operations[k].local_only = own[k] == "true" || own[k] == "1";
-    }
-    if (p.has("weights")) {
-        s.listed_weights = choice<ListedWeights>("weights", p.text("weights"),
-                                                 {{"none", ListedWeights::None},
-                                                  {"nominal", ListedWeights::Nominal},
-                                                  {"rough", ListedWeights::Rough},
-                                                  {"live", ListedWeights::Live}});
-    }
-    s.endpoints_on_request = p.has("discovery") && p.text("discovery") == "on_request";
-    s.health_checks_allowed = p.truth("bounds.may_probe", false);
-    s.gossip_allowed = p.truth("bounds.peers", false);
-    s.load_metric_names = p.words("report.columns");
-    if (p.has("extra.admit")) {
-        s.admission_mode = choice<AdmissionMode>("extra.admit", p.text("extra.admit"),
-                                                 {{"none", AdmissionMode::None},
-                                                  {"share", AdmissionMode::Fraction},
-                                                  {"rate", AdmissionMode::Rate}});
-    }
-    if (p.has("extra.lb_method")) {
-        s.pick_policy = choice<PickPolicy>("extra.lb_method", p.text("extra.lb_method"),
-                                           {{"weighted", PickPolicy::WeightedRandom},
-                                            {"round", PickPolicy::RoundRobin},
-                                            {"two", PickPolicy::LeastOfTwo}});
-    }
-    s.default_retry_mode = static_cast<RetryMode>(p.whole("extra.default_retry", 0, 3, 1));
-    s.proxy_count = static_cast<int>(p.number("extra.data_plane_size", 0));
-    s.shard_count = static_cast<int>(p.number("extra.key_ranges", 0));
-    s.exclusive_shards = p.truth("extra.exclusive", false);
-    s.shard_settle_time = p.time("extra.settle", Micros{0});
-    s.channel_lines_per_second = p.number("extra.channel_rate", 0);
-    s.message_head_lines = p.number("extra.per_message", 0);
-    s.max_queued_lines = p.number("extra.pending_max", 0);
-    s.max_messages = static_cast<int>(p.number("extra.reloads_max", 0));
-    s.message_window = p.time("extra.update_window", Micros{0});
-    s.mean_network_delay = p.time("extra.transit", Micros{0});
-    s.max_network_delay = p.time("extra.push_delay_max", Micros{0});
-    s.report_interval = p.time("extra.period", Micros{0});
-    s.max_reports_per_second = p.number("extra.intake_per_s", 0);
-    s.proxy_ejection_failures = static_cast<int>(p.number("extra.outlier_after", 0));
-    s.attempt_timeout_factor = p.number("extra.try_factor", 1);
-    s.max_time_without_server = p.time("extra.empty_for", Micros{0});
-    s.initial_capacity_fraction = p.number("rules.cold_from", 1);
-    s.slow_start_window = p.time("rules.cold", Micros{0});
-    s.drain_grace = p.time("rules.stop_sending_within", Micros{0});
-    s.connection_idle_timeout = p.time("bounds.conn_idle", Micros{0});
-    s.vanished_may_stay = p.truth("rules.dropped_stay_open", false);
-    s.overload_collapse_factor = p.number("rules.tip_multiple", 0);
-    s.overload_collapse_time = p.time("rules.tip_after", Micros{0});
-    return s;
-}
-
-Endpoint read_row(const Parts& p) {
-    Endpoint row;
-    row.server = server_of(p);
-    row.zone = {static_cast<int>(p.whole("rack_zone", -1, 65535, -1))};
+Settings read_settings(const WireFields& fields) {
+    Settings settings;
+    read_topology(fields, settings);
+    read_operations(fields, settings);
+    read_sources(fields, settings);
+    read_proxies(fields, settings);
+    read_shards(fields, settings);
+    read_channel(fields, settings);
+    read_reports(fields, settings);
+    read_proxy_limits(fields, settings);
+    read_rules(fields, settings);
+    return settings;
+}
+
+Endpoint read_endpoint(const WireFields& fields) {
+    Endpoint endpoint;
+    endpoint.server = server_of(fields);
+    endpoint.zone = {static_cast<int>(fields.integer("rack_zone", -1, kMaxId, -1))};
     constexpr ServerState states[] = {ServerState::Gone, ServerState::Ready, ServerState::Draining};
-    row.state = states[p.whole("availability", 0, 2)];
-    row.weight = p.number("part", 1);
-    row.started_at = p.time("start_time", Micros{0});
-    return row;
-}
-
-bool read_event(const Parts& p, const Inventories& lists, Event& out) {
-    const std::string_view word = p.word();
-    if (word == "targets") {
-        event::EndpointListUpdate list;
-        constexpr UpdateKind forms[] = {UpdateKind::WatchFailed, UpdateKind::Delta,
-                                        UpdateKind::Cached, UpdateKind::WatchFailed,
-                                        UpdateKind::Snapshot};
-        const auto form = p.whole("form", 0, 4);
-        if (form == 3) {
-            throw Malformed("form is not known: '3'");
-        }
-        list.kind = forms[form];
-        if (list.kind != UpdateKind::WatchFailed) {
-            const auto it = lists.find(static_cast<int>(p.whole("ref", 0, 15)));
-            if (it == lists.end()) {
-                throw Malformed("ref names no inventory");
-            }
-            list.endpoints = it->second;
+    endpoint.state = states[fields.integer("availability", 0, 2)];
+    endpoint.weight = fields.number("part", 1);
+    endpoint.started_at = fields.time("start_time", Micros{0});
+    return endpoint;
+}
+
+bool read_event(const WireFields& fields, const EndpointLists& lists, Event& event) {
+    for (const auto& [word, read] : kEventReaders) {
+        if (word == fields.word()) {
+            event = read(fields, lists);
+            return true;
         }
-        out = std::move(list);
-    } else if (word == "due") {
-        out = event::TimerFired{std::string(p.text("mark"))};
-    } else if (word == "ping_result") {
-        const auto outcome =
-            choice<HealthCheckOutcome>("outcome", p.text("outcome"),
-                                       {{"GOOD", HealthCheckOutcome::Healthy},
-                                        {"BAD", HealthCheckOutcome::Failed},
-                                        {"FULL", HealthCheckOutcome::Overloaded},
-                                        {"LATE", HealthCheckOutcome::TimedOut},
-                                        {"NOCONN", HealthCheckOutcome::Unreachable},
-                                        {"RST", HealthCheckOutcome::Reset},
-                                        {"CXL", HealthCheckOutcome::Other},
-                                        {"NOP", HealthCheckOutcome::Other}});
-        out = event::HealthCheckResult{server_of(p), outcome, p.time("took", Micros{0}),
-                                       p.numbers("gauge")};
-    } else if (word == "from_peer") {
-        out = event::GossipMessage{{static_cast<int>(p.whole("neighbour", 0, 65535))},
-                                   from_base64(p.text("blob"))};
-    } else if (word == "connected") {
-        out = event::ProxyConnected{proxy_of(p), p.truth("flag", false), zone_of(p),
-                                    p.number("part", 0)};
-    } else if (word == "left") {
-        out = event::ProxyDisconnected{proxy_of(p)};
-    } else if (word == "heard") {
-        out = event::ServerLoadReport{zone_of(p),
-                                      server_of(p),
-                                      count_of(p, "many"),
-                                      count_of(p, "failed"),
-                                      p.time("took", Micros{0}),
-                                      p.time("over", Micros{0}),
-                                      p.numbers("gauge")};
-    } else if (word == "demand") {
-        out = event::ProxyDemandReport{proxy_of(p), op_of(p), count_of(p, "many"),
-                                       count_of(p, "failed"), p.time("over", Micros{0})};
-    } else if (word == "slice_load") {
-        out = event::ShardDemandReport{table_of(p), op_of(p), count_of(p, "many"),
-                                       count_of(p, "failed"), p.time("over", Micros{0})};
-    } else if (word == "tenure") {
-        out = event::ShardAssignmentChanged{table_of(p), p.truth("flag")};
-    } else if (word == "in_store") {
-        out = event::ShardReplica{table_of(p), server_of(p), p.number("part", 1)};
-    } else if (word == "in_force") {
-        out = event::ConfigAcknowledged{proxy_of(p),
-                                        {static_cast<int>(p.whole("version", 0, 65535))},
-                                        p.time("took", Micros{0})};
-    } else {
-        return false;
-    }
-    return true;
-}
-
-void write_action(std::string& out, std::string_view governor, const Command& action) {
-    std::visit(Writer{out, governor}, action);
+    }
+    return false;
+}
+
+void write_command(std::string& out, std::string_view instance_id, const Command& command) {
+    std::visit(CommandWriter{out, instance_id}, command);
 }
 
 std::string to_base64(std::string_view bytes) {
@@ -471,7 +578,7 @@
             group = group << 8 | (k < have ? static_cast<unsigned char>(bytes[at + k]) : 0u);
         }
         for (std::size_t k = 0; k < 4; ++k) {
-            out.push_back(k <= have ? kDigits[group >> (18 - 6 * k) & 63] : '=');
+            out.push_back(k <= have ? kBase64Digits[group >> (18 - 6 * k) & 63] : '=');
         }
     }
     return out;
@@ -483,7 +590,7 @@
         return out;
     }
     if (text.size() % 4 != 0) {
-        throw Malformed("blob is no base64: its length is no multiple of 4");
+        throw InvalidLine("blob is no base64: its length is no multiple of 4");
     }
     while (!text.empty() && text.back() == '=') {
         text.remove_suffix(1);
@@ -491,9 +598,9 @@
     std::uint32_t group = 0;
     int bits = 0;
     for (const char c : text) {
-        const std::size_t digit = kDigits.find(c);
+        const std::size_t digit = kBase64Digits.find(c);
         if (digit == std::string_view::npos) {
-            throw Malformed("blob is no base64: " + quoted({&c, 1}));
+            throw InvalidLine("blob is no base64: " + quoted({&c, 1}));
         }
         group = group << 6 | static_cast<std::uint32_t>(digit);
         if ((bits += 6) >= 8) {
--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -6,6 +6,15 @@
 
 namespace badgergrade::wire {
 
+namespace {
+
+constexpr std::int64_t kMaxListRows = 1 << 24;
+constexpr std::int64_t kMaxTurn = 1LL << 62;
+/// Longest part of an unknown word that an error message repeats, in bytes.
+constexpr std::size_t kMaxQuotedWord = 80;
+
+}  // namespace
+
 void Host::run(std::istream& in) {
     for (std::string text; std::getline(in, text);) {
         ++line_number_;
@@ -16,146 +25,163 @@
             continue;
         }
         try {
-            line(text);
-        } catch (const Malformed& wrong) {
-            complain(wrong.what());
+            read_line(text);
+        } catch (const InvalidLine& error) {
+            report_error(error.what());
         }
     }
     if (in_frame_) {
-        complain("the input ended inside a frame");
+        report_error("the input ended inside a frame");
     }
 }
 
-void Host::line(std::string_view text) {
+void Host::read_line(std::string_view text) {
     const std::string_view word = text.substr(0, text.find('\t'));
-    if (rows_due_ > 0 && word != "row") {
-        complain("an inventory ended " + std::to_string(rows_due_) + " rows early");
-        rows_due_ = 0;
+    if (missing_rows_ > 0 && word != "row") {
+        report_error("an inventory ended " + std::to_string(missing_rows_) + " rows early");
+        missing_rows_ = 0;
     }
     if (word == "flush") {
         if (!in_frame_) {
-            return complain("a flush without a frame");
+            return report_error("a flush without a frame");
         }
         return reply();
     }
     if (word == "row") {
-        if (rows_due_ <= 0) {
-            return complain("a row outside an inventory");
+        if (missing_rows_ <= 0) {
+            return report_error("a row outside an inventory");
         }
-        --rows_due_;
+        // Also a row that can't be read counts, so that the end of the list is still found.
+        --missing_rows_;
     }
-    const Parts parts(text);
+    const WireFields fields(text);
     if (word == "frame") {
-        return begin(parts);
+        return begin_frame(fields);
     }
     if (!in_frame_) {
-        return complain("an event outside a frame: '" + std::string(word.substr(0, 80)) + "'");
+        return report_error("an event outside a frame: '" +
+                            std::string(word.substr(0, kMaxQuotedWord)) + "'");
     }
     if (word == "row") {
-        lists_[open_list_].push_back(read_row(parts));
+        endpoint_lists_[open_list_].push_back(read_endpoint(fields));
     } else if (word == "inventory") {
-        open_list_ = static_cast<int>(parts.whole("ref", 0, 15));
-        lists_[open_list_].clear();
-        rows_due_ = parts.whole("records", 0, 1 << 24, 0);
+        begin_endpoint_list(fields);
     } else {
-        event(parts);
+        dispatch(fields);
     }
 }
 
-void Host::begin(const Parts& parts) {
+void Host::begin_frame(const WireFields& fields) {
     if (in_frame_) {
-        complain("a frame began inside another; the earlier one is dropped");
+        report_error("a frame began inside another; the earlier one is dropped");
     }
-    now_ = parts.time("time");
-    turn_ = std::to_string(parts.whole("turn", 0, (1LL << 62)));
+    now_ = fields.time("time");
+    turn_ = std::to_string(fields.integer("turn", 0, kMaxTurn));
     touched_.clear();
     failed_.clear();
     in_frame_ = true;
 }
 
-void Host::event(const Parts& parts) {
-    const std::string name(parts.has("governor_id") ? parts.text("governor_id")
-                                                    : std::string_view{});
-    const auto drop = [&] {
-        governors_.erase(name);
-        failed_.erase(name);
-        std::erase(touched_, name);
-    };
-    const auto touch = [&] {
-        if (std::find(touched_.begin(), touched_.end(), name) == touched_.end()) {
-            touched_.push_back(name);
-        }
-    };
+void Host::begin_endpoint_list(const WireFields& fields) {
+    open_list_ = static_cast<int>(fields.integer("ref", 0, kMaxListNumber));
+    endpoint_lists_[open_list_].clear();
+    missing_rows_ = fields.integer("records", 0, kMaxListRows, 0);
+}
+
+/// A failure of the policy ends the instance that it happened in, not the process: the other
+/// instances go on.
+void Host::dispatch(const WireFields& fields) {
+    const std::string id(fields.has("governor_id") ? fields.text("governor_id")
+                                                   : std::string_view{});
     try {
-        if (parts.word() == "up") {
-            if (name.empty()) {
-                throw Malformed("governor_id is missing");
-            }
-            const Settings settings = read_settings(parts);
-            const std::uint64_t seed = parts.seed("prng");
-            drop();
-            touch();
-            governors_.emplace(name, policy::Planner(settings, seed, now_));
-            return;
+        if (fields.word() == "up") {
+            start_instance(id, fields);
+        } else if (fields.word() == "kill") {
+            remove_instance(id);
+        } else {
+            post_event(id, fields);
         }
-        if (parts.word() == "kill") {
-            return drop();
-        }
-        Event event;
-        if (!read_event(parts, lists_, event)) {
-            return;
-        }
-        if (name.empty()) {
-            throw Malformed("governor_id is missing");
-        }
-        const auto it = governors_.find(name);
-        if (it == governors_.end()) {
-            if (!failed_.contains(name)) {
-                complain(name + " is not up");
-            }
-            return;
-        }
-        touch();
-        it->second.take(now_, event);
-    } catch (const Malformed&) {
+    } catch (const InvalidLine&) {
         throw;
-    } catch (const std::exception& wrong) {
-        fail(name, wrong.what());
+    } catch (const std::exception& error) {
+        fail_instance(id, error.what());
+    }
+}
+
+void Host::start_instance(const std::string& id, const WireFields& fields) {
+    if (id.empty()) {
+        throw InvalidLine("governor_id is missing");
+    }
+    const Settings settings = read_settings(fields);
+    const std::uint64_t seed = fields.seed("prng");
+    remove_instance(id);
+    mark_touched(id);
+    instances_.emplace(id, policy::Planner(settings, seed, now_));
+}
+
+void Host::remove_instance(const std::string& id) {
+    instances_.erase(id);
+    failed_.erase(id);
+    std::erase(touched_, id);
+}
+
+void Host::post_event(const std::string& id, const WireFields& fields) {
+    Event event;
+    if (!read_event(fields, endpoint_lists_, event)) {
+        return;
+    }
+    if (id.empty()) {
+        throw InvalidLine("governor_id is missing");
+    }
+    const auto it = instances_.find(id);
+    if (it == instances_.end()) {
+        if (!failed_.contains(id)) {
+            report_error(id + " is not up");
+        }
+        return;
+    }
+    mark_touched(id);
+    it->second.take(now_, event);
+}
+
+void Host::mark_touched(const std::string& id) {
+    if (std::find(touched_.begin(), touched_.end(), id) == touched_.end()) {
+        touched_.push_back(id);
     }
 }
 
 void Host::reply() {
     std::string out;
-    for (const auto& name : touched_) {
-        const auto it = governors_.find(name);
-        if (it == governors_.end()) {
+    for (const auto& id : touched_) {
+        const auto it = instances_.find(id);
+        if (it == instances_.end()) {
             continue;
         }
         try {
-            const auto actions = it->second.decide(now_);
-            for (const auto& action : actions) {
-                write_action(out, name, action);
+            const auto commands = it->second.decide(now_);
+            for (const auto& command : commands) {
+                write_command(out, id, command);
             }
-        } catch (const std::exception& wrong) {
-            fail(name, wrong.what());
+        } catch (const std::exception& error) {
+            fail_instance(id, error.what());
         }
     }
-    for (const auto& [name, what] : failed_) {
-        out += "broken\tgovernor_id=" + name + "\twhat=" + what + "\n";
+    for (const auto& [id, reason] : failed_) {
+        out += "broken\tgovernor_id=" + id + "\twhat=" + reason + "\n";
     }
     out += "next\tturn=" + turn_ + "\n";
     replies_ << out << std::flush;
     in_frame_ = false;
 }
 
-void Host::fail(const std::string& governor, const char* what) {
-    complain(governor + " broke: " + what);
-    failed_[governor] = what;
-    governors_.erase(governor);
+void Host::fail_instance(const std::string& id, const char* reason) {
+    report_error(id + " broke: " + reason);
+    failed_[id] = reason;
+    instances_.erase(id);
 }
 
-void Host::complain(std::string_view what) {
-    complaints_ << "line " << line_number_ << ": " << what << std::endl;
+void Host::report_error(std::string_view text) {
+    errors_ << "line " << line_number_ << ": " << text << std::endl;
 }
 
 }  // namespace badgergrade::wire
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,3 +1,6 @@
+/// \file
+/// The simulator's adapter: reads the wire from standard input, answers on standard output, reports
+/// errors on standard error.
 #include <iostream>
 
 #include "host.h"
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -159,7 +159,7 @@
 Settings settings_of(const Json& settings) {
     std::string line = "up";
     add_to_line(line, {}, settings, 0);
-    return wire::read_settings(wire::Parts(line));
+    return wire::read_settings(wire::WireFields(line));
 }
 
 Micros batch_of(const Json& settings) {
@@ -215,7 +215,7 @@
         return read(Json::parse(text));
     } catch (const Json::exception& wrong) {
         throw ParseError(wrong.what());
-    } catch (const wire::Malformed& wrong) {
+    } catch (const wire::InvalidLine& wrong) {
         throw ParseError(std::string("settings: ") + wrong.what());
     } catch (const std::invalid_argument& wrong) {
         throw ParseError(wrong.what());
--- a/src/runtime/config_state.cpp
+++ b/src/runtime/config_state.cpp
@@ -255,15 +255,15 @@
 }
 
 const std::map<OperationMask, TableId>& ConfigState::assigned_tables(ProxyId proxy) const {
-    static const std::map<OperationMask, TableId> none;
+    static const std::map<OperationMask, TableId> kNone;
     const auto it = proxies_.find(proxy);
-    return it == proxies_.end() ? none : it->second.assigned;
+    return it == proxies_.end() ? kNone : it->second.assigned;
 }
 
 const Weights& ConfigState::weights(TableId table) const {
-    static const Weights none;
+    static const Weights kNone;
     const auto it = tables_.find(table);
-    return it == tables_.end() ? none : it->second.weights;
+    return it == tables_.end() ? kNone : it->second.weights;
 }
 
 bool ConfigState::references(ServerId server) const {
