--- a/bench/governor_bench.cpp
+++ b/bench/governor_bench.cpp
@@ -221,7 +221,7 @@
     net::Loop loop;
     base::RealClock clock(loop.io());
     log::Log log(loop.clock(), log::Level::Error, log::Form::Text);
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     auto config =
         config::read_governor(config::IniFile::parse("bench", kSettings, mistakes), mistakes);
     for (const auto& m : mistakes) {
@@ -229,7 +229,7 @@
     }
     config.xds_address = "127.0.0.1:0";
     config.registry_address = "127.0.0.1:1";
-    config.told.proxy_count = streams;
+    config.settings.proxy_count = streams;
     xds_server::XdsServer service(loop, base::ActorId{1}, config, log, "bench");
     for (int k = 1; k <= lines; ++k) {
         xds_server::ListedServer listed;
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -33,7 +33,7 @@
 
 // Tells each mistake and ends the command where there is any; `before` and `after` stand around
 // their number.
-void end_where_wrong(const std::vector<config::Mistake>& mistakes, const std::string& before,
+void end_where_wrong(const std::vector<config::ConfigError>& mistakes, const std::string& before,
                      const std::string& after = {});
 // A whole file, read in pieces: a buffer of the largest size, taken at once, was most of the memory
 // that a small governor may have. Throws std::runtime_error where it can't be opened or is larger
--- a/src/cli/common.cpp
+++ b/src/cli/common.cpp
@@ -7,7 +7,7 @@
 
 namespace badgergrade::cli {
 
-void end_where_wrong(const std::vector<config::Mistake>& mistakes, const std::string& before,
+void end_where_wrong(const std::vector<config::ConfigError>& mistakes, const std::string& before,
                      const std::string& after) {
     if (mistakes.empty()) {
         return;
@@ -63,7 +63,7 @@
 }
 
 config::GovernorConfig load_governor(const std::string& path) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     config::IniFile file;
     try {
         file = config::IniFile::load(path, mistakes);
--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -16,7 +16,7 @@
 };
 
 scenario::DayScript load_day(const std::string& path) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     scenario::DayScript script;
     try {
         script = scenario::load_script(path, mistakes);
--- a/src/cli/governor.cpp
+++ b/src/cli/governor.cpp
@@ -94,8 +94,8 @@
 int check_config(const std::string& path) {
     const auto config = load_governor(path);
     std::printf("%s: good: governor %s, %d zones, %zu operations, %d forwarders\n", path.c_str(),
-                config.id.c_str(), config.told.zone_count, config.told.operations.size(),
-                config.told.proxy_count);
+                config.id.c_str(), config.settings.zone_count, config.settings.operations.size(),
+                config.settings.proxy_count);
     return kGood;
 }
 
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -149,7 +149,7 @@
 
 replay::Trial trial_of(const replay::RecordedDay& day, const std::string& config,
                        const std::vector<std::string>& texts) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     std::optional<config::IniFile> file;
     if (!config.empty()) {
         try {
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -77,12 +77,12 @@
                   const std::vector<std::string>& governors,
                   const std::vector<std::string>& startup) {
     const auto config = load_governor(ini);
-    settings.operations = config.told.operations;
-    settings.again = config.told.default_retry_mode;
-    settings.pick = config.told.pick_policy;
-    settings.ejects_after = config.told.proxy_ejection_failures;
-    settings.eject_time = config.eject_time;
-    settings.connection_idle = config.told.connection_idle_timeout;
+    settings.operations = config.settings.operations;
+    settings.again = config.settings.default_retry_mode;
+    settings.pick = config.settings.pick_policy;
+    settings.ejects_after = config.settings.proxy_ejection_failures;
+    settings.eject_time = config.ejection_time;
+    settings.connection_idle = config.settings.connection_idle_timeout;
     settings.connect_timeout = 250ms;
     settings.dial_timeout = 2s;
     settings.redial_least = 500ms;
@@ -130,13 +130,13 @@
          at += chance.exponential(1 / rate)) {
         testbed::Invocation one;
         one.id = schedule.size() + 1;
-        one.operation = static_cast<int>(chance.below(config.told.operations.size()));
+        one.operation = static_cast<int>(chance.below(config.settings.operations.size()));
         one.work = Micros(std::llround(work_ms * 1000 * chance.lognormal(0.5)));
         one.came = begin + Micros(std::llround(at * 1e6));
         schedule.push_back(std::move(one));
     }
     testbed::ClientSettings settings;
-    settings.operations = config.told.operations;
+    settings.operations = config.settings.operations;
     settings.wait = 50ms;
     Tally tally;
     testbed::Client client(loop, base::ActorId{1}, "client", settings, address(forwarder),
--- a/src/config/governor_config.h
+++ b/src/config/governor_config.h
@@ -1,4 +1,6 @@
-// The settings of one governor: what the module is told, and what the program itself needs.
+/// \file
+/// The configuration file of one control plane instance: the settings of the policy, and what the
+/// program itself needs. The keys are those of docs and examples/governor.ini.
 #pragma once
 
 #include <string>
@@ -10,33 +12,35 @@
 
 namespace badgergrade::config {
 
+/// What to do with an endpoint list that is empty after one that was not.
 enum class EmptyList { Refuse, Take };
 
 struct GovernorConfig {
     std::string id = "governor-0";
-    Settings told;
+    Settings settings;  ///< of the policy
     std::uint64_t seed = 1;
     std::vector<std::string> zones;
-    std::string xds_address = "127.0.0.1:18000";
-    std::string registry_address = "127.0.0.1:18500";
-    Micros registry_wait{};
+    std::string xds_address = "127.0.0.1:18000";       ///< host:port to listen on
+    std::string registry_address = "127.0.0.1:18500";  ///< host:port of the service registry
+    Micros registry_wait{};  ///< how long a blocking query may wait for a change
     Micros registry_timeout{};
     EmptyList empty_list = EmptyList::Refuse;
-    double shrink_refused =
-        0;  // a list that names fewer than this part of the last is doubted once
-    // Events that come within this time are decided on together.
+    /// An endpoint list with fewer servers than this fraction of the last one must be confirmed by
+    /// a second answer. 0: off.
+    double min_endpoint_fraction = 0;
+    /// Events that arrive within this time share one decision.
     Micros batch{};
-    int connections_most = 0;
-    std::size_t message_bytes = 0, waiting_bytes = 0;
+    int max_connections = 0;
+    std::size_t max_message_bytes = 0;
+    std::size_t max_queued_bytes = 0;  ///< per stream
     Micros keepalive{};
-    Micros probe_timeout{};
-    Micros eject_time{};
-    int log_level = 1;  // debug, info, warning, error
+    Micros health_check_timeout{};
+    Micros ejection_time{};  ///< how long a proxy ejects a server on its own
+    int log_level = 1;       ///< log::Level: debug, info, warning, error
     bool log_json = false;
 };
 
-// Reads the settings; every mistake is added to `mistakes`, and the result is good only where there
-// is none.
-GovernorConfig read_governor(const IniFile& file, std::vector<Mistake>& mistakes);
+/// Reads the configuration. The result may be used only where `errors` stays empty.
+GovernorConfig read_governor(const IniFile& file, std::vector<ConfigError>& errors);
 
 }  // namespace badgergrade::config
--- a/src/config/ini.cpp
+++ b/src/config/ini.cpp
@@ -14,7 +14,11 @@
 namespace badgergrade::config {
 namespace {
 
-constexpr std::size_t kLongestLine = 190;  // inih reads lines of 200 bytes
+/// inih reads lines of up to 200 bytes.
+constexpr std::size_t kMaxLineBytes = 190;
+constexpr double kMaxInteger = 2e9;
+/// Larger numbers are not exact as a double.
+constexpr double kMaxTimeUs = 9e15;
 
 std::string trimmed(std::string_view text) {
     const auto first = text.find_first_not_of(" \t\r\n");
@@ -24,31 +28,33 @@
     return std::string(text.substr(first, text.find_last_not_of(" \t\r\n") - first + 1));
 }
 
-struct Reading {
+/// What the callbacks of inih share.
+struct ParseState {
     const std::string* text = nullptr;
-    std::size_t at = 0;
+    std::size_t offset = 0;  ///< of the next line, in bytes
     int line = 0;
     std::string file;
     std::vector<IniEntry>* entries = nullptr;
-    std::vector<Mistake>* mistakes = nullptr;
+    std::vector<ConfigError>* errors = nullptr;
 };
 
-char* next_line(char* to, int size, void* from) {
-    auto& reading = *static_cast<Reading*>(from);
-    if (reading.at >= reading.text->size()) {
+/// Gives inih the next line.
+char* next_line(char* to, int size, void* user) {
+    auto& state = *static_cast<ParseState*>(user);
+    if (state.offset >= state.text->size()) {
         return nullptr;
     }
-    const auto end = reading.text->find('\n', reading.at);
+    const auto end = state.text->find('\n', state.offset);
     std::string line =
-        reading.text->substr(reading.at, end == std::string::npos ? end : end - reading.at);
-    reading.at = end == std::string::npos ? reading.text->size() : end + 1;
-    ++reading.line;
+        state.text->substr(state.offset, end == std::string::npos ? end : end - state.offset);
+    state.offset = end == std::string::npos ? state.text->size() : end + 1;
+    ++state.line;
     // A line that is too long or holds a zero byte would be cut off silently by the reader below.
-    if (line.size() > kLongestLine || line.find('\0') != std::string::npos) {
-        reading.mistakes->push_back({reading.file, reading.line, "",
-                                     line.size() > kLongestLine
-                                         ? "the line is longer than 190 characters"
-                                         : "the line holds a zero byte"});
+    if (line.size() > kMaxLineBytes || line.find('\0') != std::string::npos) {
+        state.errors->push_back({state.file, state.line, "",
+                                 line.size() > kMaxLineBytes
+                                     ? "the line is longer than 190 characters"
+                                     : "the line holds a zero byte"});
         line.clear();
     }
     // Continuation by indentation would hide a forgotten key, so indentation means nothing.
@@ -60,16 +66,18 @@
     return to;
 }
 
-int take(void* user, const char* section, const char* key, const char* value) {
-    auto& reading = *static_cast<Reading*>(user);
+/// Gets an entry from inih; 1 means that reading goes on.
+int add_entry(void* user, const char* section, const char* key, const char* value) {
+    auto& state = *static_cast<ParseState*>(user);
     if (!key || !value) {
         return 1;
     }
-    reading.entries->push_back({section, key, value, reading.line});
+    state.entries->push_back({section, key, value, state.line});
     return 1;
 }
 
-std::size_t distance(const std::string& a, const std::string& b) {
+/// Edit distance (Levenshtein).
+std::size_t edit_distance(const std::string& a, const std::string& b) {
     std::vector<std::size_t> row(b.size() + 1);
     for (std::size_t j = 0; j <= b.size(); ++j) {
         row[j] = j;
@@ -92,8 +100,8 @@
     return out;
 }
 
-std::string in_words(Micros t) {
-    const auto n = t.count();
+std::string time_text(Micros time) {
+    const auto n = time.count();
     if (n % 1000000 == 0) {
         return std::to_string(n / 1000000) + " s";
     }
@@ -103,46 +111,66 @@
     return std::to_string(n) + " us";
 }
 
+/// 0 for an unknown unit.
+double microseconds_in(const std::string& unit) {
+    if (unit == "us") {
+        return 1;
+    }
+    if (unit == "ms") {
+        return 1e3;
+    }
+    if (unit == "s") {
+        return 1e6;
+    }
+    if (unit == "min") {
+        return 60e6;
+    }
+    if (unit == "h") {
+        return 3600e6;
+    }
+    return 0;
+}
+
 }  // namespace
 
-std::string to_text(const Mistake& mistake) {
-    std::string out = mistake.file;
-    if (mistake.line > 0) {
-        out += ":" + std::to_string(mistake.line);
+std::string to_text(const ConfigError& error) {
+    std::string out = error.file;
+    if (error.line > 0) {
+        out += ":" + std::to_string(error.line);
     }
     out += ": ";
-    if (!mistake.key.empty()) {
-        out += mistake.key + ": ";
+    if (!error.key.empty()) {
+        out += error.key + ": ";
     }
-    return out + mistake.text;
+    return out + error.text;
 }
 
 IniFile IniFile::parse(const std::string& name, const std::string& text,
-                       std::vector<Mistake>& mistakes) {
+                       std::vector<ConfigError>& errors) {
     IniFile file;
     file.name_ = name;
-    Reading reading;
-    reading.text = &text;
-    reading.file = name;
-    reading.entries = &file.entries_;
-    reading.mistakes = &mistakes;
-    const int bad = ini_parse_stream(next_line, &reading, take, &reading);
-    if (bad > 0) {
-        mistakes.push_back(
-            {name, bad, "", "neither a [section], nor key = value, nor a comment (; or #)"});
+    ParseState state;
+    state.text = &text;
+    state.file = name;
+    state.entries = &file.entries_;
+    state.errors = &errors;
+    const int error_line = ini_parse_stream(next_line, &state, add_entry, &state);
+    if (error_line > 0) {
+        errors.push_back(
+            {name, error_line, "", "neither a [section], nor key = value, nor a comment (; or #)"});
     }
     std::map<std::pair<std::string, std::string>, int> seen;
     for (const IniEntry& entry : file.entries_) {
         const auto [it, fresh] = seen.try_emplace({entry.section, entry.key}, entry.line);
         if (!fresh) {
-            mistakes.push_back({name, entry.line, "[" + entry.section + "] " + entry.key,
-                                "stands already in line " + std::to_string(it->second)});
+            errors.push_back({name, entry.line, "[" + entry.section + "] " + entry.key,
+                              "stands already in line " + std::to_string(it->second)});
         }
     }
     return file;
 }
 
-IniFile IniFile::load(const std::string& path, std::vector<Mistake>& mistakes) {
+IniFile IniFile::load(const std::string& path, std::vector<ConfigError>& errors) {
     std::ifstream in(path, std::ios::binary);
     if (!in) {
         throw std::runtime_error(path + ": can't be read: " + std::strerror(errno));
@@ -152,7 +180,7 @@
     if (in.bad() || text.fail()) {
         throw std::runtime_error(path + ": can't be read");
     }
-    return parse(path, text.str(), mistakes);
+    return parse(path, text.str(), errors);
 }
 
 void IniFile::set(const std::string& section, const std::string& key, const std::string& value) {
@@ -184,25 +212,25 @@
     return out;
 }
 
-IniReader::IniReader(const IniFile& file, std::vector<Mistake>& mistakes)
+IniReader::IniReader(const IniFile& file, std::vector<ConfigError>& errors)
     : file_(file),
-      mistakes_(mistakes) {
+      errors_(errors) {
     for (const IniEntry& entry : file.entries()) {
-        by_key_.try_emplace({entry.section, entry.key}, &entry);
+        entry_by_key_.try_emplace({entry.section, entry.key}, &entry);
     }
 }
 
 const IniEntry* IniReader::find(const std::string& section, const std::string& key) {
-    asked_.insert({section, key});
-    const auto it = by_key_.find({section, key});
-    return it == by_key_.end() ? nullptr : it->second;
+    known_keys_.insert({section, key});
+    const auto it = entry_by_key_.find({section, key});
+    return it == entry_by_key_.end() ? nullptr : it->second;
 }
 
 bool IniReader::has(const std::string& section, const std::string& key) const {
-    return by_key_.contains({section, key});
+    return entry_by_key_.contains({section, key});
 }
 
-std::vector<std::string> IniReader::sections_like(const std::string& prefix) const {
+std::vector<std::string> IniReader::sections_with_prefix(const std::string& prefix) const {
     std::vector<std::string> out;
     for (const IniEntry& entry : file_.entries()) {
         if (entry.section.rfind(prefix, 0) == 0 &&
@@ -213,60 +241,63 @@
     return out;
 }
 
-void IniReader::wrong(const std::string& section, const std::string& key, const std::string& text) {
-    const auto it = by_key_.find({section, key});
-    mistakes_.push_back({file_.name(), it == by_key_.end() ? 0 : it->second->line,
-                         "[" + section + "]" + (key.empty() ? "" : " " + key), text});
+void IniReader::add_error(const std::string& section, const std::string& key,
+                          const std::string& text) {
+    const auto it = entry_by_key_.find({section, key});
+    errors_.push_back({file_.name(), it == entry_by_key_.end() ? 0 : it->second->line,
+                       "[" + section + "]" + (key.empty() ? "" : " " + key), text});
 }
 
-void IniReader::need(const std::string& section, const std::string& key,
-                     const std::string& example) {
+void IniReader::require(const std::string& section, const std::string& key,
+                        const std::string& example) {
     if (!find(section, key)) {
-        wrong(section, key, "is missing; for example: " + key + " = " + example);
+        add_error(section, key, "is missing; for example: " + key + " = " + example);
     }
 }
 
 std::string IniReader::text(const std::string& section, const std::string& key,
-                            const std::string& usual) {
+                            const std::string& default_value) {
     const IniEntry* entry = find(section, key);
-    return entry ? entry->value : usual;
+    return entry ? entry->value : default_value;
 }
 
-double IniReader::number(const std::string& section, const std::string& key, double usual,
+double IniReader::number(const std::string& section, const std::string& key, double default_value,
                          Bounds bounds) {
     const IniEntry* entry = find(section, key);
     if (!entry) {
-        return usual;
+        return default_value;
     }
     double out = 0;
     const std::string& v = entry->value;
-    const auto [end, bad] = std::from_chars(v.data(), v.data() + v.size(), out);
-    if (bad != std::errc{} || end != v.data() + v.size() || !std::isfinite(out)) {
-        wrong(section, key, "'" + v + "' is no number");
-        return usual;
+    const auto [end, status] = std::from_chars(v.data(), v.data() + v.size(), out);
+    if (status != std::errc{} || end != v.data() + v.size() || !std::isfinite(out)) {
+        add_error(section, key, "'" + v + "' is no number");
+        return default_value;
     }
-    if (out < bounds.least || out > bounds.most) {
-        std::ostringstream says;
-        says << v << " is out of range: " << bounds.least << " to " << bounds.most;
-        wrong(section, key, says.str());
-        return usual;
+    if (out < bounds.minimum || out > bounds.maximum) {
+        std::ostringstream message;
+        message << v << " is out of range: " << bounds.minimum << " to " << bounds.maximum;
+        add_error(section, key, message.str());
+        return default_value;
     }
     return out;
 }
 
-int IniReader::whole(const std::string& section, const std::string& key, int usual, Bounds bounds) {
-    const double out = number(section, key, usual, {bounds.least, std::min(bounds.most, 2e9)});
+int IniReader::integer(const std::string& section, const std::string& key, int default_value,
+                       Bounds bounds) {
+    const double out = number(section, key, default_value,
+                              {bounds.minimum, std::min(bounds.maximum, kMaxInteger)});
     if (out == std::floor(out)) {
         return static_cast<int>(out);
     }
-    wrong(section, key, "must be a whole number");
-    return usual;
+    add_error(section, key, "must be a whole number");
+    return default_value;
 }
 
-bool IniReader::yes(const std::string& section, const std::string& key, bool usual) {
+bool IniReader::boolean(const std::string& section, const std::string& key, bool default_value) {
     const IniEntry* entry = find(section, key);
     if (!entry) {
-        return usual;
+        return default_value;
     }
     if (entry->value == "yes") {
         return true;
@@ -274,81 +305,71 @@
     if (entry->value == "no") {
         return false;
     }
-    wrong(section, key, "'" + entry->value + "' is neither yes nor no");
-    return usual;
+    add_error(section, key, "'" + entry->value + "' is neither yes nor no");
+    return default_value;
 }
 
-std::optional<Micros> parse_time(std::string_view text, std::string& why) {
+std::optional<Micros> parse_time(std::string_view text, std::string& error) {
     const std::string all = trimmed(text);
     double value = 0;
-    const auto [end, bad] = std::from_chars(all.data(), all.data() + all.size(), value);
-    if (bad != std::errc{} || !std::isfinite(value)) {
-        why = "'" + all + "' is no time; write for example 800 ms";
+    const auto [end, status] = std::from_chars(all.data(), all.data() + all.size(), value);
+    if (status != std::errc{} || !std::isfinite(value)) {
+        error = "'" + all + "' is no time; write for example 800 ms";
         return std::nullopt;
     }
-    const std::string unit =
-        trimmed(std::string_view(end, static_cast<std::size_t>(all.data() + all.size() - end)));
-    const std::string bare =
-        trimmed(std::string_view(all.data(), static_cast<std::size_t>(end - all.data())));
-    double factor = 0;
-    if (unit == "us") {
-        factor = 1;
-    } else if (unit == "ms") {
-        factor = 1e3;
-    } else if (unit == "s") {
-        factor = 1e6;
-    } else if (unit == "min") {
-        factor = 60e6;
-    } else if (unit == "h") {
-        factor = 3600e6;
-    }
+    const auto number_size = static_cast<std::size_t>(end - all.data());
+    const std::string number = trimmed(std::string_view(all).substr(0, number_size));
+    const std::string unit = trimmed(std::string_view(all).substr(number_size));
+    const double factor = microseconds_in(unit);
     if (factor == 0) {
-        why = unit.empty() ? "'" + all + "' has no unit; write " + bare + " ms or " + bare + " s"
-                           : "'" + unit + "' is no unit of time (us, ms, s, min, h)";
+        error = unit.empty()
+                    ? "'" + all + "' has no unit; write " + number + " ms or " + number + " s"
+                    : "'" + unit + "' is no unit of time (us, ms, s, min, h)";
         return std::nullopt;
     }
     const double us = value * factor;
-    if (us != std::floor(us) || std::abs(us) > 9e15) {
-        why = "'" + all + "' is no whole number of microseconds within range";
+    if (us != std::floor(us) || std::abs(us) > kMaxTimeUs) {
+        error = "'" + all + "' is no whole number of microseconds within range";
         return std::nullopt;
     }
     return Micros(static_cast<std::int64_t>(us));
 }
 
-Micros IniReader::time(const std::string& section, const std::string& key, Micros usual,
-                       Micros least, Micros most) {
+Micros IniReader::time(const std::string& section, const std::string& key, Micros default_value,
+                       Micros minimum, Micros maximum) {
     const IniEntry* entry = find(section, key);
     if (!entry) {
-        return usual;
+        return default_value;
     }
-    std::string why;
-    const auto out = parse_time(entry->value, why);
+    std::string error;
+    const auto out = parse_time(entry->value, error);
     if (!out) {
-        wrong(section, key, why);
-        return usual;
+        add_error(section, key, error);
+        return default_value;
     }
-    if (*out < least || *out > most) {
-        wrong(section, key,
-              entry->value + " is out of range: " + in_words(least) + " to " + in_words(most));
-        return usual;
+    if (*out < minimum || *out > maximum) {
+        add_error(
+            section, key,
+            entry->value + " is out of range: " + time_text(minimum) + " to " + time_text(maximum));
+        return default_value;
     }
     return *out;
 }
 
 std::vector<std::string> IniReader::list(const std::string& section, const std::string& key,
-                                         const std::vector<std::string>& usual) {
+                                         const std::vector<std::string>& default_value) {
     const IniEntry* entry = find(section, key);
     if (!entry) {
-        return usual;
+        return default_value;
     }
     std::vector<std::string> out;
     std::istringstream parts(entry->value);
     for (std::string part; std::getline(parts, part, ',');) {
         const std::string word = trimmed(part);
         if (word.empty()) {
-            wrong(section, key, "an empty item between commas");
+            add_error(section, key, "an empty item between commas");
         } else if (std::find(out.begin(), out.end(), word) != out.end()) {
-            wrong(section, key, "'" + word + "' stands twice");
+            add_error(section, key, "'" + word + "' stands twice");
         } else {
             out.push_back(word);
         }
@@ -356,31 +377,31 @@
     return out;
 }
 
-int IniReader::choice(const std::string& section, const std::string& key, int usual,
+int IniReader::choice(const std::string& section, const std::string& key, int default_value,
                       const std::vector<std::string>& words) {
     const IniEntry* entry = find(section, key);
     if (!entry) {
-        return usual;
+        return default_value;
     }
     const auto it = std::find(words.begin(), words.end(), entry->value);
     if (it != words.end()) {
         return static_cast<int>(it - words.begin());
     }
     const std::string near = nearest(entry->value, words);
-    wrong(section, key,
-          "'" + entry->value + "' is not one of: " + joined(words) +
-              (near.empty() ? "" : "; did you mean " + near + "?"));
-    return usual;
+    add_error(section, key,
+              "'" + entry->value + "' is not one of: " + joined(words) +
+                  (near.empty() ? "" : "; did you mean " + near + "?"));
+    return default_value;
 }
 
 void IniReader::finish() {
     for (const IniEntry& entry : file_.entries()) {
-        if (asked_.contains({entry.section, entry.key})) {
+        if (known_keys_.contains({entry.section, entry.key})) {
             continue;
         }
         std::vector<std::string> here;
         std::vector<std::string> sections;
-        for (const auto& [section, key] : asked_) {
+        for (const auto& [section, key] : known_keys_) {
             if (section == entry.section) {
                 here.push_back(key);
             }
@@ -390,20 +411,20 @@
         }
         const std::string near =
             nearest(here.empty() ? entry.section : entry.key, here.empty() ? sections : here);
-        mistakes_.push_back({file_.name(), entry.line, "[" + entry.section + "] " + entry.key,
-                             std::string(here.empty() ? "no such section" : "no such key here") +
-                                 (near.empty() ? "" : "; did you mean " + near + "?")});
+        errors_.push_back({file_.name(), entry.line, "[" + entry.section + "] " + entry.key,
+                           std::string(here.empty() ? "no such section" : "no such key here") +
+                               (near.empty() ? "" : "; did you mean " + near + "?")});
     }
-    std::stable_sort(mistakes_.begin(), mistakes_.end(),
-                     [](const Mistake& a, const Mistake& b) { return a.line < b.line; });
+    std::stable_sort(errors_.begin(), errors_.end(),
+                     [](const ConfigError& a, const ConfigError& b) { return a.line < b.line; });
 }
 
 std::string nearest(const std::string& word, const std::vector<std::string>& known) {
     std::string best;
-    std::size_t least = std::max<std::size_t>(2, word.size() / 3) + 1;
+    std::size_t best_distance = std::max<std::size_t>(2, word.size() / 3) + 1;
     for (const auto& candidate : known) {
-        if (const std::size_t d = distance(word, candidate); d < least) {
-            least = d;
+        if (const std::size_t d = edit_distance(word, candidate); d < best_distance) {
+            best_distance = d;
             best = candidate;
         }
     }
--- a/src/config/ini.h
+++ b/src/config/ini.h
@@ -1,6 +1,7 @@
-// INI text with the place of every value, and typed readers that collect each mistake with file,
-// line, key and what would be right. Reading goes on after a mistake, so that one run tells them
-// all.
+/// \file
+/// INI files with the place of every value, and typed readers that collect every error with file,
+/// line, key and what would be right. Reading goes on after an error, so that one run shows them
+/// all.
 #pragma once
 
 #include <chrono>
@@ -9,39 +10,44 @@
 #include <set>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 namespace badgergrade::config {
 
 using Micros = std::chrono::microseconds;
 
-struct Mistake {
+/// One error in a configuration file.
+struct ConfigError {
     std::string file;
-    int line = 0;  // 0: the file as a whole
-    std::string key, text;
+    int line = 0;     ///< from 1; 0: the file as a whole
+    std::string key;  ///< with its section; empty where the error concerns none
+    std::string text;
 };
 
-// "file:12: [channel] lines_per_second: ..."
-std::string to_text(const Mistake& mistake);
+/// "file:12: [channel] lines_per_second: ..."
+std::string to_text(const ConfigError& error);
 
 struct IniEntry {
-    std::string section, key, value;
-    int line = 0;
+    std::string section;
+    std::string key;
+    std::string value;
+    int line = 0;  ///< from 1; 0: set by the program
 };
 
 class IniFile {
 public:
-    // Reads INI text (inih); mistakes of form go to `mistakes`.
+    /// Reads INI text; syntax errors go to `errors`. `name` is the file name in them.
     static IniFile parse(const std::string& name, const std::string& text,
-                         std::vector<Mistake>& mistakes);
-    // Throws std::runtime_error when the file can't be read.
-    static IniFile load(const std::string& path, std::vector<Mistake>& mistakes);
+                         std::vector<ConfigError>& errors);
+    /// Throws std::runtime_error where the file can't be read.
+    static IniFile load(const std::string& path, std::vector<ConfigError>& errors);
 
     const std::string& name() const { return name_; }
 
     const std::vector<IniEntry>& entries() const { return entries_; }
 
-    // Replaces or adds a value, as from a command line.
+    /// Replaces or adds a value, as from a command line.
     void set(const std::string& section, const std::string& key, const std::string& value);
     std::string to_text() const;
 
@@ -50,48 +56,61 @@
     std::vector<IniEntry> entries_;
 };
 
-// Reads typed values out of a file. Every key that is asked for counts as known; finish() calls all
-// others unknown.
+/// Reads typed values from a file. Each reader returns `default_value` where the key is missing,
+/// and also, after adding an error, where its value is not valid. Every key that is read counts as
+/// known; finish() reports all others.
 class IniReader {
 public:
-    IniReader(const IniFile& file, std::vector<Mistake>& mistakes);
+    /// Both must outlive the reader.
+    IniReader(const IniFile& file, std::vector<ConfigError>& errors);
 
+    /// The range of a number, both ends included.
     struct Bounds {
-        double least = 0, most = 1e18;
+        double minimum = 0;
+        double maximum = 1e18;
     };
 
     bool has(const std::string& section, const std::string& key) const;
-    std::vector<std::string> sections_like(const std::string& prefix) const;
-
-    std::string text(const std::string& section, const std::string& key, const std::string& usual);
-    double number(const std::string& section, const std::string& key, double usual, Bounds bounds);
-    int whole(const std::string& section, const std::string& key, int usual, Bounds bounds);
-    bool yes(const std::string& section, const std::string& key, bool usual);
-    // "800 ms", "2s", "250us", "1.5 min"; a bare number is refused, since nobody knows its unit.
-    Micros time(const std::string& section, const std::string& key, Micros usual, Micros least,
-                Micros most);
+    /// The sections whose name begins with `prefix`, in the order of the file.
+    std::vector<std::string> sections_with_prefix(const std::string& prefix) const;
+
+    std::string text(const std::string& section, const std::string& key,
+                     const std::string& default_value);
+    double number(const std::string& section, const std::string& key, double default_value,
+                  Bounds bounds);
+    int integer(const std::string& section, const std::string& key, int default_value,
+                Bounds bounds);
+    /// "yes" or "no".
+    bool boolean(const std::string& section, const std::string& key, bool default_value);
+    /// "800 ms", "2s", "250us", "1.5 min". A number without a unit is an error.
+    Micros time(const std::string& section, const std::string& key, Micros default_value,
+                Micros minimum, Micros maximum);
+    /// Different words between commas.
     std::vector<std::string> list(const std::string& section, const std::string& key,
-                                  const std::vector<std::string>& usual);
-    // One of the words given; the index of it.
-    int choice(const std::string& section, const std::string& key, int usual,
+                                  const std::vector<std::string>& default_value);
+    /// The index of the value in `words`.
+    int choice(const std::string& section, const std::string& key, int default_value,
                const std::vector<std::string>& words);
-    // The key must be there.
-    void need(const std::string& section, const std::string& key, const std::string& example);
 
-    void wrong(const std::string& section, const std::string& key, const std::string& text);
+    /// Adds an error, with `example` as a valid value, where the key is missing.
+    void require(const std::string& section, const std::string& key, const std::string& example);
+    /// Adds an error at the line of this key. An empty key means the section.
+    void add_error(const std::string& section, const std::string& key, const std::string& text);
+    /// Adds an error for each key that nobody read, and sorts all errors by line.
     void finish();
 
 private:
     const IniEntry* find(const std::string& section, const std::string& key);
 
     const IniFile& file_;
-    std::vector<Mistake>& mistakes_;
-    std::map<std::pair<std::string, std::string>, const IniEntry*> by_key_;
-    std::set<std::pair<std::string, std::string>> asked_;
+    std::vector<ConfigError>& errors_;
+    std::map<std::pair<std::string, std::string>, const IniEntry*> entry_by_key_;
+    std::set<std::pair<std::string, std::string>> known_keys_;
 };
 
-std::optional<Micros> parse_time(std::string_view text, std::string& why);
-// The known word nearest to a mistyped one; empty where none is near.
+/// A time with its unit (us, ms, s, min, h); without a value, `error` says why.
+std::optional<Micros> parse_time(std::string_view text, std::string& error);
+/// The known word nearest to a mistyped one by edit distance; empty where none is near.
 std::string nearest(const std::string& word, const std::vector<std::string>& known);
 
 }  // namespace badgergrade::config
--- a/src/replay/merge.cpp
+++ b/src/replay/merge.cpp
@@ -130,7 +130,7 @@
     recording::Reader reader(path);
     Life out;
     out.header = reader.header();
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     out.config = config::read_governor(
         config::IniFile::parse(path, out.header.settings(), mistakes), mistakes);
     if (!mistakes.empty()) {
@@ -340,7 +340,7 @@
     }
 
     testbed::WorkerSettings worker(const std::string& id, const ServerSight& sight) const {
-        const Settings& told = config_.told;
+        const Settings& told = config_.settings;
         testbed::WorkerSettings s;
         const bool weighed = told.listed_weights != ListedWeights::None &&
                              told.listed_weights != ListedWeights::Live;
@@ -378,7 +378,7 @@
         }
         std::set<int> ordinals;
         for (const Life& life : lives_) {
-            ordinals.insert(life.config.told.ordinal);
+            ordinals.insert(life.config.settings.ordinal);
         }
         for (const int ordinal : ordinals) {
             at(0us, {.kind = StartGovernor, .who = "governor-" + std::to_string(ordinal)}, true);
@@ -532,7 +532,7 @@
         const auto starts = starts_.find(server);
         return starts != starts_.end() &&
                std::any_of(starts->second.begin(), starts->second.end(), [&](Micros started) {
-                   return started <= now && now < started + config_.told.slow_start_window + 2s;
+                   return started <= now && now < started + config_.settings.slow_start_window + 2s;
                });
     }
 
@@ -569,7 +569,7 @@
         using enum scenario::MoveKind;
         std::map<int, std::vector<const Life*>> by_governor;
         for (const Life& life : lives_) {
-            by_governor[life.config.told.ordinal].push_back(&life);
+            by_governor[life.config.settings.ordinal].push_back(&life);
         }
         for (auto& [ordinal, all] : by_governor) {
             std::stable_sort(all.begin(), all.end(),
@@ -604,7 +604,7 @@
         std::vector<const Asked*> asked;
         for (const Life& life : lives_) {
             for (const Asked& one : life.asked) {
-                if (one.operation < static_cast<int>(config_.told.operations.size())) {
+                if (one.operation < static_cast<int>(config_.settings.operations.size())) {
                     asked.push_back(&one);
                 }
             }
@@ -622,7 +622,7 @@
             until = one->at;
             // What failed came once more where clients may try again.
             const bool again =
-                config_.told.operations[static_cast<std::size_t>(one->operation)].effect !=
+                config_.settings.operations[static_cast<std::size_t>(one->operation)].effect !=
                 Effect::SideEffecting;
             const std::int64_t first =
                 std::max<std::int64_t>(0, one->count - (again ? one->errored : 0));
@@ -643,7 +643,7 @@
     // Work by latency objective, so that the mean over what was asked for takes the calm answer
     // time.
     std::vector<Micros> work(const std::vector<Arrival>& arrivals) const {
-        const auto& operations = config_.told.operations;
+        const auto& operations = config_.settings.operations;
         double sum = 0;
         for (const auto& one : arrivals) {
             sum += static_cast<double>(
@@ -675,13 +675,13 @@
         };
         std::ostringstream out;
         out << "length " << length_.count() << " us\nworkers " << servers_.size() << "\nforwarders "
-            << forwarders_.size() << "\ngovernors " << config_.told.instance_count << "\nrate "
+            << forwarders_.size() << "\ngovernors " << config_.settings.instance_count << "\nrate "
             << std::max(0.001,
                         static_cast<double>(count) / (static_cast<double>(length_.count()) / 1e6))
             << "\n";
         for (std::size_t k = 0; k < works.size(); ++k) {
-            out << "operation " << config_.told.operations[k].name << " work " << works[k].count()
-                << " us\n";
+            out << "operation " << config_.settings.operations[k].name << " work "
+                << works[k].count() << " us\n";
         }
         out << "way orders " << quantile(0.1).count() << ".." << quantile(0.9).count() << " us\n";
         return out.str();
@@ -846,7 +846,7 @@
     const auto& first = lives.front();
     for (std::size_t k = 1; k < lives.size(); ++k) {
         if (lives[k].config.zones != first.config.zones ||
-            lives[k].config.told.operations.size() != first.config.told.operations.size()) {
+            lives[k].config.settings.operations.size() != first.config.settings.operations.size()) {
             throw std::runtime_error(paths[k] + ": tells of other zones or operations than " +
                                      paths.front());
         }
--- a/src/replay/play.cpp
+++ b/src/replay/play.cpp
@@ -108,7 +108,7 @@
 // ---- a run
 
 Played play(const RecordedDay& day, const Trial& trial, const PlayOptions& options) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     Playable playable = make_playable(day, trial, mistakes);
     if (!mistakes.empty()) {
         throw std::runtime_error(config::to_text(mistakes.front()));
--- a/src/replay/recorded_day.cpp
+++ b/src/replay/recorded_day.cpp
@@ -292,7 +292,7 @@
     RecordedDay out;
     out.path = path;
     out.header = reader.header();
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     out.settings = config::IniFile::parse(path, out.header.settings(), mistakes);
     out.script = without_settings(out.header.script());
     if (out.header.script().empty()) {
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -47,7 +47,7 @@
     out.set_seed(script.seed);
     out.set_begin_us(begin.count());
     out.set_length_us(script.length.count());
-    for (const auto& op : script.governor.told.operations) {
+    for (const auto& op : script.governor.settings.operations) {
         out.add_operations(op.name);
     }
     return out;
@@ -61,7 +61,7 @@
     out.set_seed(config.seed);
     out.set_begin_us(begin.count());
     out.set_wall_begin(wall);
-    for (const auto& op : config.told.operations) {
+    for (const auto& op : config.settings.operations) {
         out.add_operations(op.name);
     }
     return out;
--- a/src/replay/trial.cpp
+++ b/src/replay/trial.cpp
@@ -10,7 +10,7 @@
 namespace badgergrade::replay {
 
 using namespace std::chrono_literals;
-using config::Mistake;
+using config::ConfigError;
 
 namespace {
 
@@ -68,7 +68,7 @@
 
 class TrialReader {
 public:
-    TrialReader(const RecordedDay& day, Trial& trial, std::vector<Mistake>& mistakes)
+    TrialReader(const RecordedDay& day, Trial& trial, std::vector<ConfigError>& mistakes)
         : day_(day),
           trial_(trial),
           mistakes_(mistakes) {}
@@ -148,7 +148,7 @@
 
     const RecordedDay& day_;
     Trial& trial_;
-    std::vector<Mistake>& mistakes_;
+    std::vector<ConfigError>& mistakes_;
 };
 
 // ---- ready-made changes
@@ -252,7 +252,7 @@
 }
 
 Trial read_trial(const RecordedDay& day, const std::optional<config::IniFile>& file,
-                 const Sets& sets, std::vector<Mistake>& mistakes) {
+                 const Sets& sets, std::vector<ConfigError>& mistakes) {
     Trial out;
     out.settings = day.settings;
     TrialReader reader(day, out, mistakes);
@@ -278,7 +278,7 @@
 }
 
 scenario::DayScript make_script(const RecordedDay& day, const Trial& trial,
-                                std::vector<Mistake>& mistakes) {
+                                std::vector<ConfigError>& mistakes) {
     auto out = scenario::parse_script(day.header.made_by(), day.script, trial.settings, mistakes);
     if (!mistakes.empty()) {
         return out;
@@ -289,7 +289,7 @@
     out.startup = trial.startup.value_or(out.startup);
     out.workers += trial.more_workers;
     out.rate *= trial.traffic;
-    const auto& columns = out.governor.told.load_metric_names;
+    const auto& columns = out.governor.settings.load_metric_names;
     const bool told = std::any_of(day.world.moves.begin(), day.world.moves.end(),
                                   [](const auto& m) { return m.what.worker.reports_load; });
     if (!columns.empty() && !told) {
@@ -299,7 +299,8 @@
     return out;
 }
 
-Playable make_playable(const RecordedDay& day, const Trial& trial, std::vector<Mistake>& mistakes) {
+Playable make_playable(const RecordedDay& day, const Trial& trial,
+                       std::vector<ConfigError>& mistakes) {
     Playable out{make_script(day, trial, mistakes), {}};
     if (!mistakes.empty()) {
         return out;
--- a/src/replay/trial.h
+++ b/src/replay/trial.h
@@ -32,13 +32,13 @@
 
 // Every mistake is told; the trial is good only where there is none.
 Trial read_trial(const RecordedDay& day, const std::optional<config::IniFile>& file,
-                 const Sets& sets, std::vector<config::Mistake>& mistakes);
+                 const Sets& sets, std::vector<config::ConfigError>& mistakes);
 // "section.key=value"; nothing where it is not of that form.
 std::optional<std::pair<std::string, std::string>> read_set(const std::string& text);
 
 // The day's script under the trial's settings, checked against the day once more.
 scenario::DayScript make_script(const RecordedDay& day, const Trial& trial,
-                                std::vector<config::Mistake>& mistakes);
+                                std::vector<config::ConfigError>& mistakes);
 
 struct Playable {
     scenario::DayScript script;
@@ -47,6 +47,6 @@
 
 // That script, and the recorded world with the ready-made changes.
 Playable make_playable(const RecordedDay& day, const Trial& trial,
-                       std::vector<config::Mistake>& mistakes);
+                       std::vector<config::ConfigError>& mistakes);
 
 }  // namespace badgergrade::replay
--- a/src/scenario/auditor.cpp
+++ b/src/scenario/auditor.cpp
@@ -74,8 +74,8 @@
 bool Auditor::warm_server_listed(const GovernorSight& sight, Micros now) const {
     return std::any_of(sight.servers.begin(), sight.servers.end(), [&](const auto& entry) {
         const ListedSight& server = entry.second;
-        return server.ready &&
-               (server.started <= 0us || server.started + config_.told.slow_start_window <= now);
+        return server.ready && (server.started <= 0us ||
+                                server.started + config_.settings.slow_start_window <= now);
     });
 }
 
@@ -101,7 +101,7 @@
         }
         const Micros since = sight.bare_since.try_emplace(operation, now).first->second;
         const Micros most(
-            std::llround(static_cast<double>(config_.told.max_time_without_server.count()) *
+            std::llround(static_cast<double>(config_.settings.max_time_without_server.count()) *
                          stretch_since(since)));
         margins_.bare = std::max(margins_.bare, part(now - since, most));
         if (now - since > most) {
@@ -174,7 +174,7 @@
         }
         server.ready = false;
         // Where only a stated drain binds, a server that merely vanished may stay.
-        if (!config_.told.vanished_may_stay) {
+        if (!config_.settings.vanished_may_stay) {
             sight.gone.try_emplace(key, now);
         }
     }
@@ -183,7 +183,7 @@
 void Auditor::try_sent(Micros now, const std::string& name, const std::string& server,
                        std::uint64_t invocation, int operation, int number,
                        testbed::TryEnd before) {
-    const auto& op = config_.told.operations[static_cast<std::size_t>(operation)];
+    const auto& op = config_.settings.operations[static_cast<std::size_t>(operation)];
     if (op.effect == Effect::SideEffecting && number > 1) {
         ++checks_["effect"];
         if (before != testbed::TryEnd::NeverSent && before != testbed::TryEnd::Refused) {
@@ -203,8 +203,8 @@
     }
     ++checks_["drain"];
     const Micros since = std::max(told->second, it->second.joined);
-    const Micros grace(
-        std::llround(static_cast<double>(config_.told.drain_grace.count()) * stretch_since(since)));
+    const Micros grace(std::llround(static_cast<double>(config_.settings.drain_grace.count()) *
+                                    stretch_since(since)));
     margins_.drain = std::max(margins_.drain, part(now - since, grace));
     if (now - since > grace) {
         broken("drain", now, name + " to " + server,
@@ -217,7 +217,7 @@
 
 void Auditor::took_effect(Micros now, const std::string& server, std::uint64_t invocation,
                           int operation) {
-    const auto& op = config_.told.operations[static_cast<std::size_t>(operation)];
+    const auto& op = config_.settings.operations[static_cast<std::size_t>(operation)];
     if (op.effect != Effect::SideEffecting) {
         return;
     }
@@ -253,7 +253,7 @@
         if (listed == servers.end()) {
             continue;
         }
-        const Micros grace(std::llround(static_cast<double>(config_.told.drain_grace.count()) *
+        const Micros grace(std::llround(static_cast<double>(config_.settings.drain_grace.count()) *
                                         stretch_since(listed->second.told)));
         if (it->second.last_order < listed->second.told &&
             push.when < listed->second.told + grace) {
@@ -270,7 +270,7 @@
                    " after its start by forwarders of " + who + ": " +
                    std::to_string(pushes.size()) + " tries, " +
                    in_seconds(Micros(std::llround(all))) + " of work within " +
-                   in_seconds(config_.told.overload_collapse_time) + ", most of it by " +
+                   in_seconds(config_.settings.overload_collapse_time) + ", most of it by " +
                    std::max_element(by.begin(), by.end(), [](const auto& a, const auto& b) {
                        return a.second < b.second;
                    })->first);
@@ -293,7 +293,7 @@
     sight.last_order = std::max(sight.last_order, order.ordered);
     queues_[origin].emplace(order.ordered, order.lines);
     queues_[origin].emplace(order.released, -order.lines);
-    const auto& told = config_.told;
+    const auto& told = config_.settings;
     if (told.max_messages <= 0) {
         return;
     }
@@ -323,8 +323,8 @@
                 waiting += it->second;
             }
             ++checks_["queue"];
-            margins_.lines = std::max(margins_.lines, waiting / config_.told.max_queued_lines);
-            if (waiting > config_.told.max_queued_lines) {
+            margins_.lines = std::max(margins_.lines, waiting / config_.settings.max_queued_lines);
+            if (waiting > config_.settings.max_queued_lines) {
                 broken("queue", at, origin,
                        std::to_string(std::llround(waiting)) + " lines waited in its channel");
             }
--- a/src/scenario/figures.cpp
+++ b/src/scenario/figures.cpp
@@ -101,7 +101,7 @@
 }
 
 void Figures::add(const testbed::Invocation& what, testbed::Result result, Micros took) {
-    const auto& op = script_.governor.told.operations[static_cast<std::size_t>(what.operation)];
+    const auto& op = script_.governor.settings.operations[static_cast<std::size_t>(what.operation)];
     Service one;
     one.invocations = 1;
     one.asked = op.priority_weight;
@@ -233,7 +233,7 @@
                           int operation) {
     ++effects_;
     ++effects_by_server_[server];
-    if (script_.governor.told.operations[static_cast<std::size_t>(operation)].effect !=
+    if (script_.governor.settings.operations[static_cast<std::size_t>(operation)].effect !=
         Effect::SideEffecting) {
         return;
     }
--- a/src/scenario/runner.cpp
+++ b/src/scenario/runner.cpp
@@ -80,7 +80,7 @@
         }
         world.start();
         Micros tail = 0us;
-        for (const Operation& op : script.governor.told.operations) {
+        for (const Operation& op : script.governor.settings.operations) {
             tail = std::max(tail, op.integration_timeout);
         }
         loop->run_until(world.begin() + script.length + tail + 500ms);
--- a/src/scenario/script.cpp
+++ b/src/scenario/script.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using config::Mistake;
+using config::ConfigError;
 
 // What each trouble takes: whom it strikes, and which of the words it needs.
 struct Shape {
@@ -302,7 +302,7 @@
     return out;
 }
 
-void check(DayScript& day, const std::string& name, std::vector<Mistake>& mistakes) {
+void check(DayScript& day, const std::string& name, std::vector<ConfigError>& mistakes) {
     const auto wrong = [&](int line, const std::string& text) {
         mistakes.push_back({name, line, "", text});
     };
@@ -328,7 +328,7 @@
         day.kinds.push_back({"plain", 1, 2, {1, 1}, {10, 10}, {200, 200}});
     }
     std::vector<OperationLoad> ordered;
-    for (const Operation& op : day.governor.told.operations) {
+    for (const Operation& op : day.governor.settings.operations) {
         const auto at = std::find_if(day.operations.begin(), day.operations.end(),
                                      [&](const auto& o) { return o.name == op.name; });
         if (at == day.operations.end()) {
@@ -381,7 +381,7 @@
 }
 
 DayScript parse_script(const std::string& name, const std::string& text,
-                       const config::IniFile& settings, std::vector<Mistake>& mistakes) {
+                       const config::IniFile& settings, std::vector<ConfigError>& mistakes) {
     DayScript day;
     day.name = std::filesystem::path(name).stem().string();
     day.text = text;
@@ -554,7 +554,7 @@
     return day;
 }
 
-DayScript load_script(const std::string& path, std::vector<Mistake>& mistakes) {
+DayScript load_script(const std::string& path, std::vector<ConfigError>& mistakes) {
     std::ifstream in(path, std::ios::binary);
     if (!in) {
         throw std::runtime_error(path + ": can't be read");
--- a/src/scenario/script.h
+++ b/src/scenario/script.h
@@ -116,9 +116,9 @@
 };
 
 // Reads a script; settings are loaded from beside it. Mistakes carry file and line.
-DayScript load_script(const std::string& path, std::vector<config::Mistake>& mistakes);
+DayScript load_script(const std::string& path, std::vector<config::ConfigError>& mistakes);
 DayScript parse_script(const std::string& name, const std::string& text,
-                       const config::IniFile& settings, std::vector<config::Mistake>& mistakes);
+                       const config::IniFile& settings, std::vector<config::ConfigError>& mistakes);
 // The settings file that a script names; empty where it names none.
 std::string settings_of(const std::string& text);
 
--- a/src/scenario/world.cpp
+++ b/src/scenario/world.cpp
@@ -65,7 +65,7 @@
     watchers_.all = watchers;
     loop_.weather = &weather_;
     loop_.keeps_ledger = true;
-    for (const Operation& op : script.governor.told.operations) {
+    for (const Operation& op : script.governor.settings.operations) {
         operations_.push_back(op.name);
     }
     registry_port_ = std::make_unique<net::PortHold>(loop);
@@ -203,7 +203,7 @@
     clients.retries = script_.client_retries;
     clients.wait = script_.client_wait;
     clients.try_share = script_.client_try_share;
-    clients.operations = script_.governor.told.operations;
+    clients.operations = script_.governor.settings.operations;
     clients.gives_up = gives_up();
     for (std::size_t k = 0; k < forwarders_.size(); ++k) {
         ForwarderSlot& slot = forwarders_[k];
@@ -361,7 +361,7 @@
 
 testbed::WorkerSettings World::draw_worker(std::size_t k) const {
     base::SequentialRandom chance(script_.seed, "worker/" + std::to_string(k));
-    const Settings& told = script_.governor.told;
+    const Settings& told = script_.governor.settings;
     double shares = 0;
     for (const auto& kind : script_.kinds) {
         shares += kind.share;
@@ -479,10 +479,10 @@
     config::GovernorConfig config = script_.governor;
     config.id = slot.name;
     config.seed = base::seed_for(script_.seed, slot.name + "/" + std::to_string(slot.life)) >> 12;
-    config.told.ordinal = static_cast<int>(k);
-    config.told.instance_count = script_.governors;
+    config.settings.ordinal = static_cast<int>(k);
+    config.settings.instance_count = script_.governors;
     const auto at = std::find(config.zones.begin(), config.zones.end(), slot.zone);
-    config.told.zone = {static_cast<int>(at - config.zones.begin())};
+    config.settings.zone = {static_cast<int>(at - config.zones.begin())};
     config.xds_address = net::to_text(slot.port->address());
     config.registry_address = net::to_text(registry_port_->address());
     slot.service = std::make_unique<xds_server::XdsServer>(
@@ -546,7 +546,7 @@
     ForwarderSlot& slot = forwarders_[k];
     slot.forwarder.reset();
     ++slot.starts;
-    const Settings& told = script_.governor.told;
+    const Settings& told = script_.governor.settings;
     base::SequentialRandom chance(script_.seed,
                                   slot.plan.id + "/start/" + std::to_string(slot.starts));
     testbed::ForwarderSettings s;
@@ -577,7 +577,7 @@
     s.pick = told.pick_policy;
     s.again = told.default_retry_mode;
     s.ejects_after = told.proxy_ejection_failures;
-    s.eject_time = script_.governor.eject_time;
+    s.eject_time = script_.governor.ejection_time;
     s.connect_timeout = 250ms;
     s.dial_timeout = 1s;
     s.connection_idle = told.connection_idle_timeout;
@@ -774,7 +774,7 @@
                      "flap/" + std::to_string(trouble.line) + "/" + std::to_string(k)));
         } else if (trouble.kind == Kind::Drain) {
             list_worker(k, 1us, true);
-            later(trouble.lasts > 0us ? trouble.lasts : 3 * script_.governor.told.drain_grace,
+            later(trouble.lasts > 0us ? trouble.lasts : 3 * script_.governor.settings.drain_grace,
                   [this, k] { stop_worker(k, false); });
         } else {  // crash, and a whole zone lost
             stop_worker(k, trouble.unlisted);
--- a/src/xds_server/endpoint_watch.cpp
+++ b/src/xds_server/endpoint_watch.cpp
@@ -70,7 +70,7 @@
       id_(config.id),
       wait_(config.registry_wait),
       timeout_(config.registry_timeout),
-      check_(config.empty_list, config.shrink_refused),
+      check_(config.empty_list, config.min_endpoint_fraction),
       pool_(loop, actor, std::move(host), net::parse_address(config.registry_address),
             config.registry_timeout, 60s),
       again_(loop.clock(), actor) {}
--- a/src/xds_server/xds_server.cpp
+++ b/src/xds_server/xds_server.cpp
@@ -20,8 +20,8 @@
 
 net::GrpcLimits grpc_limits(const config::GovernorConfig& config) {
     net::GrpcLimits limits;
-    limits.message_bytes = config.message_bytes;
-    limits.waiting_bytes = config.waiting_bytes;
+    limits.message_bytes = config.max_message_bytes;
+    limits.waiting_bytes = config.max_queued_bytes;
     limits.keepalive = config.keepalive;
     return limits;
 }
@@ -62,12 +62,12 @@
       config_(config),
       log_(log, config.id),
       life_(std::move(life)),
-      driver_(clock_, actor, config.told, config.seed, config.batch),
-      board_(config.told, config.zones, config.eject_time),
-      channel_(config.told.channel_lines_per_second),
-      reports_(config.told),
+      driver_(clock_, actor, config.settings, config.seed, config.batch),
+      board_(config.settings, config.zones, config.ejection_time),
+      channel_(config.settings.channel_lines_per_second),
+      reports_(config.settings),
       server_(loop, actor, config.id, net::parse_address(config.xds_address), grpc_limits(config),
-              static_cast<std::size_t>(config.connections_most)),
+              static_cast<std::size_t>(config.max_connections)),
       registry_(loop, actor, config.id, config),
       channel_timer_(clock_, actor),
       tick_(clock_, actor),
@@ -108,20 +108,20 @@
     };
     registry_.on_trouble = [this](const std::string& why) {
         log_.warn("list.trouble", {{"why", why}});
-        if (config_.told.endpoints_on_request) {
+        if (config_.settings.endpoints_on_request) {
             tell(event::EndpointListUpdate{UpdateKind::WatchFailed, {}});
         }
     };
     log_.info("governor.started", {{"xds", net::to_text(address())},
                                    {"registry", config.registry_address},
                                    {"life", life_},
-                                   {"zones", config.told.zone_count},
-                                   {"operations", config.told.operations.size()}});
-    if (!config.told.endpoints_on_request) {
+                                   {"zones", config.settings.zone_count},
+                                   {"operations", config.settings.operations.size()}});
+    if (!config.settings.endpoints_on_request) {
         registry_.start();
     }
     tick();
-    period_.after(config.told.report_interval, [this] { end_period(); });
+    period_.after(config.settings.report_interval, [this] { end_period(); });
     driver_.schedule_decision();
 }
 
@@ -379,7 +379,7 @@
         response.set_send_all_clusters(true);
         response.set_report_endpoint_granularity(true);
         *response.mutable_load_reporting_interval() =
-            TimeUtil::MicrosecondsToDuration(config_.told.report_interval.count());
+            TimeUtil::MicrosecondsToDuration(config_.settings.report_interval.count());
         call->send(response.SerializeAsString());
     }
     const auto it = forwarders_.find(state->name);
@@ -475,7 +475,7 @@
 
 void XdsServer::change_for_trial(double weight) {
     std::vector<Command> actions;
-    const TableId full{config_.told.zone_count};
+    const TableId full{config_.settings.zone_count};
     for (const auto& [server, name] : server_names_) {
         actions.emplace_back(command::SetWeight{full, server, weight});
     }
@@ -501,7 +501,7 @@
 }
 
 void XdsServer::end_period() {
-    period_.after(config_.told.report_interval, [this] { end_period(); });
+    period_.after(config_.settings.report_interval, [this] { end_period(); });
     reports_.close_period(clock_.now());
 }
 
@@ -576,7 +576,7 @@
 
 void XdsServer::probe(ServerId server) {
     const auto* place = board_.place_of(server);
-    if (!place || !config_.told.health_checks_allowed) {
+    if (!place || !config_.settings.health_checks_allowed) {
         log_.error("order.refused", {{"why", place ? "probes are not permitted"
                                                    : "a probe of a server that no list named"}});
         return;
@@ -584,13 +584,13 @@
     auto& pool = probes_[server];
     if (!pool) {
         pool = std::make_unique<net::HttpPool>(loop_, actor_, config_.id, place->address,
-                                               config_.probe_timeout, 5s);
+                                               config_.health_check_timeout, 5s);
     }
     net::HttpMessage request;
     request.method = "GET";
     request.target = "/probe/shallow";
     const Micros sent = clock_.now();
-    pool->send(std::move(request), config_.probe_timeout,
+    pool->send(std::move(request), config_.health_check_timeout,
                [this, server, sent](net::HttpOutcome outcome) {
                    using How = net::HttpOutcome::How;
                    HealthCheckOutcome said = HealthCheckOutcome::Other;
--- a/src/xds_server/xds_server.h
+++ b/src/xds_server/xds_server.h
@@ -64,7 +64,7 @@
 
     const std::string& life() const { return life_; }
 
-    int ordinal() const { return config_.told.ordinal; }
+    int ordinal() const { return config_.settings.ordinal; }
 
     // Names behind the module's numbers; empty where there is none.
     std::string forwarder_name(ProxyId proxy) const;
--- a/tests/fuzz/messages_fuzz.cpp
+++ b/tests/fuzz/messages_fuzz.cpp
@@ -73,7 +73,7 @@
     }
     const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
     std::vector<std::string> refused;
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     switch (data[0] % 5) {
         case 0:
             server(bytes);
--- a/tests/program/config_test.cpp
+++ b/tests/program/config_test.cpp
@@ -19,7 +19,7 @@
 }
 
 std::vector<std::string> mistakes_in(const std::string& text) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     const auto file = config::IniFile::parse("g.ini", text, mistakes);
     config::read_governor(file, mistakes);
     std::vector<std::string> out;
--- a/tests/program/day_test.cpp
+++ b/tests/program/day_test.cpp
@@ -20,7 +20,7 @@
 }
 
 config::IniFile example_settings() {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     return config::IniFile::parse("governor.ini", read(BADGERGRADE_SOURCE "/examples/governor.ini"),
                                   mistakes);
 }
@@ -39,7 +39,7 @@
 )";
 
 scenario::DayScript script(const std::string& troubles) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     auto out = scenario::parse_script("test.day", kFleet + troubles, example_settings(), mistakes);
     for (const auto& mistake : mistakes) {
         ADD_FAILURE() << config::to_text(mistake);
@@ -198,7 +198,7 @@
         {"set forwarders pick quickest", "not one of"},
     };
     for (const auto& one : mistakes) {
-        std::vector<config::Mistake> told;
+        std::vector<config::ConfigError> told;
         scenario::parse_script("test.day", std::string(kFleet) + one.line + "\n",
                                example_settings(), told);
         ASSERT_FALSE(told.empty()) << one.line;
--- a/tests/program/governor_test.cpp
+++ b/tests/program/governor_test.cpp
@@ -155,7 +155,7 @@
 TEST(Governor, AForwarderThatStopsReadingIsGivenUp) {
     Stage stage(settings("[log]\nlevel = debug\n"),
                 false);  // real time: the kernel's buffers are part of it
-    stage.config.waiting_bytes = 32768;
+    stage.config.max_queued_bytes = 32768;
     stage.config.keepalive = 0us;
     for (int k = 0; k < 400; ++k) {
         stage.list("s" + std::to_string(k), k % 2 ? "north" : "south", 10000 + k);
@@ -332,9 +332,9 @@
 // wait than allowed.
 TEST(Governor, ManyJoiningAtOnceKeepTheLineLimit) {
     auto config = settings();
-    config.told.proxy_count = 200;
-    config.told.max_queued_lines = 1500;
-    config.told.channel_lines_per_second = 1000;
+    config.settings.proxy_count = 200;
+    config.settings.max_queued_lines = 1500;
+    config.settings.channel_lines_per_second = 1000;
     Stage stage(config);
     for (int k = 0; k < 40; ++k) {
         stage.list("s" + std::to_string(k), k % 2 ? "north" : "south", 10000 + k);
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -43,7 +43,7 @@
 )";
 
 scenario::DayScript short_day(const std::string& more = {}) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     const auto settings = config::IniFile::parse("test.ini", test::kSettings, mistakes);
     auto day = scenario::parse_script("short.day", kShortDay + more, settings, mistakes);
     for (const auto& mistake : mistakes) {
@@ -62,7 +62,7 @@
 }
 
 Trial trial(const RecordedDay& day, const Sets& sets) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     auto out = read_trial(day, std::nullopt, sets, mistakes);
     for (const auto& mistake : mistakes) {
         ADD_FAILURE() << config::to_text(mistake);
@@ -71,7 +71,7 @@
 }
 
 std::string refused(const RecordedDay& day, const std::string& name, const std::string& value) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     read_trial(day, std::nullopt, {{name, value}}, mistakes);
     return mistakes.empty() ? std::string{} : config::to_text(mistakes.front());
 }
@@ -101,7 +101,7 @@
 
 TEST(Replay, EveryKindOfTroubleComesBackAsItWas) {
     const Folder folder;
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     const auto script = scenario::load_script(
         std::string(BADGERGRADE_SOURCE) + "/examples/all-troubles.day", mistakes);
     ASSERT_TRUE(mistakes.empty());
@@ -246,7 +246,7 @@
     const Folder folder;
     record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
-    std::vector<config::Mistake> none;
+    std::vector<config::ConfigError> none;
     const auto more =
         make_playable(day, trial(day, {{"replay.workers", "+2"}, {"replay.traffic", "1.5"}}), none);
     int workers = 0;
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -51,7 +51,7 @@
 )";
 
 inline config::GovernorConfig settings(const std::string& more = {}) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::ConfigError> mistakes;
     auto file = config::IniFile::parse("test.ini", std::string(kSettings) + more, mistakes);
     auto config = config::read_governor(file, mistakes);
     for (const auto& mistake : mistakes) {
