--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -99,7 +99,7 @@
 Settings parse_settings(const Json& settings) {
     std::string line = "up";
     add_to_line(line, {}, settings, 0);
-    return wire::read_settings(wire::Parts(line));
+    return wire::read_settings(wire::WireFields(line));
 }
 
 Micros parse_batch_window(const Json& settings) {
@@ -281,7 +281,7 @@
         return parse(Json::parse(text));
     } catch (const Json::exception& error) {
         throw ParseError(error.what());
-    } catch (const wire::Malformed& error) {
+    } catch (const wire::InvalidLine& error) {
         throw ParseError(std::string("settings: ") + error.what());
     } catch (const std::invalid_argument& error) {
         throw ParseError(error.what());
--- a/src/platform/config_writer.cpp
+++ b/src/platform/config_writer.cpp
@@ -67,20 +67,20 @@
 /// whole takes a part too: it replaces what the proxy has.
 void add_weights(std::vector<Words>& parts, const runtime::TableUpdate& update,
                  const ProtocolNames& names, const ServerIds& server_ids) {
-    if (!update.whole && update.lines.empty()) {
+    if (!update.replace_all && update.weights.empty()) {
         return;
     }
-    auto line = update.lines.begin();
+    auto line = update.weights.begin();
     bool is_first = true;
     do {
         std::string rows;
-        for (std::size_t count = 0; line != update.lines.end() && count < kMaxRowsPerPart;
+        for (std::size_t count = 0; line != update.weights.end() && count < kMaxRowsPerPart;
              ++line, ++count) {
             rows += (rows.empty() ? "" : ",") + server_ids.text_id(line->first) + ":" +
                     format_number(line->second);
         }
-        Words part = begin_part(update.ops, names);
-        if (update.whole && is_first) {
+        Words part = begin_part(update.operations, names);
+        if (update.replace_all && is_first) {
             add_field(part, words::kReplace, words::kYes);
         }
         if (!rows.empty()) {
@@ -88,7 +88,7 @@
         }
         parts.push_back(std::move(part));
         is_first = false;
-    } while (line != update.lines.end());
+    } while (line != update.weights.end());
 }
 
 /// Operations that have one admission setting.
@@ -98,9 +98,9 @@
 };
 
 /// Groups operations by their setting, in the order in which the settings first stand.
-std::vector<AdmissionGroup> group_by_setting(const runtime::Levels& levels) {
+std::vector<AdmissionGroup> group_by_setting(const runtime::AdmissionSettings& settings) {
     std::vector<AdmissionGroup> groups;
-    for (const auto& [operation, setting] : levels) {
+    for (const auto& [operation, setting] : settings) {
         const OperationMask bit = OperationMask{1} << operation.value;
         const auto same_setting = [&setting = setting](const AdmissionGroup& group) {
             return group.setting == setting;
@@ -118,10 +118,10 @@
 /// Adds admission limits and retry modes. Operations with the same setting share a part.
 void add_admission(std::vector<Words>& parts, const runtime::TableUpdate& update,
                    const ProtocolNames& names) {
-    for (const AdmissionGroup& group : group_by_setting(update.levels)) {
+    for (const AdmissionGroup& group : group_by_setting(update.admission)) {
         Words part = begin_part(group.operations, names);
-        add_field(part, words::kGate, format_number(group.setting.let_in));
-        add_field(part, words::kAgain, std::to_string(static_cast<int>(group.setting.again)));
+        add_field(part, words::kGate, format_number(group.setting.limit));
+        add_field(part, words::kAgain, std::to_string(static_cast<int>(group.setting.retry_mode)));
         parts.push_back(std::move(part));
     }
 }
@@ -129,14 +129,14 @@
 /// Adds what concerns the whole proxy: any part may carry it, the last one does.
 void add_proxy_fields(Words& last_part, const runtime::ProxyUpdate& update,
                       const ServerIds& server_ids) {
-    if (!update.out.empty()) {
-        add_field(last_part, words::kDrop, join_servers(update.out, server_ids));
+    if (!update.eject.empty()) {
+        add_field(last_part, words::kDrop, join_servers(update.eject, server_ids));
     }
-    if (!update.back.empty()) {
-        add_field(last_part, words::kUndrop, join_servers(update.back, server_ids));
+    if (!update.restore.empty()) {
+        add_field(last_part, words::kUndrop, join_servers(update.restore, server_ids));
     }
-    if (update.mark) {
-        add_field(last_part, words::kStamp, std::to_string(update.mark->value));
+    if (update.ack_version) {
+        add_field(last_part, words::kStamp, std::to_string(update.ack_version->value));
     }
 }
 
@@ -145,7 +145,7 @@
 std::optional<std::string> write_config(const runtime::ProxyUpdate& update,
                                         const ProtocolNames& names, const ServerIds& server_ids) {
     std::vector<Words> parts;
-    for (const auto& table : update.parts) {
+    for (const auto& table : update.tables) {
         add_weights(parts, *table, names, server_ids);
         add_admission(parts, *table, names);
     }
--- a/src/platform_server/platform_server.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -72,7 +72,7 @@
 }
 
 void PlatformServer::set_callbacks() {
-    policy_runner_.on_actions = [this](std::vector<Command> commands) {
+    policy_runner_.on_commands = [this](std::vector<Command> commands) {
         update_sender_.carry_out(commands);
     };
     connections_.on_message = [this](ConnectionId id, Connection& connection,
@@ -253,7 +253,7 @@
         connections_.close(*existing, "a newer stream of this proxy");
     }
     proxy_sessions_.set(connected.proxy, id);
-    config_state_.joined(connected.proxy);
+    config_state_.on_proxy_connected(connected.proxy);
     ++counters_.joins;
     log_.info("proxy.joined", {{"proxy", connected.proxy.value},
                                {"zone", connected.zone.value},
@@ -351,7 +351,7 @@
     if (!proxy_sessions_.remove(connection.proxy, id)) {
         return;
     }
-    config_state_.left(connection.proxy);
+    config_state_.on_proxy_disconnected(connection.proxy);
     ++counters_.leaves;
     if (!stopping_) {
         post(event::ProxyDisconnected{connection.proxy});
@@ -373,13 +373,13 @@
 }
 
 void PlatformServer::post(const Event& event) {
-    policy_runner_.tell(event);
+    policy_runner_.post(event);
 }
 
 void PlatformServer::run_housekeeping() {
     housekeeping_timer_.after(kHousekeepingInterval, [this] { run_housekeeping(); });
-    server_ids_.release_unused(clock_.now(),
-                               [this](ServerId server) { return config_state_.names(server); });
+    server_ids_.release_unused(
+        clock_.now(), [this](ServerId server) { return config_state_.references(server); });
     const ServerStatistics now = statistics();
     log_.info("node.state", {{"proxies", now.proxies},
                              {"strangers", now.unidentified},
--- a/src/platform_server/update_sender.cpp
+++ b/src/platform_server/update_sender.cpp
@@ -14,18 +14,17 @@
             logger_.info("policy.log", {{"text", message->text}});
         }
     }
-    std::vector<std::string> refused;
-    const std::vector<runtime::ProxyUpdate> updates =
-        dependencies_.config_state.take(commands, refused);
-    for (const std::string& why : refused) {
-        dependencies_.warnings.warn("order.refused", {{"why", why}});
+    const runtime::ApplyResult result = dependencies_.config_state.apply(commands);
+    for (const runtime::RejectedCommand& rejected : result.rejected) {
+        dependencies_.warnings.warn("order.refused", {{"why", rejected.reason}});
     }
     // Proxies with the same update get the same bytes: written once, sent to each.
     using UpdateContents = std::tuple<std::vector<runtime::TableUpdatePtr>, std::vector<ServerId>,
                                       std::vector<ServerId>>;
     std::map<UpdateContents, std::optional<std::string>> written;
-    for (const runtime::ProxyUpdate& update : updates) {
-        const auto [entry, is_new] = written.try_emplace({update.parts, update.out, update.back});
+    for (const runtime::ProxyUpdate& update : result.updates) {
+        const auto [entry, is_new] =
+            written.try_emplace({update.tables, update.eject, update.restore});
         if (is_new) {
             entry->second = platform::write_config(update, dependencies_.protocol_names,
                                                    dependencies_.server_ids);
@@ -46,8 +45,8 @@
     if (!id) {
         return;
     }
-    if (update.mark) {
-        dependencies_.connections.at(*id).pending_acks.on_sent(*update.mark);
+    if (update.ack_version) {
+        dependencies_.connections.at(*id).pending_acks.on_sent(*update.ack_version);
     }
     ++sent_total_;
     dependencies_.connections.write(*id, bytes, "leaves its orders unread");
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -230,16 +230,18 @@
 
 struct UpdateFixture : ProtocolFixture {
     runtime::ConfigState config_state{config.settings};
-    std::vector<std::string> refused;
+    std::vector<runtime::RejectedCommand> rejected;
 
     std::map<int, std::string> carry_out(std::vector<Command> actions) {
         std::map<int, std::string> out;
         lines.clear();
-        for (const auto& update : config_state.take(actions, refused)) {
+        const runtime::ApplyResult result = config_state.apply(actions);
+        rejected.insert(rejected.end(), result.rejected.begin(), result.rejected.end());
+        for (const auto& update : result.updates) {
             out[update.proxy.value] =
                 readable(platform::write_config(update, config.protocol_names, servers)
                              .value_or("too long"));
-            lines[update.proxy.value] = update.lines;
+            lines[update.proxy.value] = update.line_count;
         }
         return out;
     }
@@ -253,8 +255,8 @@
 
 TEST(ConfigWriter, AnAssignmentSendsTheWholeTableAndLaterLinesItsChanges) {
     UpdateFixture fixture;
-    fixture.config_state.joined({1});
-    fixture.config_state.joined({2});
+    fixture.config_state.on_proxy_connected({1});
+    fixture.config_state.on_proxy_connected({2});
     auto sent =
         fixture.carry_out({fixture.line(7, "s-a", 1.5), fixture.line(7, "s-b", 0.25),
                            command::AssignTable{{7}, 0, {1}}, command::RequestAck{{905}, false}});
@@ -271,7 +273,7 @@
 
 TEST(ConfigWriter, OperationsAreNamedWhereATableIsNotForAll) {
     UpdateFixture fixture;
-    fixture.config_state.joined({1});
+    fixture.config_state.on_proxy_connected({1});
     auto sent = fixture.carry_out(
         {fixture.line(7, "s-a", 1), fixture.line(8, "s-b", 1), command::AssignTable{{7}, 1, {1}},
          command::AssignTable{{8}, 2, {1}}, command::RequestAck{{1}, false}});
@@ -284,8 +286,8 @@
 
 TEST(ConfigWriter, AdmissionLimitsGoWithTheirRetryMode) {
     UpdateFixture fixture;
-    fixture.config_state.joined({1});
-    fixture.config_state.joined({2});
+    fixture.config_state.on_proxy_connected({1});
+    fixture.config_state.on_proxy_connected({2});
     auto sent = fixture.carry_out({fixture.line(7, "s-a", 1),
                                    command::SetAdmission{{7}, 1, 0.5, RetryMode::Never},
                                    command::AssignTable{{7}, 0, {1}}});
@@ -303,30 +305,30 @@
 
 TEST(ConfigWriter, AReconnectedProxyGetsOnlyTheEjectionsThatDiffer) {
     UpdateFixture fixture;
-    fixture.config_state.joined({1});
+    fixture.config_state.on_proxy_connected({1});
     fixture.carry_out(
         {fixture.line(7, "s-a", 1), fixture.line(7, "s-b", 1), command::AssignTable{{7}, 0, {1}}});
     auto sent = fixture.carry_out({command::SetEjected{fixture.server("s-a"), true},
                                    command::SetEjected{fixture.server("s-c"), true}});
     EXPECT_EQ(sent[1], "CONFIG drop s-a\n") << "s-c is in no table that it holds";
-    fixture.config_state.left({1});
+    fixture.config_state.on_proxy_disconnected({1});
     EXPECT_TRUE(fixture
                     .carry_out({command::SetEjected{fixture.server("s-a"), false},
                                 command::SetEjected{fixture.server("s-b"), true}})
                     .empty());
-    fixture.config_state.joined({1});
+    fixture.config_state.on_proxy_connected({1});
     sent = fixture.carry_out({command::AssignTable{{7}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1,s-b:1 drop s-b undrop s-a\n");
 }
 
 TEST(ConfigWriter, AVersionForAllReachesProxiesWithoutChanges) {
     UpdateFixture fixture;
-    fixture.config_state.joined({1});
-    fixture.config_state.joined({2});
+    fixture.config_state.on_proxy_connected({1});
+    fixture.config_state.on_proxy_connected({2});
     const auto sent = fixture.carry_out({command::RequestAck{{5}, true}});
     EXPECT_EQ(sent, (std::map<int, std::string>{{1, "CONFIG stamp 5\n"}, {2, "CONFIG stamp 5\n"}}));
     fixture.carry_out({command::AssignTable{{7}, 0, {9}}});
-    EXPECT_EQ(fixture.refused.size(), 1u) << "not joined";
+    EXPECT_EQ(fixture.rejected.size(), 1u) << "not joined";
 }
 
 // ---- policy runner
@@ -336,17 +338,17 @@
     ProtocolFixture fixture;
     runtime::PolicyRunner driver(clock, {1}, fixture.config.settings, 1, 4ms);
     int decisions = 0;
-    driver.on_actions = [&](const std::vector<Command>&) {
+    driver.on_commands = [&](const std::vector<Command>&) {
         ++decisions;
     };
-    driver.tell(
+    driver.post(
         fixture.servers.update(fixture.config.initial_list, UpdateKind::Cached, clock.now()));
-    driver.tell(event::ProxyConnected{{1}, true, {0}, 5});
+    driver.post(event::ProxyConnected{{1}, true, {0}, 5});
     EXPECT_EQ(driver.timers(), 0u);
     while (clock.step(1000s + 10ms)) {}
     EXPECT_EQ(decisions, 1) << "one binding for the two events";
     EXPECT_EQ(driver.timers(), 1u);
-    driver.tell(event::TimerFired{"beat"});
+    driver.post(event::TimerFired{"beat"});
     while (clock.step(1000s + 20ms)) {}
     EXPECT_EQ(driver.timers(), 2u) << "the beat that was told by hand set a second one";
 }
