--- a/bench/governor_bench.cpp
+++ b/bench/governor_bench.cpp
@@ -1,14 +1,17 @@
-// A changed table fanned out to many streams, beside a bare Asio loop that writes the same bytes to
-// as many sockets, and many forwarders joining at once. The forwarders are a process of their own,
-// so that the CPU told is the governor's alone. All on loopback; stops by itself.
-//
-//   badgergrade_governor_bench [streams] [lines] [changes]
+/// @file
+/// Measures one changed table that is sent to many proxies, compared with a bare Asio loop that
+/// writes the same bytes to as many sockets, and many proxies that connect at once. The proxies are
+/// a process of their own, so that the reported CPU time is that of the control plane alone. All on
+/// loopback; ends by itself.
+///
+///   badgergrade_governor_bench [streams] [lines] [changes]
 #include <sys/prctl.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <asio/posix/stream_descriptor.hpp>
 #include <asio/read.hpp>
 #include <asio/write.hpp>
@@ -43,317 +46,440 @@
 level = error
 )";
 
-// What the two processes tell each other: one line a step.
-void say(int to, const std::string& text) {
-    if (write(to, (text + "\n").data(), text.size() + 1) < 0) {
+/// Added to each message: its gRPC head and the head of its HTTP/2 frame.
+constexpr std::size_t kFramingBytes = 14;
+constexpr std::size_t kPipeBufferBytes = 256;
+constexpr std::size_t kSocketBufferBytes = 65536;
+
+/// Sends one line to the other process.
+void send_line(int pipe, const std::string& text) {
+    if (write(pipe, (text + "\n").data(), text.size() + 1) < 0) {
         std::exit(1);
     }
 }
 
-// ---- the forwarders' process
+// ---- the process of the proxies
 
-struct Forwarder {
+struct BenchProxy {
     net::GrpcConnectionPtr connection;
     net::GrpcCallPtr call;
     std::unique_ptr<xds::AdsClient> ads;
     std::unique_ptr<net::Dial> dial;
-    bool served = false;
+    bool has_routes = false;
+};
+
+/// A plain connection that answers every `expected_bytes` with a fixed reply.
+class RawPeer : public std::enable_shared_from_this<RawPeer> {
+public:
+    RawPeer(asio::io_context& io, std::size_t expected_bytes, std::size_t reply_bytes)
+        : socket_(io),
+          expected_bytes_(expected_bytes),
+          reply_(reply_bytes, 'a') {}
+
+    void connect(const net::Address& to) {
+        socket_.connect({asio::ip::make_address(to.host), to.port});
+        read();
+    }
+
+private:
+    void read() {
+        socket_.async_read_some(
+            asio::buffer(buffer_),
+            [self = shared_from_this()](const asio::error_code& error, std::size_t bytes) {
+                if (!error) {
+                    self->on_read(bytes);
+                }
+            });
+    }
+
+    void on_read(std::size_t bytes) {
+        received_bytes_ += bytes;
+        if (received_bytes_ >= expected_bytes_) {
+            received_bytes_ -= expected_bytes_;
+            asio::write(socket_, asio::buffer(reply_));
+        }
+        read();
+    }
+
+    tcp::socket socket_;
+    std::size_t expected_bytes_;
+    std::string reply_;
+    std::size_t received_bytes_ = 0;
+    std::array<char, kSocketBufferBytes> buffer_{};
 };
 
-int forwarders(int from, int to, int streams) {
-    net::Loop loop;
-    std::vector<Forwarder> all(static_cast<std::size_t>(streams));
-    std::vector<std::shared_ptr<tcp::socket>> raw;
-    int served = 0;
-    std::size_t read_bytes = 0;
-    std::size_t sent_bytes = 0;
-    std::string line;
-    char byte = 0;
-    const auto next_line = [&] {
-        line.clear();
-        while (read(from, &byte, 1) == 1 && byte != '\n') {
+class ProxyProcess {
+public:
+    ProxyProcess(int command_pipe, int reply_pipe, int streams)
+        : commands_(loop_.io(), command_pipe),
+          command_pipe_(command_pipe),
+          reply_pipe_(reply_pipe),
+          proxies_(static_cast<std::size_t>(streams)) {}
+
+    int run() {
+        const auto server = net::parse_address(read_first_line());
+        for (std::size_t k = 0; k < proxies_.size(); ++k) {
+            dial(k, server);
+        }
+        read_command();
+        loop_.run();
+        return 0;
+    }
+
+private:
+    std::string read_first_line() const {
+        std::string line;
+        char byte = 0;
+        while (read(command_pipe_, &byte, 1) == 1 && byte != '\n') {
             line += byte;
         }
-    };
-    next_line();
-    const auto governor = net::parse_address(line);
-    for (int k = 0; k < streams; ++k) {
-        Forwarder& f = all[static_cast<std::size_t>(k)];
+        return line;
+    }
+
+    void dial(std::size_t k, const net::Address& server) {
         envoy::config::core::v3::Node node;
         node.set_id("f" + std::to_string(k));
         node.mutable_locality()->set_zone(k % 2 ? "north" : "south");
-        f.ads = std::make_unique<xds::AdsClient>(node);
-        f.dial = std::make_unique<net::Dial>(
-            loop, base::ActorId{1}, "f", governor, 10s,
-            [&, k](net::StreamPtr stream, const std::string&) {
-                Forwarder& f = all[static_cast<std::size_t>(k)];
-                if (!stream) {
-                    std::exit(2);
-                }
-                f.connection = std::make_shared<net::GrpcConnection>(
-                    loop, base::ActorId{1}, net::Http2Session::Role::Client, stream,
-                    net::GrpcLimits{});
-                f.connection->start();
-                f.call = f.connection->call(std::string(xds::kAdsMethod));
-                f.call->on_message = [&, k](std::string_view bytes) {
-                    Forwarder& f = all[static_cast<std::size_t>(k)];
-                    read_bytes += bytes.size() + 14;  // the message, its gRPC head and its frame's
-                    xds::AdsClient::Response response;
-                    response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
-                    for (const auto& request : f.ads->on_response(response).requests) {
-                        const std::string text = request.SerializeAsString();
-                        sent_bytes += text.size() + 14;
-                        f.call->send(text);
-                    }
-                    if (!f.served && !f.ads->tables().routes.empty()) {
-                        f.served = true;
-                        if (++served == streams) {
-                            say(to, "served");
-                        }
-                    }
-                };
-                for (const auto& request : f.ads->start()) {
-                    f.call->send(request.SerializeAsString());
-                }
-            });
+        BenchProxy& proxy = proxies_[k];
+        proxy.ads = std::make_unique<xds::AdsClient>(node);
+        proxy.dial =
+            std::make_unique<net::Dial>(loop_, base::ActorId{1}, "f", server, 10s,
+                                        [this, k](net::StreamPtr stream, const std::string&) {
+                                            if (!stream) {
+                                                std::exit(2);
+                                            }
+                                            open_stream(proxies_[k], std::move(stream));
+                                        });
+    }
+
+    void open_stream(BenchProxy& proxy, net::StreamPtr stream) {
+        proxy.connection = std::make_shared<net::GrpcConnection>(
+            loop_, base::ActorId{1}, net::Http2Session::Role::Client, std::move(stream),
+            net::GrpcLimits{});
+        proxy.connection->start();
+        proxy.call = proxy.connection->call(std::string(xds::kAdsMethod));
+        proxy.call->on_message = [this, &proxy](std::string_view bytes) {
+            on_response(proxy, bytes);
+        };
+        for (const auto& request : proxy.ads->start()) {
+            proxy.call->send(request.SerializeAsString());
+        }
+    }
+
+    void on_response(BenchProxy& proxy, std::string_view bytes) {
+        received_bytes_ += bytes.size() + kFramingBytes;
+        xds::AdsClient::Response response;
+        response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
+        for (const auto& request : proxy.ads->on_response(response).requests) {
+            const std::string text = request.SerializeAsString();
+            sent_bytes_ += text.size() + kFramingBytes;
+            proxy.call->send(text);
+        }
+        if (proxy.has_routes || proxy.ads->tables().routes.empty()) {
+            return;
+        }
+        proxy.has_routes = true;
+        if (++proxies_with_routes_ == proxies_.size()) {
+            send_line(reply_pipe_, "served");
+        }
     }
-    asio::posix::stream_descriptor orders(loop.io(), from);
-    auto buffer = std::make_shared<std::array<char, 256>>();
-    std::function<void()> listen = [&, buffer] {
-        orders.async_read_some(asio::buffer(*buffer), [&, buffer](const asio::error_code& wrong,
-                                                                  std::size_t n) {
-            if (wrong) {
-                return loop.stop();
-            }
-            const std::string text(buffer->data(), n);
-            if (text.rfind("bytes", 0) == 0) {
-                say(to, std::to_string(read_bytes) + " " + std::to_string(sent_bytes));
-                read_bytes = sent_bytes = 0;
-            } else if (text.rfind("raw ", 0) == 0) {
-                // "raw host:port bytes answer": as many plain connections that read so much and
-                // answer so much.
-                char address[64];
-                std::size_t bytes = 0;
-                std::size_t answer = 0;
-                if (std::sscanf(text.c_str(), "raw %63s %zu %zu", address, &bytes, &answer) != 3) {
-                    std::exit(3);
-                }
-                const auto at = net::parse_address(address);
-                for (int k = 0; k < streams; ++k) {
-                    auto socket = std::make_shared<tcp::socket>(loop.io());
-                    socket->connect({asio::ip::make_address(at.host), at.port});
-                    raw.push_back(socket);
-                    auto got = std::make_shared<std::size_t>(0);
-                    auto data = std::make_shared<std::array<char, 65536>>();
-                    auto reply = std::make_shared<std::string>(answer, 'a');
-                    auto again = std::make_shared<std::function<void()>>();
-                    *again = [=] {
-                        socket->async_read_some(asio::buffer(*data),
-                                                [=](const asio::error_code& bad, std::size_t m) {
-                                                    if (bad) {
-                                                        return;
-                                                    }
-                                                    *got += m;
-                                                    if (*got >= bytes) {
-                                                        *got -= bytes;
-                                                        asio::write(*socket, asio::buffer(*reply));
-                                                    }
-                                                    (*again)();
-                                                });
-                    };
-                    (*again)();
-                }
-                say(to, "connected");
-            }
-            listen();
-        });
-    };
-    listen();
-    loop.run();
-    return 0;
-}
 
-// ---- the governor's process
+    void read_command() {
+        commands_.async_read_some(asio::buffer(buffer_),
+                                  [this](const asio::error_code& error, std::size_t bytes) {
+                                      if (error) {
+                                          return loop_.stop();
+                                      }
+                                      execute(std::string(buffer_.data(), bytes));
+                                      read_command();
+                                  });
+    }
+
+    void execute(const std::string& command) {
+        if (command.rfind("bytes", 0) == 0) {
+            send_line(reply_pipe_,
+                      std::to_string(received_bytes_) + " " + std::to_string(sent_bytes_));
+            received_bytes_ = sent_bytes_ = 0;
+        } else if (command.rfind("raw ", 0) == 0) {
+            connect_raw_peers(command);
+        }
+    }
+
+    /// "raw host:port bytes reply": opens as many plain connections, each of which reads so many
+    /// bytes and then replies with so many.
+    void connect_raw_peers(const std::string& command) {
+        char address[64];
+        std::size_t bytes = 0;
+        std::size_t reply = 0;
+        if (std::sscanf(command.c_str(), "raw %63s %zu %zu", address, &bytes, &reply) != 3) {
+            std::exit(3);
+        }
+        const auto server = net::parse_address(address);
+        for (std::size_t k = 0; k < proxies_.size(); ++k) {
+            raw_peers_.push_back(std::make_shared<RawPeer>(loop_.io(), bytes, reply));
+            raw_peers_.back()->connect(server);
+        }
+        send_line(reply_pipe_, "connected");
+    }
+
+    net::Loop loop_;
+    asio::posix::stream_descriptor commands_;
+    int command_pipe_;
+    int reply_pipe_;
+    std::array<char, kPipeBufferBytes> buffer_{};
+    std::vector<BenchProxy> proxies_;
+    std::vector<std::shared_ptr<RawPeer>> raw_peers_;
+    std::size_t proxies_with_routes_ = 0;
+    std::size_t received_bytes_ = 0;
+    std::size_t sent_bytes_ = 0;
+};
+
+// ---- the process of the control plane
 
-struct Spent {
-    double time_ms = 0, cpu_ms = 0;
+struct Cost {
+    double time_ms = 0;
+    double cpu_ms = 0;
 };
 
-double median(std::vector<double> v) {
-    std::nth_element(v.begin(), v.begin() + static_cast<std::ptrdiff_t>(v.size() / 2), v.end());
-    return v[v.size() / 2];
+double median(std::vector<double> values) {
+    const auto middle = values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
+    std::nth_element(values.begin(), middle, values.end());
+    return *middle;
 }
 
-void tell(const char* what, const std::vector<Spent>& all) {
-    std::vector<double> time;
-    std::vector<double> cpu;
-    for (const auto& s : all) {
-        time.push_back(s.time_ms);
-        cpu.push_back(s.cpu_ms);
+struct CostColumns {
+    explicit CostColumns(const std::vector<Cost>& costs) {
+        for (const Cost& cost : costs) {
+            time_ms.push_back(cost.time_ms);
+            cpu_ms.push_back(cost.cpu_ms);
+        }
     }
-    std::printf("%-28s time %8.2f ms   CPU %8.2f ms (medians of %zu; CPU %.2f to %.2f)\n", what,
-                median(time), median(cpu), all.size(), *std::min_element(cpu.begin(), cpu.end()),
-                *std::max_element(cpu.begin(), cpu.end()));
-}
 
-}  // namespace
+    std::vector<double> time_ms;
+    std::vector<double> cpu_ms;
+};
 
-int main(int argc, char** argv) {
-    const int streams = argc > 1 ? std::atoi(argv[1]) : 1000;
-    const int lines = argc > 2 ? std::atoi(argv[2]) : 100;
-    const int changes = argc > 3 ? std::atoi(argv[3]) : 21;
-    int down[2];
-    int up[2];
-    if (streams < 1 || streams > 20000 || lines < 1 || changes < 1 || pipe(down) != 0 ||
-        pipe(up) != 0) {
-        return 2;
-    }
-    const pid_t child = fork();
-    if (child == 0) {
-        close(down[1]);
-        close(up[0]);
-        prctl(PR_SET_NAME, "forwarders");
-        _exit(forwarders(down[0], up[1], streams));
-    }
-    close(down[0]);
-    close(up[1]);
+void print_medians(const char* name, const std::vector<Cost>& costs) {
+    const CostColumns columns(costs);
+    const auto [min_cpu, max_cpu] =
+        std::minmax_element(columns.cpu_ms.begin(), columns.cpu_ms.end());
+    std::printf("%-28s time %8.2f ms   CPU %8.2f ms (medians of %zu; CPU %.2f to %.2f)\n", name,
+                median(columns.time_ms), median(columns.cpu_ms), costs.size(), *min_cpu, *max_cpu);
+}
+
+struct Sizes {
+    int streams = 0;
+    int lines = 0;
+    int changes = 0;
+};
 
-    net::Loop loop;
-    base::RealClock clock(loop.io());
-    log::Log log(loop.clock(), log::Level::Error, log::Form::Text);
+config::GovernorConfig bench_config(int streams) {
     std::vector<config::Mistake> mistakes;
     auto config =
         config::read_governor(config::IniFile::parse("bench", kSettings, mistakes), mistakes);
-    for (const auto& m : mistakes) {
-        std::fprintf(stderr, "%s\n", config::to_text(m).c_str());
+    for (const auto& mistake : mistakes) {
+        std::fprintf(stderr, "%s\n", config::to_text(mistake).c_str());
     }
     config.xds_address = "127.0.0.1:0";
     config.registry_address = "127.0.0.1:1";
     config.told.proxy_count = streams;
-    xds_server::XdsServer service(loop, base::ActorId{1}, config, log, "bench");
-    for (int k = 1; k <= lines; ++k) {
-        xds_server::ListedServer listed;
-        listed.id = "s" + std::to_string(k);
-        listed.zone = k % 2 ? "north" : "south";
-        listed.address = {"127.0.0.1", static_cast<std::uint16_t>(20000 + k)};
-        service.list_for_trial(listed);
+    return config;
+}
+
+class ControlPlaneProcess {
+public:
+    ControlPlaneProcess(int command_pipe, int reply_pipe, Sizes sizes)
+        : sizes_(sizes),
+          command_pipe_(command_pipe),
+          clock_(loop_.io()),
+          log_(loop_.clock(), log::Level::Error, log::Form::Text),
+          server_(loop_, base::ActorId{1}, bench_config(sizes.streams), log_, "bench"),
+          replies_(loop_.io(), reply_pipe) {
+        for (int k = 1; k <= sizes_.lines; ++k) {
+            xds_server::ListedServer listed;
+            listed.id = "s" + std::to_string(k);
+            listed.zone = k % 2 ? "north" : "south";
+            listed.address = {"127.0.0.1", static_cast<std::uint16_t>(20000 + k)};
+            server_.add_server_for_benchmark(listed);
+        }
+        read_replies();
+    }
+
+    void run() {
+        measure_connecting();
+        wait_until_quiet();
+        send_line(command_pipe_, "bytes");
+        next_reply();
+        const std::vector<Cost> control_plane = measure_changes();
+        send_line(command_pipe_, "bytes");
+        std::size_t sent = 0;
+        std::size_t answered = 0;
+        std::sscanf(next_reply().c_str(), "%zu %zu", &sent, &answered);
+        sent /= static_cast<std::size_t>(sizes_.streams * sizes_.changes);
+        answered /= static_cast<std::size_t>(sizes_.streams * sizes_.changes);
+        const std::vector<Cost> bare = measure_bare_sockets(sent, answered);
+        print_comparison(control_plane, bare, sent, answered);
+    }
+
+private:
+    void read_replies() {
+        replies_.async_read_some(asio::buffer(buffer_),
+                                 [this](const asio::error_code& error, std::size_t bytes) {
+                                     if (error) {
+                                         return;
+                                     }
+                                     received_.append(buffer_.data(), bytes);
+                                     read_replies();
+                                 });
     }
-    asio::posix::stream_descriptor answers(loop.io(), up[0]);
-    std::string heard;
-    std::array<char, 256> buffer;
-    std::function<void()> listen = [&] {
-        answers.async_read_some(asio::buffer(buffer),
-                                [&](const asio::error_code& wrong, std::size_t n) {
-                                    if (wrong) {
-                                        return;
-                                    }
-                                    heard.append(buffer.data(), n);
-                                    listen();
-                                });
-    };
-    listen();
-    const auto wait_for = [&](const std::function<bool()>& done) {
-        loop.io().restart();
-        const auto limit = clock.now() + 60s;
+
+    void wait_for(const std::function<bool()>& done) {
+        loop_.io().restart();
+        const auto deadline = clock_.now() + 60s;
         while (!done()) {
-            if (clock.now() > limit) {
+            if (clock_.now() > deadline) {
                 throw std::runtime_error("nothing came for 60 s");
             }
-            loop.io().run_one_for(1s);
-            loop.io().poll();
+            loop_.io().run_one_for(1s);
+            loop_.io().poll();
         }
-    };
-    const auto line = [&] {
-        wait_for([&] { return heard.find('\n') != std::string::npos; });
-        const std::string out = heard.substr(0, heard.find('\n'));
-        heard.erase(0, out.size() + 1);
-        return out;
-    };
-    const auto measure = [&](const std::function<void()>& run) {
-        const auto time = clock.now();
-        const auto cpu = base::process_cpu_us();
+    }
+
+    std::string next_reply() {
+        wait_for([&] { return received_.find('\n') != std::string::npos; });
+        const std::string line = received_.substr(0, received_.find('\n'));
+        received_.erase(0, line.size() + 1);
+        return line;
+    }
+
+    Cost measure(const std::function<void()>& run) {
+        const auto time_before = clock_.now();
+        const auto cpu_before = base::process_cpu_us();
         run();
-        return Spent{static_cast<double>((clock.now() - time).count()) / 1000,
-                     static_cast<double>(base::process_cpu_us() - cpu) / 1000};
-    };
-
-    const auto memory = base::process_memory_bytes();
-    const Spent joining = measure([&] {
-        say(down[1], net::to_text(service.address()));
-        line();
-    });
-    std::printf(
-        "%d forwarders joining at once, a table of %d lines: all served after %.0f ms, CPU %.0f "
-        "ms, %.1f KiB a stream\n",
-        streams, lines, joining.time_ms, joining.cpu_ms,
-        static_cast<double>(base::process_memory_bytes() - memory) / 1024 / streams);
-    // What joining brought is over when nothing moves any more.
-    for (std::int64_t before = -1; before != service.figures().applied;) {
-        before = service.figures().applied;
-        loop.run_until(loop.clock().now() + 500ms);
+        return {static_cast<double>((clock_.now() - time_before).count()) / 1000,
+                static_cast<double>(base::process_cpu_us() - cpu_before) / 1000};
     }
-    say(down[1], "bytes");
-    line();
-
-    std::vector<Spent> governor;
-    std::vector<Spent> bare;
-    for (int n = 0; n < changes; ++n) {
-        governor.push_back(measure([&] {
-            const auto before = service.figures().applied;
-            service.change_for_trial(1.0 + n % 5);
-            wait_for([&] { return service.figures().applied - before >= streams; });
-        }));
+
+    void measure_connecting() {
+        const auto memory_before = base::process_memory_bytes();
+        const Cost cost = measure([&] {
+            send_line(command_pipe_, net::to_text(server_.address()));
+            next_reply();
+        });
+        const auto memory = static_cast<double>(base::process_memory_bytes() - memory_before);
+        std::printf(
+            "%d forwarders joining at once, a table of %d lines: all served after %.0f ms, CPU "
+            "%.0f ms, %.1f KiB a stream\n",
+            sizes_.streams, sizes_.lines, cost.time_ms, cost.cpu_ms,
+            memory / 1024 / sizes_.streams);
     }
-    say(down[1], "bytes");
-    std::size_t sent = 0;
-    std::size_t answered = 0;
-    std::sscanf(line().c_str(), "%zu %zu", &sent, &answered);
-    sent /= static_cast<std::size_t>(streams * changes);
-    answered /= static_cast<std::size_t>(streams * changes);
-
-    tcp::acceptor acceptor(loop.io(), {asio::ip::address_v4::loopback(), 0});
-    say(down[1], "raw 127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + " " +
-                     std::to_string(sent) + " " + std::to_string(answered));
-    std::vector<std::shared_ptr<tcp::socket>> sockets;
-    for (int k = 0; k < streams; ++k) {
-        sockets.push_back(std::make_shared<tcp::socket>(acceptor.accept()));
+
+    /// Waits until no acknowledgement has come for half a second: what the connections caused is
+    /// over then.
+    void wait_until_quiet() {
+        std::int64_t before = -1;
+        while (before != server_.metrics().acknowledged_updates) {
+            before = server_.metrics().acknowledged_updates;
+            loop_.run_until(loop_.clock().now() + 500ms);
+        }
     }
-    line();
-    const std::string bytes(sent, 'x');
-    std::vector<char> reply(answered);
-    for (int n = 0; n < changes; ++n) {
-        bare.push_back(measure([&] {
-            int open = streams;
-            for (auto& socket : sockets) {
-                asio::async_write(*socket, asio::buffer(bytes),
-                                  [](const asio::error_code&, std::size_t) {});
-                asio::async_read(*socket, asio::buffer(reply),
-                                 [&](const asio::error_code&, std::size_t) { --open; });
-            }
-            wait_for([&] { return open == 0; });
-        }));
+
+    std::vector<Cost> measure_changes() {
+        std::vector<Cost> costs;
+        for (int n = 0; n < sizes_.changes; ++n) {
+            costs.push_back(measure([&] {
+                const auto before = server_.metrics().acknowledged_updates;
+                server_.publish_weight_for_benchmark(1.0 + n % 5);
+                wait_for([&] {
+                    return server_.metrics().acknowledged_updates - before >= sizes_.streams;
+                });
+            }));
+        }
+        return costs;
+    }
+
+    std::vector<Cost> measure_bare_sockets(std::size_t sent, std::size_t answered) {
+        tcp::acceptor acceptor(loop_.io(), {asio::ip::address_v4::loopback(), 0});
+        send_line(command_pipe_,
+                  "raw 127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + " " +
+                      std::to_string(sent) + " " + std::to_string(answered));
+        std::vector<std::shared_ptr<tcp::socket>> sockets;
+        for (int k = 0; k < sizes_.streams; ++k) {
+            sockets.push_back(std::make_shared<tcp::socket>(acceptor.accept()));
+        }
+        next_reply();
+        const std::string bytes(sent, 'x');
+        std::vector<char> reply(answered);
+        std::vector<Cost> costs;
+        for (int n = 0; n < sizes_.changes; ++n) {
+            costs.push_back(measure([&] {
+                int open = sizes_.streams;
+                for (auto& socket : sockets) {
+                    asio::async_write(*socket, asio::buffer(bytes),
+                                      [](const asio::error_code&, std::size_t) {});
+                    asio::async_read(*socket, asio::buffer(reply),
+                                     [&](const asio::error_code&, std::size_t) { --open; });
+                }
+                wait_for([&] { return open == 0; });
+            }));
+        }
+        return costs;
     }
-    std::printf(
-        "one change of %d lines to %d streams, %zu bytes out and %zu back a stream, until all have "
-        "acknowledged:\n",
-        lines, streams, sent, answered);
-    tell("  governor", governor);
-    tell("  bare Asio, same bytes", bare);
-    std::vector<double> a;
-    std::vector<double> b;
-    std::vector<double> c;
-    std::vector<double> d;
-    for (const auto& s : governor) {
-        a.push_back(s.cpu_ms);
-        c.push_back(s.time_ms);
+
+    void print_comparison(const std::vector<Cost>& control_plane, const std::vector<Cost>& bare,
+                          std::size_t sent, std::size_t answered) const {
+        std::printf(
+            "one change of %d lines to %d streams, %zu bytes out and %zu back a stream, until all "
+            "have acknowledged:\n",
+            sizes_.lines, sizes_.streams, sent, answered);
+        print_medians("  governor", control_plane);
+        print_medians("  bare Asio, same bytes", bare);
+        const CostColumns a(control_plane);
+        const CostColumns b(bare);
+        std::printf("  governor / bare: CPU %.2f, time %.2f\n", median(a.cpu_ms) / median(b.cpu_ms),
+                    median(a.time_ms) / median(b.time_ms));
+    }
+
+    Sizes sizes_;
+    int command_pipe_;
+    net::Loop loop_;
+    base::RealClock clock_;
+    log::Log log_;
+    xds_server::XdsServer server_;
+    asio::posix::stream_descriptor replies_;
+    std::array<char, kPipeBufferBytes> buffer_{};
+    std::string received_;
+};
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    Sizes sizes;
+    sizes.streams = argc > 1 ? std::atoi(argv[1]) : 1000;
+    sizes.lines = argc > 2 ? std::atoi(argv[2]) : 100;
+    sizes.changes = argc > 3 ? std::atoi(argv[3]) : 21;
+    const bool valid =
+        sizes.streams >= 1 && sizes.streams <= 20000 && sizes.lines >= 1 && sizes.changes >= 1;
+    int command_pipe[2];
+    int reply_pipe[2];
+    if (!valid || pipe(command_pipe) != 0 || pipe(reply_pipe) != 0) {
+        return 2;
+    }
+    const pid_t child = fork();
+    if (child == 0) {
+        close(command_pipe[1]);
+        close(reply_pipe[0]);
+        prctl(PR_SET_NAME, "proxies");
+        ProxyProcess process(command_pipe[0], reply_pipe[1], sizes.streams);
+        _exit(process.run());
     }
-    for (const auto& s : bare) {
-        b.push_back(s.cpu_ms);
-        d.push_back(s.time_ms);
+    close(command_pipe[0]);
+    close(reply_pipe[1]);
+    {
+        ControlPlaneProcess process(command_pipe[1], reply_pipe[0], sizes);
+        process.run();
     }
-    std::printf("  governor / bare: CPU %.2f, time %.2f\n", median(a) / median(b),
-                median(c) / median(d));
-    close(down[1]);
+    close(command_pipe[1]);
     waitpid(child, nullptr, 0);
     return 0;
 }
--- a/src/cli/governor.cpp
+++ b/src/cli/governor.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// The sub-commands `governor` (runs a control plane instance) and `check-config`.
 #include <cstdio>
 #include <utility>
 
@@ -9,7 +11,10 @@
 namespace badgergrade::cli {
 namespace {
 
-// A recording beside the service: kept near the present, and told of when it loses anything.
+/// How often the recording is written to its file. A crash loses at most this much of it.
+constexpr std::chrono::seconds kFlushInterval{5};
+
+/// Records what the control plane received and decided, and logs when the recording loses anything.
 class GovernorRecording {
 public:
     GovernorRecording(base::Clock& clock, log::Log& log, const config::GovernorConfig& config,
@@ -18,14 +23,14 @@
           writer_(recording::file_sink(path),
                   replay::header_of(config, settings, clock.now(), base::wall_time_text())),
           recorder_(writer_),
-          look_(clock, base::ActorId{0}) {
-        look();
+          flush_timer_(clock, base::ActorId{0}) {
+        flush();
     }
 
-    void watch(xds_server::XdsServer& service) { service.watch(recorder_); }
+    void attach_to(xds_server::XdsServer& server) { server.set_observer(recorder_); }
 
     void finish() {
-        look_.stop();
+        flush_timer_.stop();
         writer_.finish();
         const auto figures = writer_.figures();
         log_.info("recording.ended",
@@ -33,15 +38,14 @@
     }
 
 private:
-    void look() {
-        look_.after(std::chrono::seconds(5), [this] { look(); });
-        // What was met until now is written, so that a crash loses a few seconds at most.
+    void flush() {
+        flush_timer_.after(kFlushInterval, [this] { flush(); });
         writer_.flush();
         const auto figures = writer_.figures();
-        if (!figures.failed.empty() && !std::exchange(failed_, true)) {
+        if (!figures.failed.empty() && !std::exchange(has_logged_failure_, true)) {
             log_.error("recording.failed", {{"why", figures.failed}});
         }
-        if (figures.lost > std::exchange(lost_, figures.lost)) {
+        if (figures.lost > std::exchange(logged_lost_records_, figures.lost)) {
             log_.warn("recording.lost", {{"records", figures.lost}});
         }
     }
@@ -49,9 +53,9 @@
     log::Logger log_;
     recording::Writer writer_;
     replay::Recorder recorder_;
-    base::Timer look_;
-    std::uint64_t lost_ = 0;
-    bool failed_ = false;
+    base::Timer flush_timer_;
+    std::uint64_t logged_lost_records_ = 0;
+    bool has_logged_failure_ = false;
 };
 
 int run_governor(const std::string& path, const std::string& record) {
@@ -64,26 +68,27 @@
         try {
             recording = std::make_unique<GovernorRecording>(loop.clock(), log, config,
                                                             read_text(path), record);
-        } catch (const std::runtime_error& wrong) {
-            throw Failure(kNoFile, wrong.what());
+        } catch (const std::runtime_error& error) {
+            throw Failure(kNoFile, error.what());
         }
     }
-    std::unique_ptr<xds_server::XdsServer> service;
+    std::unique_ptr<xds_server::XdsServer> server;
     try {
-        service = std::make_unique<xds_server::XdsServer>(loop, base::ActorId{1}, config, log,
-                                                          base::wall_time_text());
-    } catch (const std::system_error& wrong) {
-        if (wrong.code().value() == EMFILE || wrong.code().value() == ENFILE) {
+        server = std::make_unique<xds_server::XdsServer>(loop, base::ActorId{1}, config, log,
+                                                         base::wall_time_text());
+    } catch (const std::system_error& error) {
+        // No descriptors left is not a fault of the address: it has an exit code of its own.
+        if (error.code().value() == EMFILE || error.code().value() == ENFILE) {
             throw;
         }
         throw Failure(kCannotListen,
-                      "can't listen on " + config.xds_address + ": " + wrong.code().message());
+                      "can't listen on " + config.xds_address + ": " + error.code().message());
     }
     if (recording) {
-        recording->watch(*service);
+        recording->attach_to(*server);
     }
-    run_until_signal(loop, [&] { service->stop(); });
-    service.reset();
+    run_until_signal(loop, [&] { server->stop(); });
+    server.reset();
     if (recording) {
         recording->finish();
     }
--- a/src/pacing/paced_send_queue.cpp
+++ b/src/pacing/paced_send_queue.cpp
@@ -2,68 +2,79 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 namespace badgergrade::pacing {
 
-Micros PacedSendQueue::time_for(double lines) const {
-    return Micros(static_cast<std::int64_t>(std::ceil(lines / (rate_ * pace_) * 1e6)));
+namespace {
+constexpr double kMicrosPerSecond = 1e6;
+/// Keeps the rate above zero, so that a release time can always be computed.
+constexpr double kMinPaceFraction = 1e-3;
+}  // namespace
+
+Micros PacedSendQueue::time_to_send(double lines) const {
+    const double seconds = lines / (lines_per_second_ * pace_fraction_);
+    return Micros(static_cast<std::int64_t>(std::ceil(seconds * kMicrosPerSecond)));
 }
 
-void PacedSendQueue::put(Micros now, xds::Message message) {
+void PacedSendQueue::push(Micros now, xds::ProxyMessage message) {
     if (queue_.empty()) {
-        since_ = now;
-        left_lines_ = message.lines;
+        head_started_ = now;
+        unsent_head_lines_ = message.lines;
     }
-    waiting_ += message.lines;
-    figures_.waiting_most = std::max(figures_.waiting_most, waiting_);
+    queued_lines_ += message.lines;
+    metrics_.max_queued_lines = std::max(metrics_.max_queued_lines, queued_lines_);
     queue_.push_back({std::move(message), false});
 }
 
-std::optional<Micros> PacedSendQueue::due() const {
+std::optional<Micros> PacedSendQueue::next_send_time() const {
     if (queue_.empty()) {
         return std::nullopt;
     }
-    return since_ + time_for(left_lines_);
+    return head_started_ + time_to_send(unsent_head_lines_);
 }
 
-std::optional<xds::Message> PacedSendQueue::take(Micros now) {
+std::optional<xds::ProxyMessage> PacedSendQueue::pop(Micros now) {
     while (!queue_.empty()) {
-        const auto when = due();
-        if (*when > now) {
+        const Micros send_time = *next_send_time();
+        if (send_time > now) {
             return std::nullopt;
         }
-        Waiting first = std::move(queue_.front());
+        QueuedMessage head = std::move(queue_.front());
         queue_.pop_front();
-        waiting_ = queue_.empty() ? 0 : waiting_ - first.message.lines;
-        since_ = *when;
-        left_lines_ = queue_.empty() ? 0 : queue_.front().message.lines;
-        if (first.lost) {
-            ++figures_.dropped;
+        queued_lines_ = queue_.empty() ? 0 : queued_lines_ - head.message.lines;
+        head_started_ = send_time;
+        unsent_head_lines_ = queue_.empty() ? 0 : queue_.front().message.lines;
+        if (head.discarded) {
+            ++metrics_.discarded_messages;
             continue;
         }
-        ++figures_.messages;
-        figures_.lines += first.message.lines;
-        figures_.longest_wait = std::max(figures_.longest_wait, now - first.message.ordered);
-        return std::move(first.message);
+        ++metrics_.sent_messages;
+        metrics_.sent_lines += head.message.lines;
+        metrics_.max_queueing_delay =
+            std::max(metrics_.max_queueing_delay, now - head.message.decided_at);
+        return std::move(head.message);
     }
     return std::nullopt;
 }
 
-void PacedSendQueue::drop(ProxyId proxy) {
-    for (Waiting& waiting : queue_) {
-        if (waiting.message.proxy == proxy) {
-            waiting.lost = true;
+void PacedSendQueue::discard(ProxyId proxy) {
+    for (QueuedMessage& queued : queue_) {
+        if (queued.message.proxy == proxy) {
+            queued.discarded = true;
         }
     }
 }
 
-void PacedSendQueue::set_pace(Micros now, double part) {
-    if (!queue_.empty() && now > since_) {
-        left_lines_ = std::max(
-            0.0, left_lines_ - static_cast<double>((now - since_).count()) / 1e6 * rate_ * pace_);
-        since_ = now;
+void PacedSendQueue::set_pace(Micros now, double pace_fraction) {
+    if (!queue_.empty() && now > head_started_) {
+        const double elapsed_seconds =
+            static_cast<double>((now - head_started_).count()) / kMicrosPerSecond;
+        const double sent_lines = elapsed_seconds * lines_per_second_ * pace_fraction_;
+        unsent_head_lines_ = std::max(0.0, unsent_head_lines_ - sent_lines);
+        head_started_ = now;
     }
-    pace_ = std::max(1e-3, part);
+    pace_fraction_ = std::max(kMinPaceFraction, pace_fraction);
 }
 
 }  // namespace badgergrade::pacing
--- a/src/replay/play.cpp
+++ b/src/replay/play.cpp
@@ -21,14 +21,14 @@
     steps_.push_back({now - begin_, service.id(), decision, std::move(text)});
 }
 
-void Trail::told(Micros now, const xds_server::XdsServer& service, const Event& event) {
+void Trail::on_event(Micros now, const xds_server::XdsServer& service, const Event& event) {
     if (!std::holds_alternative<event::TimerFired>(event)) {
         add(now, service, false, to_text(service, event));
     }
 }
 
-void Trail::decided(Micros now, const xds_server::XdsServer& service,
-                    const std::vector<Command>& actions) {
+void Trail::on_commands(Micros now, const xds_server::XdsServer& service,
+                        const std::vector<Command>& actions) {
     std::string text;
     for (const Command& action : actions) {
         if (!std::holds_alternative<command::SetTimer>(action)) {
@@ -72,14 +72,14 @@
 
 void Series::response_read(Micros now, const std::string&, const std::string&,
                            const std::string& orders, std::size_t, const std::string& why) {
-    const auto read = xds::read_orders(orders);
-    for (const auto& order : read.orders) {
+    const auto read = xds::parse_release_text(orders);
+    for (const auto& order : read.updates) {
         if (why.empty()) {
             at(now).lines += order.lines;
         }
         auto& moves = moves_[read.origin];
-        moves[order.ordered] += order.lines;
-        moves[order.released] -= order.lines;
+        moves[order.decided_at] += order.lines;
+        moves[order.released_at] -= order.lines;
     }
 }
 
--- a/src/replay/play.h
+++ b/src/replay/play.h
@@ -25,8 +25,8 @@
 
     explicit Trail(Micros begin = {}) : begin_(begin) {}
 
-    void told(Micros, const xds_server::XdsServer&, const Event&) override;
-    void decided(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
+    void on_event(Micros, const xds_server::XdsServer&, const Event&) override;
+    void on_commands(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
 
     const std::vector<Step>& steps() const { return steps_; }
 
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -217,19 +217,19 @@
 
 // ---- governors
 
-void Recorder::started(Micros now, const xds_server::XdsServer& service) {
+void Recorder::on_started(Micros now, const xds_server::XdsServer& service) {
     auto& out = *writer_.add(now).mutable_started();
     out.set_governor(writer_.name(service.id()));
-    out.set_life(service.life());
+    out.set_life(service.incarnation());
 }
 
-void Recorder::stopped(Micros now, const xds_server::XdsServer& service) {
+void Recorder::on_stopped(Micros now, const xds_server::XdsServer& service) {
     auto& out = *writer_.add(now).mutable_stopped();
     out.set_governor(writer_.name(service.id()));
-    out.set_life(service.life());
+    out.set_life(service.incarnation());
 }
 
-void Recorder::told(Micros now, const xds_server::XdsServer& service, const Event& event) {
+void Recorder::on_event(Micros now, const xds_server::XdsServer& service, const Event& event) {
     // The module's own beat says nothing of the day.
     if (std::holds_alternative<event::TimerFired>(event)) {
         return;
@@ -237,7 +237,7 @@
     auto& out = *writer_.add(now).mutable_told();
     out.set_governor(writer_.name(service.id()));
     const auto forwarder = [&](ProxyId proxy) {
-        return writer_.name(service.forwarder_name(proxy));
+        return writer_.name(service.proxy_name(proxy));
     };
     const auto server = [&](ServerId id) {
         return writer_.name(service.server_name(id));
@@ -302,8 +302,8 @@
                event);
 }
 
-void Recorder::decided(Micros now, const xds_server::XdsServer& service,
-                       const std::vector<Command>& actions) {
+void Recorder::on_commands(Micros now, const xds_server::XdsServer& service,
+                           const std::vector<Command>& actions) {
     const auto beat = [](const Command& a) {
         return std::holds_alternative<command::SetTimer>(a);
     };
@@ -330,7 +330,7 @@
                 [&](const command::AssignTable& a) {
                     to.mutable_bind()->set_table(table(a.table));
                     to.mutable_bind()->set_operations(a.operations);
-                    to.mutable_bind()->set_forwarder(writer_.name(service.forwarder_name(a.proxy)));
+                    to.mutable_bind()->set_forwarder(writer_.name(service.proxy_name(a.proxy)));
                 },
                 [&](const command::SetAdmission& a) {
                     to.mutable_level()->set_table(table(a.table));
@@ -397,7 +397,7 @@
       script_(script),
       ahead_(std::move(ahead)) {}
 
-void GovernorFiles::started(Micros now, const xds_server::XdsServer& service) {
+void GovernorFiles::on_started(Micros now, const xds_server::XdsServer& service) {
     auto settings = script_.settings;
     settings.set("governor", "id", service.id());
     settings.set("governor", "ordinal", std::to_string(service.ordinal()));
@@ -414,28 +414,28 @@
         header_of(config, settings.to_text(), begin, wall_text(begin)),
         recording::WriterOptions{.when_full = recording::WhenFull::Wait});
     open.recorder = std::make_unique<Recorder>(*open.writer);
-    open.recorder->started(now, service);
+    open.recorder->on_started(now, service);
 }
 
-void GovernorFiles::stopped(Micros now, const xds_server::XdsServer& service) {
+void GovernorFiles::on_stopped(Micros now, const xds_server::XdsServer& service) {
     const auto it = open_.find(service.id());
     if (it == open_.end()) {
         return;
     }
-    it->second.recorder->stopped(now, service);
+    it->second.recorder->on_stopped(now, service);
     open_.erase(it);
 }
 
-void GovernorFiles::told(Micros now, const xds_server::XdsServer& service, const Event& event) {
+void GovernorFiles::on_event(Micros now, const xds_server::XdsServer& service, const Event& event) {
     if (const auto it = open_.find(service.id()); it != open_.end()) {
-        it->second.recorder->told(now, service, event);
+        it->second.recorder->on_event(now, service, event);
     }
 }
 
-void GovernorFiles::decided(Micros now, const xds_server::XdsServer& service,
-                            const std::vector<Command>& actions) {
+void GovernorFiles::on_commands(Micros now, const xds_server::XdsServer& service,
+                                const std::vector<Command>& actions) {
     if (const auto it = open_.find(service.id()); it != open_.end()) {
-        it->second.recorder->decided(now, service, actions);
+        it->second.recorder->on_commands(now, service, actions);
     }
 }
 
@@ -443,7 +443,7 @@
 
 std::string to_text(const xds_server::XdsServer& service, const Event& event) {
     const auto forwarder = [&](ProxyId proxy) {
-        return service.forwarder_name(proxy);
+        return service.proxy_name(proxy);
     };
     return std::visit(
         Cases{
@@ -502,7 +502,7 @@
             },
             [&](const command::ClearTable& a) { return table(a.table) + " emptied"; },
             [&](const command::AssignTable& a) {
-                return service.forwarder_name(a.proxy) + " to " + table(a.table);
+                return service.proxy_name(a.proxy) + " to " + table(a.table);
             },
             [&](const command::SetEjected& a) {
                 return service.server_name(a.server) + (a.ejected ? " withdrawn" : " back");
--- a/src/replay/recorder.h
+++ b/src/replay/recorder.h
@@ -50,10 +50,10 @@
                        const std::string& orders, std::size_t bytes,
                        const std::string& why) override;
 
-    void started(Micros, const xds_server::XdsServer&) override;
-    void stopped(Micros, const xds_server::XdsServer&) override;
-    void told(Micros, const xds_server::XdsServer&, const Event&) override;
-    void decided(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
+    void on_started(Micros, const xds_server::XdsServer&) override;
+    void on_stopped(Micros, const xds_server::XdsServer&) override;
+    void on_event(Micros, const xds_server::XdsServer&, const Event&) override;
+    void on_commands(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
 
 private:
     struct OpenTry {
@@ -84,10 +84,10 @@
     // `ahead`: how far a governor's clock is ahead of the day's.
     GovernorFiles(std::string folder, const scenario::DayScript& script,
                   std::map<std::string, Micros> ahead = {});
-    void started(Micros, const xds_server::XdsServer&) override;
-    void stopped(Micros, const xds_server::XdsServer&) override;
-    void told(Micros, const xds_server::XdsServer&, const Event&) override;
-    void decided(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
+    void on_started(Micros, const xds_server::XdsServer&) override;
+    void on_stopped(Micros, const xds_server::XdsServer&) override;
+    void on_event(Micros, const xds_server::XdsServer&, const Event&) override;
+    void on_commands(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
 
     // Ends those that still run.
     void close() { open_.clear(); }
--- a/src/scenario/auditor.cpp
+++ b/src/scenario/auditor.cpp
@@ -145,11 +145,11 @@
         sight.servers_told > 0) {
         return;
     }
-    if (list.about.registry == sight.registry && list.about.index < sight.index) {
+    if (list.header.registry_incarnation == sight.registry && list.header.index < sight.index) {
         return;
     }
-    sight.registry = list.about.registry;
-    sight.index = list.about.index;
+    sight.registry = list.header.registry_incarnation;
+    sight.index = list.header.index;
     sight.servers_told = list.servers.size();
     std::set<std::string> ready;
     for (const auto& listed : list.servers) {
@@ -282,24 +282,24 @@
 void Auditor::response_read(Micros now, const std::string& forwarder, const std::string&,
                             const std::string& orders, std::size_t, const std::string&) {
     ForwarderSight& sight = forwarders_[forwarder];
-    const auto read = xds::read_orders(orders);
-    for (const auto& order : read.orders) {
+    const auto read = xds::parse_release_text(orders);
+    for (const auto& order : read.updates) {
         take_order(now, forwarder, sight, read.origin, order);
     }
 }
 
 void Auditor::take_order(Micros now, const std::string& forwarder, ForwarderSight& sight,
-                         const std::string& origin, const xds::ReleasedOrder& order) {
-    sight.last_order = std::max(sight.last_order, order.ordered);
-    queues_[origin].emplace(order.ordered, order.lines);
-    queues_[origin].emplace(order.released, -order.lines);
+                         const std::string& origin, const xds::ReleasedUpdate& order) {
+    sight.last_order = std::max(sight.last_order, order.decided_at);
+    queues_[origin].emplace(order.decided_at, order.lines);
+    queues_[origin].emplace(order.released_at, -order.lines);
     const auto& told = config_.told;
     if (told.max_messages <= 0) {
         return;
     }
     ++checks_["queue"];
-    sight.messages.push_back(order.released);
-    while (sight.messages.front() + told.message_window <= order.released) {
+    sight.messages.push_back(order.released_at);
+    while (sight.messages.front() + told.message_window <= order.released_at) {
         sight.messages.pop_front();
     }
     margins_.messages =
--- a/src/scenario/auditor.h
+++ b/src/scenario/auditor.h
@@ -109,7 +109,7 @@
     void look();
     void look_at(const std::string& forwarder, ForwarderSight& sight, Micros now);
     void take_order(Micros now, const std::string& forwarder, ForwarderSight& sight,
-                    const std::string& origin, const xds::ReleasedOrder& order);
+                    const std::string& origin, const xds::ReleasedUpdate& order);
     double stretch_since(Micros since) const;
 
     base::Clock& clock_;
--- a/src/scenario/figures.cpp
+++ b/src/scenario/figures.cpp
@@ -172,10 +172,10 @@
     counts.bytes += static_cast<std::int64_t>(bytes);
     counts.rejected += !why.empty();
     Micros newest{};
-    for (const auto& order : xds::read_orders(orders).orders) {
+    for (const auto& order : xds::parse_release_text(orders).updates) {
         ++counts.orders;
         counts.lines += static_cast<std::int64_t>(order.lines);
-        newest = std::max(newest, order.ordered);
+        newest = std::max(newest, order.decided_at);
     }
     ForwarderSight& sight = forwarders_[forwarder];
     if (!why.empty() || newest == 0us) {
--- a/src/scenario/world.cpp
+++ b/src/scenario/world.cpp
@@ -19,18 +19,21 @@
     return {kind + static_cast<std::uint32_t>(k)};
 }
 
-xds_server::Figures& operator+=(xds_server::Figures& a, const xds_server::Figures& b) {
+xds_server::XdsServerMetrics& operator+=(xds_server::XdsServerMetrics& a,
+                                         const xds_server::XdsServerMetrics& b) {
     a.decisions += b.decisions;
-    a.orders += b.orders;
-    a.joins += b.joins;
-    a.rejections += b.rejections;
-    a.lists += b.lists;
+    a.config_updates += b.config_updates;
+    a.proxy_connections += b.proxy_connections;
+    a.rejected_responses += b.rejected_responses;
+    a.endpoint_updates += b.endpoint_updates;
     a.handler_cpu_us += b.handler_cpu_us;
-    a.channel.messages += b.channel.messages;
-    a.channel.dropped += b.channel.dropped;
-    a.channel.lines += b.channel.lines;
-    a.channel.waiting_most = std::max(a.channel.waiting_most, b.channel.waiting_most);
-    a.channel.longest_wait = std::max(a.channel.longest_wait, b.channel.longest_wait);
+    a.send_queue.sent_messages += b.send_queue.sent_messages;
+    a.send_queue.discarded_messages += b.send_queue.discarded_messages;
+    a.send_queue.sent_lines += b.send_queue.sent_lines;
+    a.send_queue.max_queued_lines =
+        std::max(a.send_queue.max_queued_lines, b.send_queue.max_queued_lines);
+    a.send_queue.max_queueing_delay =
+        std::max(a.send_queue.max_queueing_delay, b.send_queue.max_queueing_delay);
     return a;
 }
 
@@ -349,7 +352,7 @@
 void World::pace_channels(double slower) {
     for (auto& slot : governors_) {
         if (slot.service) {
-            slot.service->set_channel_pace(1 / slower);
+            slot.service->set_send_pace(1 / slower);
         }
     }
     if (on_slow_channel) {
@@ -488,9 +491,9 @@
     slot.service = std::make_unique<xds_server::XdsServer>(
         loop_, actor(kGovernors, k), config, log_, "life-" + std::to_string(++slot.life));
     if (governor_watcher) {
-        slot.service->watch(*governor_watcher);
+        slot.service->set_observer(*governor_watcher);
     }
-    slot.service->tamper = [this, k](Micros now, std::vector<Command>& actions) {
+    slot.service->alter_commands_for_test = [this, k](Micros now, std::vector<Command>& actions) {
         if (tamper) {
             tamper(static_cast<int>(k), *governors_[k].service, now, actions);
         }
@@ -502,16 +505,16 @@
     if (!slot.service) {
         return;
     }
-    slot.past += slot.service->figures();
+    slot.past += slot.service->metrics();
     slot.service.reset();
 }
 
-std::vector<xds_server::Figures> World::governor_figures() const {
-    std::vector<xds_server::Figures> out;
+std::vector<xds_server::XdsServerMetrics> World::governor_figures() const {
+    std::vector<xds_server::XdsServerMetrics> out;
     for (const GovernorSlot& slot : governors_) {
-        xds_server::Figures sum = slot.past;
+        xds_server::XdsServerMetrics sum = slot.past;
         if (slot.service) {
-            sum += slot.service->figures();
+            sum += slot.service->metrics();
         }
         out.push_back(sum);
     }
--- a/src/scenario/world.h
+++ b/src/scenario/world.h
@@ -152,7 +152,7 @@
     // Hears what governors are told and decide.
     xds_server::XdsServerObserver* governor_watcher = nullptr;
 
-    std::vector<xds_server::Figures> governor_figures() const;
+    std::vector<xds_server::XdsServerMetrics> governor_figures() const;
 
     testbed::Registry& registry() { return *registry_; }
 
@@ -181,7 +181,7 @@
         std::unique_ptr<net::PortHold> port;
         std::unique_ptr<xds_server::XdsServer> service;
         int life = 0;
-        xds_server::Figures past;  // of its earlier lives
+        xds_server::XdsServerMetrics past;  // of its earlier lives
     };
 
     void later(Micros delay, std::function<void()> what);
--- a/src/testbed/forwarder.cpp
+++ b/src/testbed/forwarder.cpp
@@ -27,9 +27,9 @@
       redial_(loop.clock(), actor),
       report_(loop.clock(), actor),
       go_back_(loop.clock(), actor) {
-    startup_.pick = settings_.pick;
-    startup_.ejects_after = settings_.ejects_after;
-    startup_.eject_time = settings_.eject_time;
+    startup_.pick_policy = settings_.pick;
+    startup_.ejection_failures = settings_.ejects_after;
+    startup_.ejection_time = settings_.eject_time;
     startup_.lines = settings_.startup;
     server_ = std::make_unique<net::HttpServer>(loop, actor, settings_.id, settings_.listen,
                                                 net::HttpLimits{}, 10000);
@@ -124,8 +124,8 @@
     };
     ads_ = [&] {
         xds::AdsClient next(node());
-        next.doubt = ads_.doubt;
-        next.keep(ads_.tables());
+        next.response_check = ads_.response_check;
+        next.restore_tables(ads_.tables());
         return next;
     }();
     call_->cork();
@@ -225,9 +225,10 @@
     const auto& governor = settings_.governor_names[governor_];
     if (observer_) {
         observer_->response_read(now, settings_.id, governor, response.control_plane().identifier(),
-                                 bytes.size(), outcome.rejected);
+                                 bytes.size(),
+                                 outcome.rejected ? outcome.rejected->text : std::string{});
     }
-    if (outcome.changed) {
+    if (outcome.tables_changed) {
         fresh_ = false;
         // Connections to servers that no table names any more are closed.
         std::set<net::Address> named;
@@ -264,7 +265,7 @@
     }
     const Micros now = loop_.clock().now();
     xds::LoadReport sums;
-    sums.span = now - std::exchange(reported_, now);
+    sums.interval = now - std::exchange(reported_, now);
     sums.endpoints = std::exchange(met_, {});
     sums.operations = std::exchange(asked_, {});
     for (const Operation& op : settings_.operations) {
@@ -300,21 +301,21 @@
 
 bool Forwarder::let_in(const std::string& path, const xds::ClientRoute& route,
                        std::uint64_t invocation) {
-    if (route.share < 1 &&
-        base::CounterRandom(luck_ ^ kShareLuck, invocation).part() >= route.share) {
+    if (route.admitted_fraction < 1 &&
+        base::CounterRandom(luck_ ^ kShareLuck, invocation).part() >= route.admitted_fraction) {
         return false;
     }
-    if (route.rate <= 0) {
+    if (route.admitted_per_second <= 0) {
         return true;
     }
     Bucket& bucket = buckets_[path];
     const Micros now = loop_.clock().now();
     if (bucket.filled == 0us) {
-        bucket.tokens = route.burst;
+        bucket.tokens = route.max_burst;
     }
-    bucket.tokens =
-        std::min(route.burst, bucket.tokens + static_cast<double>((now - bucket.filled).count()) /
-                                                  1e6 * route.rate);
+    bucket.tokens = std::min(
+        route.max_burst, bucket.tokens + static_cast<double>((now - bucket.filled).count()) / 1e6 *
+                                             route.admitted_per_second);
     bucket.filled = now;
     if (bucket.tokens < 1) {
         return false;
@@ -346,11 +347,11 @@
     work.began = loop_.clock().now();
     work.expires = work.began + Micros(*timeout);
     work.again = settings_.again;
-    ++asked_[settings_.operations[static_cast<std::size_t>(operation)].name].count;
+    ++asked_[settings_.operations[static_cast<std::size_t>(operation)].name].requests;
     if (const auto route = ads_.tables().routes.find(path); route != ads_.tables().routes.end()) {
         work.cluster = route->second.cluster;
-        work.again = route->second.again;
-        work.per_try = route->second.per_try;
+        work.again = route->second.retry_mode;
+        work.per_try = route->second.attempt_timeout;
         if (!let_in(path, route->second, work.invocation)) {
             no.status = 429;
             no.headers.emplace_back("x-not-begun", "1");
@@ -366,7 +367,7 @@
             pool(it->second.now).cancel(it->second.attempt);
             --standings_[it->second.now].open;
             auto& sums = met_[it->second.now];
-            ++sums.errored;  // given up by its client: no good answer came
+            ++sums.failures;  // given up by its client: no good answer came
         }
         works_.erase(it);
     };
@@ -380,7 +381,7 @@
     std::vector<const xds::TableLine*> open;
     std::vector<const xds::TableLine*> good;
     for (const auto& line : table.lines) {
-        if (line.draining || ads_.tables().withdrawn.contains(line.address) ||
+        if (line.draining || ads_.tables().ejected.contains(line.address) ||
             not_these.contains(line.address)) {
             continue;
         }
@@ -407,10 +408,10 @@
         }
         return from.back();
     };
-    if (table.pick == PickPolicy::WeightedRandom) {
+    if (table.pick_policy == PickPolicy::WeightedRandom) {
         return draw();
     }
-    if (table.pick == PickPolicy::LeastOfTwo) {
+    if (table.pick_policy == PickPolicy::LeastOfTwo) {
         const auto* a = draw();
         const auto* b = draw();
         return standings_[b->address].open < standings_[a->address].open ? b : a;
@@ -447,7 +448,7 @@
     work.tried.insert(work.now);
     Standing& standing = standings_[work.now];
     ++standing.open;
-    ++met_[work.now].tries;
+    ++met_[work.now].attempts;
     net::HttpMessage request = work.exchange->request;
     std::erase_if(request.headers, [](const auto& h) {
         return h.first == "host" || h.first == "content-length" || h.first == "x-timeout-us" ||
@@ -493,8 +494,8 @@
         observer_->try_ended(now, settings_.id, name_of(work.now), work.invocation, end);
     }
     if (good) {
-        ++sums.succeeded;
-        sums.answer_us += static_cast<double>((now - sent).count());
+        ++sums.successes;
+        sums.total_latency_us += static_cast<double>((now - sent).count());
         standing.failures = 0;
         if (const auto load = outcome.response.header("x-load")) {
             std::size_t at = 0;
@@ -506,18 +507,18 @@
                 if (equals != std::string_view::npos &&
                     std::from_chars(part.data() + equals + 1, part.data() + part.size(), value)
                             .ec == std::errc{}) {
-                    sums.load[std::string(part.substr(0, equals))] = value;
+                    sums.load_metrics[std::string(part.substr(0, equals))] = value;
                 }
                 at = stop + 1;
             }
         }
         return finish(id, std::move(outcome.response));
     }
-    ++sums.errored;
+    ++sums.failures;
     const xds::ClientTable* table = table_for(work);
-    if (table && table->ejects_after > 0 && ++standing.failures >= table->ejects_after) {
+    if (table && table->ejection_failures > 0 && ++standing.failures >= table->ejection_failures) {
         standing.failures = 0;
-        standing.ejected_until = now + table->eject_time;
+        standing.ejected_until = now + table->ejection_time;
     }
     // After proof that it never ran once more, whatever it is; after anything else only as ordered.
     const bool proven = end == TryEnd::NeverSent || end == TryEnd::Refused;
@@ -531,7 +532,7 @@
         work.before = end;
         return attempt(id);
     }
-    ++asked_[settings_.operations[static_cast<std::size_t>(work.operation)].name].errored;
+    ++asked_[settings_.operations[static_cast<std::size_t>(work.operation)].name].failures;
     net::HttpMessage response;
     if (outcome.how == How::Answered) {
         response = std::move(outcome.response);
@@ -575,7 +576,7 @@
         const bool any =
             table &&
             std::any_of(table->lines.begin(), table->lines.end(), [&](const xds::TableLine& line) {
-                return !line.draining && !ads_.tables().withdrawn.contains(line.address);
+                return !line.draining && !ads_.tables().ejected.contains(line.address);
             });
         const auto [it, first] = pickable_.try_emplace(static_cast<int>(k), any);
         if (first || it->second != any) {
--- a/src/testbed/forwarder.h
+++ b/src/testbed/forwarder.h
@@ -59,7 +59,7 @@
 
     // Refuses what this finds wrong.
     void doubt(std::function<std::string(const xds::AdsClient::Response&)> why) {
-        ads_.doubt = std::move(why);
+        ads_.response_check = std::move(why);
     }
 
     // Sends side-effecting invocations again after any failure: a forwarder that breaks the rules,
@@ -131,8 +131,8 @@
     std::size_t governor_ = 0;
     base::Timer redial_, report_, go_back_;
     Micros report_every_{}, reported_{};
-    std::map<net::Address, xds::EndpointSums> met_;
-    std::map<std::string, xds::OperationSums> asked_;
+    std::map<net::Address, xds::EndpointLoad> met_;
+    std::map<std::string, xds::OperationDemand> asked_;
     std::map<net::Address, std::unique_ptr<net::HttpPool>> pools_;
     std::map<net::Address, Standing> standings_;
     std::map<std::string, Bucket> buckets_;
--- a/src/testbed/registry.cpp
+++ b/src/testbed/registry.cpp
@@ -114,9 +114,9 @@
 
 void Registry::answer(const net::HttpExchangePtr& exchange) {
     xds_server::ServerList told;
-    told.about = {host_ + "/" + std::to_string(lives_), index_, 0};
+    told.header = {host_ + "/" + std::to_string(lives_), index_, 0};
     nlohmann::json json;
-    json["registry"] = told.about.registry;
+    json["registry"] = told.header.registry_incarnation;
     json["index"] = index_;
     json["servers"] = nlohmann::json::array();
     for (const auto& [id, row] : instead_ ? *instead_ : rows_) {
@@ -134,7 +134,7 @@
              {"age_ms", static_cast<double>(listed.age.count()) / 1000}});
         told.servers.push_back(std::move(listed));
     }
-    told.about.servers = told.servers.size();
+    told.header.server_count = told.servers.size();
     net::HttpMessage response;
     response.status = 200;
     response.headers.emplace_back("content-type", "application/json");
--- a/src/xds/ads_client.cpp
+++ b/src/xds/ads_client.cpp
@@ -7,7 +7,6 @@
 #include "envoy/config/cluster/v3/cluster.pb.h"
 #include "envoy/config/endpoint/v3/endpoint.pb.h"
 #include "envoy/config/listener/v3/listener.pb.h"
-#include "envoy/config/route/v3/route.pb.h"
 #include "envoy/extensions/filters/http/local_ratelimit/v3/local_rate_limit.pb.h"
 #include "envoy/extensions/filters/network/http_connection_manager/v3/http_connection_manager.pb.h"
 
@@ -15,303 +14,363 @@
 
 using google::protobuf::util::TimeUtil;
 namespace core = envoy::config::core::v3;
+namespace cluster_v3 = envoy::config::cluster::v3;
+namespace endpoint_v3 = envoy::config::endpoint::v3;
+namespace route_v3 = envoy::config::route::v3;
 
 namespace {
-Micros micros(const google::protobuf::Duration& d) {
-    return Micros(TimeUtil::DurationToMicroseconds(d));
+
+constexpr int kInvalidArgument = 3;  // of the gRPC status codes
+constexpr std::uint32_t kMaxPort = 65535;
+constexpr double kMicrosPerSecond = 1e6;
+constexpr const char* kRateLimitFilter = "envoy.filters.http.local_ratelimit";
+
+Micros to_micros(const google::protobuf::Duration& duration) {
+    return Micros(TimeUtil::DurationToMicroseconds(duration));
 }
 
-// "a,b,c" holds "b".
-bool holds(const std::string& list, std::string_view word) {
-    std::size_t at = 0;
-    while (at <= list.size()) {
-        const auto end = std::min(list.find(',', at), list.size());
-        if (std::string_view(list).substr(at, end - at) == word) {
+/// Whether a comma-separated list contains a word.
+bool contains_word(const std::string& list, std::string_view word) {
+    std::size_t begin = 0;
+    while (begin <= list.size()) {
+        const auto end = std::min(list.find(',', begin), list.size());
+        if (std::string_view(list).substr(begin, end - begin) == word) {
             return true;
         }
-        at = end + 1;
+        begin = end + 1;
     }
     return false;
 }
+
+RejectedResponse unreadable(std::string text) {
+    return {ResponseError::Unreadable, std::move(text)};
+}
+
+RejectedResponse invalid(std::string text) {
+    return {ResponseError::InvalidField, std::move(text)};
+}
+
+RetryMode retry_mode_of(const route_v3::RetryPolicy& policy) {
+    const std::string& conditions = policy.retry_on();
+    const bool retries_processed =
+        contains_word(conditions, "5xx") || contains_word(conditions, "reset");
+    if (!retries_processed) {
+        return RetryMode::OnlyUnprocessed;
+    }
+    return policy.num_retries().value() > 1 ? RetryMode::Twice : RetryMode::Once;
+}
+
+double denominator_of(const envoy::type::v3::FractionalPercent& fraction) {
+    switch (fraction.denominator()) {
+        case envoy::type::v3::FractionalPercent::MILLION:
+            return 1e6;
+        case envoy::type::v3::FractionalPercent::TEN_THOUSAND:
+            return 1e4;
+        default:
+            return 100;
+    }
+}
+
 }  // namespace
 
+// ---- subscriptions
+
 std::vector<AdsClient::Request> AdsClient::start() {
-    for (Lane& lane : lanes_) {
-        lane.nonce.clear();
+    for (SubscriptionState& state : subscriptions_) {
+        state.nonce.clear();
     }
-    std::vector<Request> out;
-    for (const Type type : {Type::Cluster, Type::Endpoints, Type::Listener, Type::Routes}) {
+    std::vector<Request> requests;
+    for (const Type type : kTypes) {
         if (type == Type::Endpoints) {
-            lanes_[index(type)].names.insert(std::string(kStartup));
+            subscription(type).names.insert(std::string(kStartup));
         }
-        if (type == Type::Routes && lanes_[index(type)].names.empty()) {
+        if (type == Type::Routes && subscription(type).names.empty()) {
             continue;
         }
-        out.push_back(request(type, out.empty()));
+        const bool is_first = requests.empty();
+        requests.push_back(make_request(type, is_first));
     }
-    return out;
+    return requests;
 }
 
-AdsClient::Request AdsClient::request(Type type, bool with_node) const {
-    const Lane& lane = lanes_[index(type)];
-    Request out;
+AdsClient::Request AdsClient::make_request(Type type, bool with_node) const {
+    const SubscriptionState& state = subscription(type);
+    Request request;
     if (with_node) {
-        *out.mutable_node() = node_;
+        *request.mutable_node() = node_;
     }
-    out.set_type_url(std::string(url(type)));
-    out.set_version_info(lane.version);
-    out.set_response_nonce(lane.nonce);
-    for (const auto& name : lane.names) {
-        out.add_resource_names(name);
+    request.set_type_url(std::string(type_url(type)));
+    request.set_version_info(state.version);
+    request.set_response_nonce(state.nonce);
+    for (const auto& name : state.names) {
+        request.add_resource_names(name);
     }
-    return out;
+    return request;
 }
 
-AdsClient::Outcome AdsClient::on_response(const Response& response) {
-    Outcome out;
+void AdsClient::subscribe(Type type, std::set<std::string> names, std::vector<Request>& requests) {
+    SubscriptionState& state = subscription(type);
+    if (state.names == names) {
+        return;
+    }
+    state.names = std::move(names);
+    requests.push_back(make_request(type, false));
+}
+
+// ---- responses
+
+AdsClient::ResponseResult AdsClient::on_response(const Response& response) {
+    ResponseResult result;
     const auto type = type_of(response.type_url());
     if (!type) {
-        out.rejected = "type '" + response.type_url() + "' was not asked for";
-        return out;
-    }
-    Lane& lane = lanes_[index(*type)];
-    lane.nonce = response.nonce();
-    ClientTables next = tables_;
-    std::set<std::string> routes_wanted = lanes_[index(Type::Routes)].names;
-    if (doubt) {
-        out.rejected = doubt(response);
-    }
-    if (out.rejected.empty()) {
-        out.rejected = take(*type, response, next, routes_wanted);
-    }
-    if (!out.rejected.empty()) {
-        Request nack = request(*type, false);
-        nack.mutable_error_detail()->set_code(3);
-        nack.mutable_error_detail()->set_message(out.rejected);
-        out.requests.push_back(std::move(nack));
-        return out;
-    }
-    tables_ = std::move(next);
-    out.changed = true;
-    lane.version = response.version_info();
-    out.requests.push_back(request(*type, false));
-    // What the accepted resources name is subscribed to in turn.
-    const auto resubscribe = [&](Type which, std::set<std::string> names) {
-        Lane& other = lanes_[index(which)];
-        if (other.names == names) {
-            return;
+        result.rejected = {ResponseError::UnknownType,
+                           "type '" + response.type_url() + "' was not asked for"};
+        return result;
+    }
+    SubscriptionState& state = subscription(*type);
+    state.nonce = response.nonce();
+    ClientTables next_tables = tables_;
+    std::set<std::string> route_names = subscription(Type::Routes).names;
+    if (response_check) {
+        if (std::string reason = response_check(response); !reason.empty()) {
+            result.rejected = {ResponseError::RefusedByCheck, std::move(reason)};
         }
-        other.names = std::move(names);
-        out.requests.push_back(request(which, false));
-    };
+    }
+    if (!result.rejected) {
+        result.rejected = apply(*type, response, next_tables, route_names);
+    }
+    if (result.rejected) {
+        Request nack = make_request(*type, false);
+        nack.mutable_error_detail()->set_code(kInvalidArgument);
+        nack.mutable_error_detail()->set_message(result.rejected->text);
+        result.requests.push_back(std::move(nack));
+        return result;
+    }
+    tables_ = std::move(next_tables);
+    result.tables_changed = true;
+    state.version = response.version_info();
+    result.requests.push_back(make_request(*type, false));
+    // Subscribe to what the accepted resources name.
     if (*type == Type::Cluster) {
-        std::set<std::string> names{std::string(kStartup)};
+        std::set<std::string> assignment_names{std::string(kStartup)};
         for (const auto& [name, table] : tables_.clusters) {
             if (table.listed) {
-                names.insert(name);
+                assignment_names.insert(name);
             }
         }
-        resubscribe(Type::Endpoints, std::move(names));
+        subscribe(Type::Endpoints, std::move(assignment_names), result.requests);
     }
     if (*type == Type::Listener) {
-        resubscribe(Type::Routes, std::move(routes_wanted));
+        subscribe(Type::Routes, std::move(route_names), result.requests);
     }
-    return out;
+    return result;
 }
 
-std::string AdsClient::take(Type type, const Response& response, ClientTables& next,
-                            std::set<std::string>& routes_wanted) {
-    std::set<std::string> kept;
+AdsClient::Error AdsClient::apply(Type type, const Response& response, ClientTables& tables,
+                                  std::set<std::string>& route_names) {
+    std::set<std::string> listed;
     if (type == Type::Listener) {
-        routes_wanted.clear();
+        route_names.clear();
     }
     for (const auto& any : response.resources()) {
         if (any.type_url() != response.type_url()) {
-            return "a resource of type '" + any.type_url() + "' among others";
+            return RejectedResponse{ResponseError::MixedTypes,
+                                    "a resource of type '" + any.type_url() + "' among others"};
         }
-        std::string wrong;
+        Error error;
         switch (type) {
             case Type::Cluster:
-                wrong = take_cluster(any.value(), next, kept);
+                error = apply_cluster(any.value(), tables, listed);
                 break;
             case Type::Endpoints:
-                wrong = take_assignment(any.value(), response.version_info(), next);
+                error = apply_assignment(any.value(), response.version_info(), tables);
                 break;
             case Type::Listener:
-                wrong = take_listener(any.value(), routes_wanted);
+                error = apply_listener(any.value(), route_names);
                 break;
             case Type::Routes:
-                wrong = take_routes(any.value(), next);
+                error = apply_routes(any.value(), tables);
                 break;
         }
-        if (!wrong.empty()) {
-            return wrong;
+        if (error) {
+            return error;
         }
     }
-    // A governor that starts over lists its new clusters before its routes: what the old routes
-    // name stays until then, or this forwarder would have nothing to pick from in between.
-    std::set<std::string> routed;
-    for (const auto& [path, route] : next.routes) {
-        routed.insert(route.cluster);
-    }
     if (type == Type::Cluster) {
-        for (auto& [name, table] : next.clusters) {
-            table.listed = kept.contains(name);
+        for (auto& [name, table] : tables.clusters) {
+            table.listed = listed.contains(name);
         }
     }
-    std::erase_if(next.clusters, [&](const auto& entry) {
+    // A control plane that restarted lists its new clusters before its routes. The clusters that
+    // the old routes name stay until then; otherwise this proxy would have no server to choose in
+    // between.
+    std::set<std::string> routed;
+    for (const auto& [path, route] : tables.routes) {
+        routed.insert(route.cluster);
+    }
+    std::erase_if(tables.clusters, [&](const auto& entry) {
         return !entry.second.listed && !routed.contains(entry.first);
     });
-    return {};
+    return std::nullopt;
 }
 
-std::string AdsClient::take_cluster(const std::string& bytes, ClientTables& next,
-                                    std::set<std::string>& kept) {
-    envoy::config::cluster::v3::Cluster cluster;
+AdsClient::Error AdsClient::apply_cluster(const std::string& bytes, ClientTables& tables,
+                                          std::set<std::string>& listed) {
+    cluster_v3::Cluster cluster;
     if (!cluster.ParseFromString(bytes)) {
-        return "a cluster that can't be read";
+        return unreadable("a cluster that can't be read");
     }
     if (cluster.name().empty()) {
-        return "a cluster without a name";
+        return invalid("a cluster without a name");
     }
-    ClientTable& table = next.clusters[cluster.name()];
-    kept.insert(cluster.name());
+    ClientTable& table = tables.clusters[cluster.name()];
+    listed.insert(cluster.name());
     switch (cluster.lb_policy()) {
-        case envoy::config::cluster::v3::Cluster::ROUND_ROBIN:
-            table.pick = PickPolicy::RoundRobin;
+        case cluster_v3::Cluster::ROUND_ROBIN:
+            table.pick_policy = PickPolicy::RoundRobin;
             break;
-        case envoy::config::cluster::v3::Cluster::LEAST_REQUEST:
-            table.pick = PickPolicy::LeastOfTwo;
+        case cluster_v3::Cluster::LEAST_REQUEST:
+            table.pick_policy = PickPolicy::LeastOfTwo;
             break;
-        case envoy::config::cluster::v3::Cluster::RANDOM:
-            table.pick = PickPolicy::WeightedRandom;
+        case cluster_v3::Cluster::RANDOM:
+            table.pick_policy = PickPolicy::WeightedRandom;
             break;
         default:
-            return "cluster " + cluster.name() + ": a way of picking that is not known";
+            return invalid("cluster " + cluster.name() + ": a way of picking that is not known");
     }
-    table.ejects_after = static_cast<int>(cluster.outlier_detection().consecutive_5xx().value());
-    table.eject_time = micros(cluster.outlier_detection().base_ejection_time());
-    return {};
+    const auto& outlier = cluster.outlier_detection();
+    table.ejection_failures = static_cast<int>(outlier.consecutive_5xx().value());
+    table.ejection_time = to_micros(outlier.base_ejection_time());
+    return std::nullopt;
 }
 
-std::string AdsClient::take_assignment(const std::string& bytes, const std::string& version,
-                                       ClientTables& next) {
-    envoy::config::endpoint::v3::ClusterLoadAssignment assignment;
+AdsClient::Error AdsClient::apply_assignment(const std::string& bytes, const std::string& version,
+                                             ClientTables& tables) {
+    endpoint_v3::ClusterLoadAssignment assignment;
     if (!assignment.ParseFromString(bytes)) {
-        return "an assignment that can't be read";
+        return unreadable("an assignment that can't be read");
     }
-    const bool startup = assignment.cluster_name() == kStartup;
+    const bool lists_ejected = assignment.cluster_name() == kStartup;
     std::vector<TableLine> lines;
-    if (startup) {
-        next.withdrawn.clear();
+    if (lists_ejected) {
+        tables.ejected.clear();
     }
     for (const auto& locality : assignment.endpoints()) {
         for (const auto& endpoint : locality.lb_endpoints()) {
             const auto& socket = endpoint.endpoint().address().socket_address();
-            if (socket.port_value() == 0 || socket.port_value() > 65535) {
-                return "assignment " + assignment.cluster_name() + ": an endpoint without a port";
+            if (socket.port_value() == 0 || socket.port_value() > kMaxPort) {
+                return invalid("assignment " + assignment.cluster_name() +
+                               ": an endpoint without a port");
             }
             TableLine line;
             line.address = {socket.address(), static_cast<std::uint16_t>(socket.port_value())};
             line.zone = locality.locality().zone();
-            line.weight =
-                endpoint.has_load_balancing_weight()
-                    ? static_cast<double>(endpoint.load_balancing_weight().value()) / kWeightScale
-                    : 1;
+            line.weight = 1;
+            if (endpoint.has_load_balancing_weight()) {
+                line.weight =
+                    static_cast<double>(endpoint.load_balancing_weight().value()) / kWeightScale;
+            }
             line.draining = endpoint.health_status() == core::DRAINING;
-            if (line.draining && startup) {
-                next.withdrawn.insert(line.address);
+            if (line.draining && lists_ejected) {
+                tables.ejected.insert(line.address);
             }
             lines.push_back(std::move(line));
         }
     }
-    if (startup) {
-        return {};
+    if (lists_ejected) {
+        return std::nullopt;
     }
-    const auto it = next.clusters.find(assignment.cluster_name());
-    // An assignment for a cluster that has gone meanwhile is no mistake.
-    if (it == next.clusters.end()) {
-        return {};
+    const auto table = tables.clusters.find(assignment.cluster_name());
+    // An assignment for a cluster that was removed in the meantime is not an error.
+    if (table == tables.clusters.end()) {
+        return std::nullopt;
     }
-    it->second.lines = std::move(lines);
-    it->second.version = version;
-    return {};
+    table->second.lines = std::move(lines);
+    table->second.version = version;
+    return std::nullopt;
 }
 
-std::string AdsClient::take_listener(const std::string& bytes,
-                                     std::set<std::string>& routes_wanted) {
+AdsClient::Error AdsClient::apply_listener(const std::string& bytes,
+                                           std::set<std::string>& route_names) {
     envoy::config::listener::v3::Listener listener;
     envoy::extensions::filters::network::http_connection_manager::v3::HttpConnectionManager manager;
     if (!listener.ParseFromString(bytes)) {
-        return "a listener that can't be read";
+        return unreadable("a listener that can't be read");
     }
     if (!listener.api_listener().api_listener().UnpackTo(&manager)) {
-        return "listener " + listener.name() + ": no manager in it";
+        return unreadable("listener " + listener.name() + ": no manager in it");
     }
     if (manager.rds().route_config_name().empty()) {
-        return "listener " + listener.name() + ": names no routes";
+        return invalid("listener " + listener.name() + ": names no routes");
     }
-    routes_wanted.insert(manager.rds().route_config_name());
-    return {};
+    route_names.insert(manager.rds().route_config_name());
+    return std::nullopt;
 }
 
-std::string AdsClient::take_routes(const std::string& bytes, ClientTables& next) {
-    envoy::config::route::v3::RouteConfiguration config;
+AdsClient::Error AdsClient::apply_routes(const std::string& bytes, ClientTables& tables) {
+    route_v3::RouteConfiguration config;
     if (!config.ParseFromString(bytes)) {
-        return "routes that can't be read";
+        return unreadable("routes that can't be read");
     }
     std::map<std::string, ClientRoute> routes;
     for (const auto& host : config.virtual_hosts()) {
-        for (const auto& route : host.routes()) {
-            const std::string& path = route.match().path();
+        for (const auto& from : host.routes()) {
+            const std::string& path = from.match().path();
             if (path.empty()) {
-                return "route " + route.name() + ": no path";
-            }
-            if (route.has_direct_response()) {
-                continue;  // the rest of a share: rate-limited
-            }
-            ClientRoute out;
-            out.cluster = route.route().cluster();
-            if (!next.clusters.contains(out.cluster)) {
-                return "route " + route.name() + ": no cluster " + out.cluster;
-            }
-            out.timeout = micros(route.route().timeout());
-            if (route.route().has_retry_policy()) {
-                const auto& retry = route.route().retry_policy();
-                const bool any = holds(retry.retry_on(), "5xx") || holds(retry.retry_on(), "reset");
-                out.again = !any                              ? RetryMode::OnlyUnprocessed
-                            : retry.num_retries().value() > 1 ? RetryMode::Twice
-                                                              : RetryMode::Once;
-                out.per_try = micros(retry.per_try_timeout());
+                return invalid("route " + from.name() + ": no path");
             }
-            if (route.match().has_runtime_fraction()) {
-                const auto& part = route.match().runtime_fraction().default_value();
-                const double of =
-                    part.denominator() == envoy::type::v3::FractionalPercent::MILLION        ? 1e6
-                    : part.denominator() == envoy::type::v3::FractionalPercent::TEN_THOUSAND ? 1e4
-                                                                                             : 100;
-                out.share = part.numerator() / of;
+            if (from.has_direct_response()) {
+                continue;  // answers the requests that are not admitted
             }
-            const auto limit =
-                route.typed_per_filter_config().find("envoy.filters.http.local_ratelimit");
-            if (limit != route.typed_per_filter_config().end()) {
-                envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit bucket;
-                if (!limit->second.UnpackTo(&bucket)) {
-                    return "route " + route.name() + ": a limit that can't be read";
-                }
-                const Micros fill = micros(bucket.token_bucket().fill_interval());
-                if (fill <= Micros{0}) {
-                    return "route " + route.name() + ": a limit that never fills";
-                }
-                out.rate = bucket.token_bucket().tokens_per_fill().value() * 1e6 /
-                           static_cast<double>(fill.count());
-                out.burst = bucket.token_bucket().max_tokens();
+            ClientRoute route;
+            if (Error error = read_route(from, tables, route)) {
+                return error;
             }
-            routes[path] = std::move(out);
+            routes[path] = std::move(route);
         }
     }
-    next.routes = std::move(routes);
-    return {};
+    tables.routes = std::move(routes);
+    return std::nullopt;
+}
+
+AdsClient::Error AdsClient::read_route(const route_v3::Route& from, const ClientTables& tables,
+                                       ClientRoute& route) {
+    route.cluster = from.route().cluster();
+    if (!tables.clusters.contains(route.cluster)) {
+        return RejectedResponse{ResponseError::UnknownCluster,
+                                "route " + from.name() + ": no cluster " + route.cluster};
+    }
+    route.timeout = to_micros(from.route().timeout());
+    if (from.route().has_retry_policy()) {
+        const auto& policy = from.route().retry_policy();
+        route.retry_mode = retry_mode_of(policy);
+        route.attempt_timeout = to_micros(policy.per_try_timeout());
+    }
+    if (from.match().has_runtime_fraction()) {
+        const auto& fraction = from.match().runtime_fraction().default_value();
+        route.admitted_fraction = fraction.numerator() / denominator_of(fraction);
+    }
+    return read_rate_limit(from, route);
+}
+
+AdsClient::Error AdsClient::read_rate_limit(const route_v3::Route& from, ClientRoute& route) {
+    const auto filter = from.typed_per_filter_config().find(kRateLimitFilter);
+    if (filter == from.typed_per_filter_config().end()) {
+        return std::nullopt;
+    }
+    envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit limit;
+    if (!filter->second.UnpackTo(&limit)) {
+        return unreadable("route " + from.name() + ": a limit that can't be read");
+    }
+    const auto& bucket = limit.token_bucket();
+    const Micros fill_interval = to_micros(bucket.fill_interval());
+    if (fill_interval <= Micros{0}) {
+        return invalid("route " + from.name() + ": a limit that never fills");
+    }
+    route.admitted_per_second = bucket.tokens_per_fill().value() * kMicrosPerSecond /
+                                static_cast<double>(fill_interval.count());
+    route.max_burst = bucket.max_tokens();
+    return std::nullopt;
 }
 
 }  // namespace badgergrade::xds
--- a/src/xds/ads_client.h
+++ b/src/xds/ads_client.h
@@ -1,5 +1,8 @@
-// The forwarder's side of an aggregated discovery stream, state of the world, without a socket:
-// responses in, requests (subscriptions, ACK, NACK) and tables out.
+/// @file
+/// The proxy's side of an aggregated discovery stream (ADS, state of the world), without a socket:
+/// responses in, requests (subscriptions, ACK, NACK) and routing tables out.
+///
+/// All calls come from one thread.
 #pragma once
 
 #include <array>
@@ -10,6 +13,7 @@
 #include <string>
 #include <vector>
 
+#include "envoy/config/route/v3/route.pb.h"
 #include "envoy/service/discovery/v3/discovery.pb.h"
 #include "net/network.h"
 #include "policy/ids.h"
@@ -18,39 +22,69 @@
 
 namespace badgergrade::xds {
 
-// One line of a table as a forwarder holds it.
+/// One server in a table as a proxy holds it.
 struct TableLine {
     net::Address address;
     std::string zone;
+    /// Relative to the other lines of the table.
     double weight = 0;
+    /// Must not be sent new requests.
     bool draining = false;
 };
 
+/// A cluster with its endpoint assignment.
 struct ClientTable {
-    PickPolicy pick = PickPolicy::WeightedRandom;
-    int ejects_after = 0;
-    Micros eject_time{};
+    PickPolicy pick_policy = PickPolicy::WeightedRandom;
+    /// Consecutive failures after which the proxy itself ejects a server; 0: never.
+    int ejection_failures = 0;
+    Micros ejection_time{};
     std::vector<TableLine> lines;
-    std::string version;  // of the assignment
-    bool listed = true;   // false: removed, and kept only because routes still name it
+    /// Version of the assignment.
+    std::string version;
+    /// False: the cluster was removed, and is kept only because routes still name it.
+    bool listed = true;
 };
 
+/// How requests for one operation are routed.
 struct ClientRoute {
     std::string cluster;
     Micros timeout{};
-    RetryMode again = RetryMode::Never;
-    Micros per_try{};
-    double share = 1;  // let in
-    double rate = 0;   // tokens a second; 0: no limit
-    double burst = 0;
+    RetryMode retry_mode = RetryMode::Never;
+    /// Timeout of one attempt; 0: none of its own.
+    Micros attempt_timeout{};
+    /// Fraction of the requests that is admitted.
+    double admitted_fraction = 1;
+    /// Admitted requests a second; 0: no limit.
+    double admitted_per_second = 0;
+    /// Most requests that may be admitted at once under `admitted_per_second`.
+    double max_burst = 0;
 };
 
-// What the forwarder acts on. Replaced whole at each accepted response: no half of one is ever
-// seen.
+/// What the proxy acts on. Replaced as a whole with each accepted response: half of a response is
+/// never visible.
 struct ClientTables {
-    std::map<std::string, ClientRoute> routes;  // by path
+    /// By request path.
+    std::map<std::string, ClientRoute> routes;
+    /// By cluster name.
     std::map<std::string, ClientTable> clusters;
-    std::set<net::Address> withdrawn;  // not to be sent to, whatever a table says
+    /// Must not be sent requests, whatever a table says.
+    std::set<net::Address> ejected;
+};
+
+/// Why a response was rejected.
+enum class ResponseError {
+    UnknownType,
+    MixedTypes,
+    Unreadable,
+    InvalidField,
+    UnknownCluster,
+    RefusedByCheck
+};
+
+struct RejectedResponse {
+    ResponseError error = ResponseError::Unreadable;
+    /// The reason, as the NACK carries it.
+    std::string text;
 };
 
 class AdsClient {
@@ -60,43 +94,58 @@
 
     explicit AdsClient(envoy::config::core::v3::Node node) : node_(std::move(node)) {}
 
-    // A new stream: what to send first. What is held stays in force.
+    /// Begins a new stream and returns its first requests. Tables stay in force.
     std::vector<Request> start();
 
-    struct Outcome {
+    struct ResponseResult {
+        /// To be sent in this order.
         std::vector<Request> requests;
-        bool changed = false;
-        std::string rejected;  // why the response was not taken
+        /// The response was accepted, and `tables()` may differ.
+        bool tables_changed = false;
+        std::optional<RejectedResponse> rejected;
     };
 
-    Outcome on_response(const Response& response);
+    ResponseResult on_response(const Response& response);
 
-    // Goes on with what an earlier stream left in force.
-    void keep(ClientTables held) { tables_ = std::move(held); }
+    /// Continues with tables that an earlier stream left in force.
+    void restore_tables(ClientTables tables) { tables_ = std::move(tables); }
 
     const ClientTables& tables() const { return tables_; }
 
-    // Refuses what this says is wrong (tests, trials of rejected versions); empty: nothing.
-    std::function<std::string(const Response&)> doubt;
+    /// For tests of rejected versions: called with each response before it is read. A text that is
+    /// not empty rejects the response with that reason. Must not call back into this object.
+    std::function<std::string(const Response&)> response_check;
 
 private:
-    struct Lane {
-        std::string version, nonce;
+    struct SubscriptionState {
+        std::string version;
+        std::string nonce;
         std::set<std::string> names;
     };
 
-    Request request(Type type, bool with_node) const;
-    std::string take(Type type, const Response& response, ClientTables& next,
-                     std::set<std::string>& routes_wanted);
-    std::string take_cluster(const std::string& bytes, ClientTables& next,
-                             std::set<std::string>& kept);
-    std::string take_assignment(const std::string& bytes, const std::string& version,
-                                ClientTables& next);
-    std::string take_listener(const std::string& bytes, std::set<std::string>& routes_wanted);
-    std::string take_routes(const std::string& bytes, ClientTables& next);
+    using Error = std::optional<RejectedResponse>;
+
+    SubscriptionState& subscription(Type type) { return subscriptions_[index(type)]; }
+
+    const SubscriptionState& subscription(Type type) const { return subscriptions_[index(type)]; }
+
+    Request make_request(Type type, bool with_node) const;
+    void subscribe(Type type, std::set<std::string> names, std::vector<Request>& requests);
+
+    static Error apply(Type type, const Response& response, ClientTables& tables,
+                       std::set<std::string>& route_names);
+    static Error apply_cluster(const std::string& bytes, ClientTables& tables,
+                               std::set<std::string>& listed);
+    static Error apply_assignment(const std::string& bytes, const std::string& version,
+                                  ClientTables& tables);
+    static Error apply_listener(const std::string& bytes, std::set<std::string>& route_names);
+    static Error apply_routes(const std::string& bytes, ClientTables& tables);
+    static Error read_route(const envoy::config::route::v3::Route& from, const ClientTables& tables,
+                            ClientRoute& route);
+    static Error read_rate_limit(const envoy::config::route::v3::Route& from, ClientRoute& route);
 
     envoy::config::core::v3::Node node_;
-    std::array<Lane, 4> lanes_;
+    std::array<SubscriptionState, kTypes.size()> subscriptions_;
     ClientTables tables_;
 };
 
--- a/src/xds/ads_server.cpp
+++ b/src/xds/ads_server.cpp
@@ -5,328 +5,407 @@
 namespace badgergrade::xds {
 
 namespace {
-// The name under which the set of clusters stands for the newest order itself; no cluster is named
-// so.
-const std::string kOrder;
+/// Under this name the set of clusters stands for the newest update itself. No cluster has an empty
+/// name.
+const std::string kUpdateItself;
+
+/// Field number of the nonce in a DiscoveryResponse, and its wire type.
+constexpr int kNonceField = 5;
+constexpr int kLengthDelimited = 2;
+
+/// Shared responses are sent within one burst; older entries are not needed again.
+constexpr std::size_t kMaxCachedResponses = 256;
 }  // namespace
 
-AdsServer::AdsServer(std::string origin, std::size_t messages_most)
+AdsServer::AdsServer(std::string origin, std::size_t max_pending_updates)
     : origin_(std::move(origin)),
-      messages_most_(messages_most) {}
+      max_pending_updates_(max_pending_updates) {}
 
-AdsServer::Outcome AdsServer::on_request(const Request& request) {
-    Outcome out;
+// ---- requests
+
+AdsServer::RequestResult AdsServer::on_request(const Request& request) {
+    RequestResult result;
     const auto type = type_of(request.type_url());
     if (!type) {
-        out.ignored = "type '" + request.type_url() + "' is not served";
-        return out;
+        result.ignored = {IgnoreReason::UnknownType,
+                          "type '" + request.type_url() + "' is not served"};
+        return result;
     }
-    Lane& here = lane(*type);
+    SubscriptionState& state = subscription(*type);
     if (request.response_nonce().empty()) {
-        // The first request of a type; one without a nonce later on is a client that starts the
-        // type over.
-        here.flights.clear();
-        for (auto& [name, item] : here.items) {
-            item.sent = 0;
-        }
-        here.dirty = whole_state(*type);
-        subscribe(*type, here, request);
-        here.asked = true;
-        return out;
-    }
-    const auto flight =
-        std::find_if(here.flights.begin(), here.flights.end(),
-                     [&](const Flight& f) { return f.nonce == request.response_nonce(); });
-    if (flight == here.flights.end()) {
-        out.ignored = "stale or unknown nonce '" + request.response_nonce() + "'";
-        return out;
-    }
-    answer(*type, here, request, out);
-    subscribe(*type, here, request);
-    return out;
+        start_over(*type, state);
+        update_subscription(*type, state, request);
+        state.requested = true;
+        return result;
+    }
+    const auto response = std::find_if(
+        state.in_flight.begin(), state.in_flight.end(),
+        [&](const InFlightResponse& r) { return r.nonce == request.response_nonce(); });
+    if (response == state.in_flight.end()) {
+        result.ignored = {IgnoreReason::UnknownNonce,
+                          "stale or unknown nonce '" + request.response_nonce() + "'"};
+        return result;
+    }
+    handle_answer(*type, *response, request, result);
+    update_subscription(*type, state, request);
+    return result;
 }
 
-void AdsServer::subscribe(Type type, Lane& here, const Request& request) {
-    if (whole_state(type) && request.resource_names_size() == 0 && (!here.asked || here.wildcard)) {
-        here.wildcard = true;
+/// The first request of a type. A later one without a nonce is a proxy that starts the type over:
+/// it may have forgotten everything.
+void AdsServer::start_over(Type type, SubscriptionState& state) {
+    state.in_flight.clear();
+    for (auto& [name, resource] : state.resources) {
+        resource.sent_version = 0;
+    }
+    state.send_due = is_sent_completely(type);
+}
+
+void AdsServer::update_subscription(Type type, SubscriptionState& state, const Request& request) {
+    const bool names_nothing = request.resource_names_size() == 0;
+    if (is_sent_completely(type) && names_nothing && (!state.requested || state.wildcard)) {
+        state.wildcard = true;
         return;
     }
     std::set<std::string> names(request.resource_names().begin(), request.resource_names().end());
-    here.wildcard = names.erase("*") > 0;
-    if (names == here.names) {
+    state.wildcard = names.erase("*") > 0;
+    if (names == state.names) {
         return;
     }
-    // What is asked for anew is sent again, even if it was sent before: the client may have
-    // forgotten it.
+    // A name that is new in the subscription is sent again, even if it was sent before: the proxy
+    // may have dropped the resource in between.
     for (const auto& name : names) {
-        if (!here.names.contains(name)) {
-            if (const auto it = here.items.find(name); it != here.items.end()) {
-                it->second.sent = 0;
-            }
+        const auto resource = state.resources.find(name);
+        if (!state.names.contains(name) && resource != state.resources.end()) {
+            resource->second.sent_version = 0;
         }
     }
-    here.names = std::move(names);
-    if (whole_state(type)) {
-        here.dirty = true;
+    state.names = std::move(names);
+    if (is_sent_completely(type)) {
+        state.send_due = true;
     }
 }
 
-void AdsServer::answer(Type type, Lane& here, const Request& request, Outcome& out) {
-    const auto at = std::find_if(here.flights.begin(), here.flights.end(), [&](const Flight& f) {
-        return f.nonce == request.response_nonce();
-    });
-    // The same nonce a second time only changes a subscription: its first answer stands, whatever
-    // this one says.
-    if (at->answered) {
+void AdsServer::handle_answer(Type type, InFlightResponse& response, const Request& request,
+                              RequestResult& result) {
+    // The same nonce a second time only changes a subscription. Its first answer counts, whatever
+    // this one says; otherwise an ACK after a NACK would pass off a rejected update as applied.
+    if (response.answered) {
         return;
     }
-    const Flight flight = *at;
+    SubscriptionState& state = subscription(type);
+    const InFlightResponse answered = response;
     if (request.has_error_detail()) {
-        Rejection rejection{type, flight.version, request.error_detail().message(), {}};
-        for (const auto& [name, version] : flight.items) {
-            if (!name.empty()) {
-                rejection.names.push_back(name);
-            }
-            if (const auto it = here.items.find(name); it != here.items.end()) {
-                it->second.refused = true;
-            }
-        }
-        here.refused = true;
-        out.rejected = std::move(rejection);
+        result.rejected = reject(type, state, answered, request.error_detail().message());
     } else {
-        acknowledged(type, here, flight);
-    }
-    // The newest answered nonce stays known, so that a change of subscription under it is not
-    // called stale.
-    at->answered = true;
-    at->items.clear();
-    std::erase_if(here.flights,
-                  [&](const Flight& f) { return f.answered && f.nonce != flight.nonce; });
-    out.applied = proven();
+        acknowledge(type, state, answered);
+    }
+    // The newest answered nonce stays known, so that a change of subscription with it is not
+    // reported as stale.
+    response.answered = true;
+    response.resources.clear();
+    std::erase_if(state.in_flight, [&](const InFlightResponse& r) {
+        return r.answered && r.nonce != answered.nonce;
+    });
+    result.acknowledged = take_acknowledged_updates();
+}
+
+AdsServer::Rejection AdsServer::reject(Type type, SubscriptionState& state,
+                                       const InFlightResponse& response,
+                                       const std::string& reason) {
+    Rejection rejection{type, response.version, reason, {}};
+    for (const auto& [name, version] : response.resources) {
+        if (name != kUpdateItself) {
+            rejection.resource_names.push_back(name);
+        }
+        const auto resource = state.resources.find(name);
+        if (resource != state.resources.end()) {
+            resource->second.rejected = true;
+        }
+    }
+    state.has_rejected = true;
+    return rejection;
 }
 
-void AdsServer::acknowledged(Type type, Lane& here, const Flight& flight) {
-    for (const auto& [name, version] : flight.items) {
-        if (const auto it = here.items.find(name); it != here.items.end()) {
-            it->second.acked = std::max(it->second.acked, version);
-            it->second.refused = false;
+void AdsServer::acknowledge(Type type, SubscriptionState& state, const InFlightResponse& response) {
+    for (const auto& [name, version] : response.resources) {
+        const auto it = state.resources.find(name);
+        if (it == state.resources.end()) {
+            continue;
         }
+        ResourceState& resource = it->second;
+        resource.acked_version = std::max(resource.acked_version, version);
+        resource.rejected = false;
     }
     if (type != Type::Routes) {
         return;
     }
-    for (const auto& [name, item] : here.items) {
-        if (item.wanted && item.acked < item.wanted->version) {
-            return;
-        }
+    const bool routes_are_current =
+        std::none_of(state.resources.begin(), state.resources.end(), [](const auto& entry) {
+            const ResourceState& resource = entry.second;
+            return resource.wanted && resource.acked_version < resource.wanted->version;
+        });
+    if (routes_are_current) {
+        remove_retired_clusters();
     }
-    // Make before break: no route names the old clusters any more, so they may go now.
-    Lane& clusters = lane(Type::Cluster);
-    for (auto it = clusters.items.begin(); it != clusters.items.end();) {
+}
+
+/// Make before break: no route of the proxy names the removed clusters any more.
+void AdsServer::remove_retired_clusters() {
+    SubscriptionState& clusters = subscription(Type::Cluster);
+    SubscriptionState& assignments = subscription(Type::Endpoints);
+    for (auto it = clusters.resources.begin(); it != clusters.resources.end();) {
         if (!it->second.retiring) {
             ++it;
             continue;
         }
-        lane(Type::Endpoints).items.erase(it->first);
-        it = clusters.items.erase(it);
-        clusters.dirty = true;
+        assignments.resources.erase(it->first);
+        it = clusters.resources.erase(it);
+        clusters.send_due = true;
+    }
+}
+
+bool AdsServer::is_acknowledged(const ResourceVersion& required) const {
+    const auto& resources = subscription(required.type).resources;
+    const auto it = resources.find(required.name);
+    if (it == resources.end()) {
+        return true;
+    }
+    const ResourceState& resource = it->second;
+    return resource.retiring || resource.acked_version >= required.version;
+}
+
+/// Updates are acknowledged in their order: one that waits holds back all later ones.
+std::vector<AdsServer::AcknowledgedUpdate> AdsServer::take_acknowledged_updates() {
+    std::vector<AcknowledgedUpdate> acknowledged;
+    const auto done = [&](const ResourceVersion& required) {
+        return is_acknowledged(required);
+    };
+    while (!pending_updates_.empty()) {
+        const PendingUpdate& first = pending_updates_.front();
+        if (!std::all_of(first.required.begin(), first.required.end(), done)) {
+            break;
+        }
+        acknowledged.push_back(first.update);
+        pending_updates_.pop_front();
     }
+    return acknowledged;
 }
 
-void AdsServer::give(Micros now, const Message& message) {
-    Pending pending{{message.order, message.mark, message.ordered}, {}};
-    for (const Change& change : message.changes) {
-        Lane& here = lane(change.type);
+// ---- released messages
+
+void AdsServer::release(Micros now, const ProxyMessage& message) {
+    PendingUpdate pending = apply_changes(message);
+    schedule_rejected_again();
+    if (pending.required.empty()) {
+        // Nothing changed for this proxy, but an acknowledgement is wanted: the complete set of
+        // clusters is sent again, and its acknowledgement is the answer.
+        SubscriptionState& clusters = subscription(Type::Cluster);
+        clusters.resources[kUpdateItself];
+        clusters.send_due = true;
+        pending.required.push_back({Type::Cluster, kUpdateItself, message.update_number});
+    }
+    unannounced_.push_back({message.update_number, message.decided_at, now, message.lines});
+    pending_updates_.push_back(std::move(pending));
+    limit_pending_updates();
+}
+
+AdsServer::PendingUpdate AdsServer::apply_changes(const ProxyMessage& message) {
+    PendingUpdate pending{{message.update_number, message.requested_ack, message.decided_at}, {}};
+    for (const ResourceChange& change : message.changes) {
+        SubscriptionState& state = subscription(change.type);
         if (!change.resource) {
-            if (const auto it = here.items.find(change.name); it != here.items.end()) {
-                it->second.retiring = true;
+            const auto removed = state.resources.find(change.name);
+            if (removed != state.resources.end()) {
+                removed->second.retiring = true;
             }
             continue;
         }
-        Item& item = here.items[change.name];
-        item.wanted = change.resource;
-        item.retiring = false;
-        if (whole_state(change.type)) {
-            here.dirty = true;
+        ResourceState& resource = state.resources[change.name];
+        resource.wanted = change.resource;
+        resource.retiring = false;
+        if (is_sent_completely(change.type)) {
+            state.send_due = true;
         }
-        // A resource made before this order (a cluster bound again) may be acknowledged already.
-        pending.items.emplace_back(change.type, change.name, change.resource->version);
+        // The resource's own version, not the number of this update: a cluster that is assigned
+        // again was made by an earlier update and may be acknowledged already.
+        pending.required.push_back({change.type, change.name, change.resource->version});
     }
-    // What was rejected is tried again with the next order, not at once and again: a removal must
-    // not stay out for ever, nor what hangs on a rejected cluster (its assignment, and the routes
-    // behind that).
+    return pending;
+}
+
+/// What was rejected is sent again with the next update. Not at once: a proxy that can't take it
+/// would be sent it in a loop. Not never: a removal would stay out for ever, and so would what
+/// depends on a rejected cluster (its assignment, and the routes to it).
+void AdsServer::schedule_rejected_again() {
     for (const Type type : kTypes) {
-        Lane& here = lane(type);
-        if (whole_state(type)) {
-            here.dirty = here.dirty || here.refused;
+        SubscriptionState& state = subscription(type);
+        if (is_sent_completely(type)) {
+            state.send_due = state.send_due || state.has_rejected;
         } else {
-            here.again = here.again || here.refused;
+            state.retry_rejected = state.retry_rejected || state.has_rejected;
         }
-        here.refused = false;
-    }
-    if (pending.items.empty()) {
-        // Nothing to show but the order itself (a mark for everyone): the whole set of clusters
-        // goes out again, and its acknowledgement is the answer.
-        Lane& clusters = lane(Type::Cluster);
-        clusters.items[kOrder];
-        clusters.dirty = true;
-        pending.items.emplace_back(Type::Cluster, kOrder, message.order);
-    }
-    unannounced_.push_back({message.order, message.ordered, now, message.lines});
-    pending_.push_back(std::move(pending));
-    // A client that never answers must not fill our memory: what it never proved is forgotten from
-    // the front.
-    while (pending_.size() > messages_most_) {
-        pending_.pop_front();
-    }
-    if (unannounced_.size() > messages_most_) {
+        state.has_rejected = false;
+    }
+}
+
+/// A proxy that never answers must not fill the memory: the oldest updates are dropped. They are
+/// then never reported as acknowledged.
+void AdsServer::limit_pending_updates() {
+    while (pending_updates_.size() > max_pending_updates_) {
+        pending_updates_.pop_front();
+    }
+    if (unannounced_.size() > max_pending_updates_) {
         unannounced_.erase(unannounced_.begin());
     }
 }
 
+// ---- responses
+
 std::shared_ptr<const std::string>& ResponseCache::at(const std::string& key) {
-    // What many streams share is sent within one burst; older entries are of no more use.
-    if (made_.size() >= 256) {
-        made_.clear();
+    if (responses_.size() >= kMaxCachedResponses) {
+        responses_.clear();
     }
-    return made_[key];
+    return responses_[key];
 }
 
-std::vector<AdsServer::Draft> AdsServer::drafts() {
-    std::vector<Draft> out;
+std::vector<AdsServer::ResponseDraft> AdsServer::take_drafts() {
+    std::vector<ResponseDraft> drafts;
     for (const Type type : kTypes) {
-        if (auto draft = next(type, lane(type), false)) {
-            out.push_back(std::move(*draft));
+        if (auto draft = next_draft(type, Selection::Changed)) {
+            drafts.push_back(std::move(*draft));
         }
-        // What was rejected goes apart, so that it can't take what is new down with it.
-        if (may_send(type) && std::exchange(lane(type).again, false)) {
-            if (auto draft = next(type, lane(type), true)) {
-                out.push_back(std::move(*draft));
+        // What was rejected is sent in a response of its own: a second rejection would otherwise
+        // take the new resources beside it down as well.
+        if (may_send(type) && std::exchange(subscription(type).retry_rejected, false)) {
+            if (auto draft = next_draft(type, Selection::Rejected)) {
+                drafts.push_back(std::move(*draft));
             }
         }
     }
-    return out;
+    return drafts;
 }
 
-AdsServer::Response AdsServer::to_response(const Draft& draft) {
-    Response out;
-    out.set_type_url(std::string(url(draft.type)));
-    out.set_version_info(draft.version);
+AdsServer::Response AdsServer::to_response(const ResponseDraft& draft) {
+    Response response;
+    response.set_type_url(std::string(type_url(draft.type)));
+    response.set_version_info(draft.version);
     for (const ResourcePtr& resource : draft.resources) {
-        auto* any = out.add_resources();
-        any->set_type_url(std::string(url(draft.type)));
+        auto* any = response.add_resources();
+        any->set_type_url(std::string(type_url(draft.type)));
         any->set_value(resource->bytes);
     }
-    out.mutable_control_plane()->set_identifier(draft.orders);
-    return out;
+    response.mutable_control_plane()->set_identifier(draft.release_text);
+    return response;
 }
 
 std::vector<AdsServer::Response> AdsServer::take_responses() {
-    std::vector<Response> out;
-    for (const Draft& draft : drafts()) {
-        out.push_back(to_response(draft));
-        out.back().set_nonce(draft.nonce);
+    std::vector<Response> responses;
+    for (const ResponseDraft& draft : take_drafts()) {
+        responses.push_back(to_response(draft));
+        responses.back().set_nonce(draft.nonce);
     }
-    return out;
+    return responses;
 }
 
-std::vector<AdsServer::Encoded> AdsServer::take_encoded(ResponseCache& cache) {
-    std::vector<Encoded> out;
-    for (const Draft& draft : drafts()) {
+std::vector<AdsServer::EncodedResponse> AdsServer::take_encoded(ResponseCache& cache) {
+    std::vector<EncodedResponse> encoded;
+    for (const ResponseDraft& draft : take_drafts()) {
         std::string key =
-            std::to_string(index(draft.type)) + " " + draft.version + " " + draft.orders;
+            std::to_string(index(draft.type)) + " " + draft.version + " " + draft.release_text;
         for (const ResourcePtr& resource : draft.resources) {
-            // One order may make several versions of one name (routes differ by forwarder): the
-            // object tells.
+            // One update may make several resources of one name and version, since routes differ
+            // between proxies. Only the address of the object tells them apart.
             key += " " + resource->name + "=" +
                    std::to_string(reinterpret_cast<std::uintptr_t>(resource.get()));
         }
-        auto& common = cache.at(key);
-        if (!common) {
-            common = std::make_shared<const std::string>(to_response(draft).SerializeAsString());
+        auto& shared = cache.at(key);
+        if (!shared) {
+            shared = std::make_shared<const std::string>(to_response(draft).SerializeAsString());
         }
-        // Field 5, the nonce, behind the others: the order of fields means nothing in protobuf.
-        std::string own = {static_cast<char>(5 << 3 | 2), static_cast<char>(draft.nonce.size())};
-        out.push_back({common, own + draft.nonce});
+        // The nonce is appended behind the shared fields: protobuf allows fields in any order. Its
+        // length fits into one byte, since a nonce is a decimal number of at most 20 digits.
+        std::string nonce_field = {static_cast<char>(kNonceField << 3 | kLengthDelimited),
+                                   static_cast<char>(draft.nonce.size())};
+        encoded.push_back({shared, nonce_field + draft.nonce});
     }
-    return out;
+    return encoded;
 }
 
-std::optional<AdsServer::Draft> AdsServer::next(Type type, Lane& here, bool refused) {
+std::optional<AdsServer::ResponseDraft> AdsServer::next_draft(Type type, Selection selection) {
     if (!may_send(type)) {
         return std::nullopt;
     }
-    Draft out;
-    out.type = type;
-    Flight flight;
-    std::uint64_t newest = 0;
-    const bool whole = whole_state(type);
-    if (whole && !std::exchange(here.dirty, false)) {
+    SubscriptionState& state = subscription(type);
+    const bool complete = is_sent_completely(type);
+    if (complete && !std::exchange(state.send_due, false)) {
         return std::nullopt;
     }
-    for (auto& [name, item] : here.items) {
-        if (!item.wanted || (!here.wildcard && !here.names.contains(name))) {
-            continue;
-        }
-        if (!whole && (refused ? !item.refused : item.sent >= item.wanted->version)) {
-            continue;
-        }
-        out.resources.push_back(item.wanted);
-        item.sent = item.wanted->version;
-        item.refused = false;
-        newest = std::max(newest, item.sent);
-        flight.items.emplace_back(name, item.sent);
-    }
-    if (out.resources.empty() && !(whole && !here.flights.empty())) {
+    ResponseDraft draft;
+    draft.type = type;
+    InFlightResponse response;
+    select_resources(type, state, selection, draft, response);
+    // An empty response is sent only to say that all resources of the type are gone.
+    const bool says_all_are_gone = complete && !state.in_flight.empty();
+    if (draft.resources.empty() && !says_all_are_gone) {
         return std::nullopt;
     }
-    for (const ReleasedOrder& message : unannounced_) {
-        newest = std::max(newest, message.order);
+    std::uint64_t newest_update = 0;
+    for (const auto& [name, version] : response.resources) {
+        newest_update = std::max(newest_update, version);
     }
-    given_ = std::max(given_, newest);
+    for (const ReleasedUpdate& update : unannounced_) {
+        newest_update = std::max(newest_update, update.update_number);
+    }
+    announced_update_ = std::max(announced_update_, newest_update);
     if (type == Type::Cluster) {
-        flight.items.emplace_back(kOrder, given_);
+        response.resources.emplace_back(kUpdateItself, announced_update_);
     }
-    out.version = origin_ + "/" + std::to_string(newest);
-    out.nonce = std::to_string(++nonces_);
-    out.orders = to_text(origin_, unannounced_);
+    draft.version = origin_ + "/" + std::to_string(newest_update);
+    draft.nonce = std::to_string(++last_nonce_);
+    draft.release_text = to_release_text(origin_, unannounced_);
     unannounced_.clear();
-    flight.nonce = out.nonce;
-    flight.version = out.version;
-    here.flights.push_back(std::move(flight));
-    return out;
+    response.nonce = draft.nonce;
+    response.version = draft.version;
+    state.in_flight.push_back(std::move(response));
+    return draft;
+}
+
+/// Puts the subscribed resources that are due into the draft and marks them as sent.
+void AdsServer::select_resources(Type type, SubscriptionState& state, Selection selection,
+                                 ResponseDraft& draft, InFlightResponse& response) {
+    for (auto& [name, resource] : state.resources) {
+        const bool subscribed = state.wildcard || state.names.contains(name);
+        if (!resource.wanted || !subscribed) {
+            continue;
+        }
+        const bool due = selection == Selection::Rejected
+                             ? resource.rejected
+                             : resource.sent_version < resource.wanted->version;
+        if (!due && !is_sent_completely(type)) {
+            continue;
+        }
+        draft.resources.push_back(resource.wanted);
+        resource.sent_version = resource.wanted->version;
+        resource.rejected = false;
+        response.resources.emplace_back(name, resource.sent_version);
+    }
 }
 
-// Make before break: a route is sent only behind the assignments of what it leads to.
+/// Make before break: routes are sent only after the assignments that they lead to.
 bool AdsServer::may_send(Type type) const {
-    if (!lanes_[index(type)].asked) {
+    if (!subscription(type).requested) {
         return false;
     }
     if (type != Type::Routes) {
         return true;
     }
-    for (const auto& [name, item] : lanes_[index(Type::Endpoints)].items) {
-        if (name != kStartup && item.wanted && item.sent < item.wanted->version) {
-            return false;
-        }
-    }
-    return true;
-}
-
-std::vector<AdsServer::Applied> AdsServer::proven() {
-    std::vector<Applied> out;
-    const auto done = [&](const auto& entry) {
-        const auto& [type, name, version] = entry;
-        const auto& items = lane(type).items;
-        const auto it = items.find(name);
-        return it == items.end() || it->second.retiring || it->second.acked >= version;
-    };
-    while (!pending_.empty() &&
-           std::all_of(pending_.front().items.begin(), pending_.front().items.end(), done)) {
-        out.push_back(pending_.front().what);
-        pending_.pop_front();
-    }
-    return out;
+    const auto& assignments = subscription(Type::Endpoints).resources;
+    return std::none_of(assignments.begin(), assignments.end(), [](const auto& entry) {
+        const auto& [name, resource] = entry;
+        return name != kStartup && resource.wanted &&
+               resource.sent_version < resource.wanted->version;
+    });
 }
 
 }  // namespace badgergrade::xds
--- a/src/xds/ads_server.h
+++ b/src/xds/ads_server.h
@@ -1,20 +1,30 @@
-// One forwarder's aggregated discovery stream, state of the world, without a socket: requests in,
-// responses and what they prove out.
-//
-// Per type the stream knows which resources are wanted there (as the channel released them), which
-// were sent and which were acknowledged. Several responses of a type may be under way; each nonce
-// is answered on its own, so that an ACK of the second never counts for a first that was rejected.
-// An order is applied when all that it changed has been acknowledged, or superseded by something
-// acknowledged.
+/// @file
+/// The control plane's side of one proxy's aggregated discovery stream (ADS, state of the world),
+/// without a socket: requests and released messages in, responses and acknowledged updates out.
+///
+/// For each resource type the stream knows which resources the proxy should have (as the send
+/// queue released them), which were sent and which were acknowledged. Several responses of a type
+/// may be in flight. Each nonce is answered on its own, so that the ACK of a second response never
+/// counts for a first one that was rejected. An update is acknowledged when everything that it
+/// changed has been acknowledged, or superseded by something acknowledged.
+///
+/// Make before break: clusters are sent before their assignments, and routes only after the
+/// assignments of the clusters that they name. A removed cluster stays until the routes that no
+/// longer name it have been acknowledged. A proxy without this order would have nowhere to send
+/// requests for a moment.
+///
+/// All calls come from one thread; nothing here calls back.
 #pragma once
 
 #include <array>
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
-#include <tuple>
+#include <utility>
 #include <vector>
 
 #include "envoy/service/discovery/v3/discovery.pb.h"
@@ -23,14 +33,15 @@
 
 namespace badgergrade::xds {
 
-// The bytes of responses that many streams are sent alike: all but the nonce, which is each
-// stream's own.
+/// Serialized responses that many streams are sent alike: everything but the nonce, which each
+/// stream numbers for itself.
 class ResponseCache {
 public:
+    /// The entry for a key; null until the caller fills it.
     std::shared_ptr<const std::string>& at(const std::string& key);
 
 private:
-    std::map<std::string, std::shared_ptr<const std::string>> made_;
+    std::map<std::string, std::shared_ptr<const std::string>> responses_;
 };
 
 class AdsServer {
@@ -38,101 +49,166 @@
     using Request = envoy::service::discovery::v3::DiscoveryRequest;
     using Response = envoy::service::discovery::v3::DiscoveryResponse;
 
-    // `origin` names this governor's life in versions: a number of a former life never looks newer.
-    AdsServer(std::string origin, std::size_t messages_most = 1024);
+    static constexpr std::size_t kMaxPendingUpdates = 1024;
 
+    /// `origin` names the incarnation of the control plane in versions, so that a number of an
+    /// earlier incarnation never looks newer. At most `max_pending_updates` updates that were not
+    /// acknowledged are kept.
+    explicit AdsServer(std::string origin, std::size_t max_pending_updates = kMaxPendingUpdates);
+
+    /// A response that the proxy refused (NACK). The proxy keeps what it had.
     struct Rejection {
-        Type type;
-        std::string version, why;
-        std::vector<std::string> names;
+        Type type = Type::Cluster;
+        std::string version;
+        /// The proxy's reason.
+        std::string reason;
+        std::vector<std::string> resource_names;
+    };
+
+    /// An update of which the proxy acknowledged everything.
+    struct AcknowledgedUpdate {
+        std::uint64_t update_number = 0;
+        /// The acknowledgement that the policy asked for with this update, if any.
+        std::optional<ConfigVersion> requested_ack;
+        Micros decided_at{};
     };
 
-    struct Applied {
-        std::uint64_t order = 0;
-        std::optional<ConfigVersion> mark;
-        Micros ordered{};
+    /// Why a request was ignored; the stream goes on.
+    enum class IgnoreReason { UnknownType, UnknownNonce };
+
+    struct IgnoredRequest {
+        IgnoreReason reason = IgnoreReason::UnknownType;
+        /// What was wrong, for the log.
+        std::string text;
     };
 
-    struct Outcome {
-        std::vector<Applied> applied;
+    struct RequestResult {
+        std::vector<AcknowledgedUpdate> acknowledged;
         std::optional<Rejection> rejected;
-        // The request was left aside, and why (a stale nonce, a type that we do not serve); the
-        // stream goes on.
-        std::string ignored;
-        // The request breaks the protocol: the stream is to be ended with this text.
-        std::string wrong;
+        std::optional<IgnoredRequest> ignored;
     };
 
-    Outcome on_request(const Request& request);
-    // The channel released this message: its changes may be sent.
-    void give(Micros now, const Message& message);
-    // What is to be written now, in order; each is handed out once.
+    /// Handles a subscription, an ACK or a NACK.
+    RequestResult on_request(const Request& request);
+
+    /// The send queue released this message: its changes may be sent.
+    void release(Micros now, const ProxyMessage& message);
+
+    /// Responses that are to be written now, in order. Each is returned once.
     std::vector<Response> take_responses();
 
-    // The same as bytes: what is common comes from the cache.
-    struct Encoded {
-        std::shared_ptr<const std::string> common;
+    /// A serialized response: the bytes of `shared`, then those of `own`.
+    struct EncodedResponse {
+        std::shared_ptr<const std::string> shared;
         std::string own;
     };
 
-    std::vector<Encoded> take_encoded(ResponseCache& cache);
+    /// The same as `take_responses`, serialized; bytes that streams share come from the cache.
+    std::vector<EncodedResponse> take_encoded(ResponseCache& cache);
 
-    // Orders given and not yet proven applied.
-    std::size_t pending() const { return pending_.size(); }
+    /// Updates that were released and not acknowledged yet.
+    std::size_t unacknowledged_updates() const { return pending_updates_.size(); }
 
 private:
-    struct Item {
+    /// One resource on this stream. Versions are update numbers; 0 is none.
+    struct ResourceState {
         ResourcePtr wanted;
-        std::uint64_t sent = 0, acked = 0;
-        bool retiring = false;  // removed, but routes may still name it
-        bool refused = false;   // what was sent last was rejected
+        std::uint64_t sent_version = 0;
+        std::uint64_t acked_version = 0;
+        /// Removed, but routes of the proxy may still name it.
+        bool retiring = false;
+        /// The version that was sent last was rejected.
+        bool rejected = false;
     };
 
-    struct Flight {
-        std::string nonce, version;
-        std::vector<std::pair<std::string, std::uint64_t>> items;
+    struct InFlightResponse {
+        std::string nonce;
+        std::string version;
+        /// Names and versions of the resources in it.
+        std::vector<std::pair<std::string, std::uint64_t>> resources;
         bool answered = false;
     };
 
-    struct Lane {
-        bool asked = false, wildcard = false, dirty = false, refused = false, again = false;
+    /// What the proxy subscribed to of one type.
+    struct SubscriptionState {
+        /// A first request of this type came.
+        bool requested = false;
+        bool wildcard = false;
+        /// Of a type that is always sent completely: something changed since the last response.
+        bool send_due = false;
+        /// Something was rejected since the last released message.
+        bool has_rejected = false;
+        /// What was rejected is to be sent again.
+        bool retry_rejected = false;
         std::set<std::string> names;
-        std::map<std::string, Item> items;
-        std::deque<Flight> flights;
+        std::map<std::string, ResourceState> resources;
+        std::deque<InFlightResponse> in_flight;
     };
 
-    struct Pending {
-        Applied what;
-        std::vector<std::tuple<Type, std::string, std::uint64_t>> items;
+    struct ResourceVersion {
+        Type type = Type::Cluster;
+        std::string name;
+        std::uint64_t version = 0;
     };
 
-    static bool whole_state(Type type) { return type == Type::Cluster || type == Type::Listener; }
-
-    Lane& lane(Type type) { return lanes_[index(type)]; }
-
-    void subscribe(Type type, Lane& lane, const Request& request);
-    void answer(Type type, Lane& lane, const Request& request, Outcome& out);
-    void acknowledged(Type type, Lane& lane, const Flight& flight);
+    /// A released update, and what must be acknowledged before it counts as applied.
+    struct PendingUpdate {
+        AcknowledgedUpdate update;
+        std::vector<ResourceVersion> required;
+    };
 
-    // A response before it is put into bytes.
-    struct Draft {
+    /// A response before it is serialized.
+    struct ResponseDraft {
         Type type = Type::Cluster;
         std::vector<ResourcePtr> resources;
-        std::string version, nonce, orders;
+        std::string version;
+        std::string nonce;
+        std::string release_text;
     };
 
-    std::optional<Draft> next(Type type, Lane& lane, bool refused);
-    std::vector<Draft> drafts();
-    static Response to_response(const Draft& draft);
+    enum class Selection { Changed, Rejected };
+
+    /// Whether each response of a type carries all its resources (in the state-of-the-world
+    /// protocol a missing cluster or listener is a removed one).
+    static constexpr bool is_sent_completely(Type type) {
+        return type == Type::Cluster || type == Type::Listener;
+    }
+
+    SubscriptionState& subscription(Type type) { return subscriptions_[index(type)]; }
+
+    const SubscriptionState& subscription(Type type) const { return subscriptions_[index(type)]; }
+
+    static void start_over(Type type, SubscriptionState& state);
+    static void update_subscription(Type type, SubscriptionState& state, const Request& request);
+    void handle_answer(Type type, InFlightResponse& response, const Request& request,
+                       RequestResult& result);
+    static Rejection reject(Type type, SubscriptionState& state, const InFlightResponse& response,
+                            const std::string& reason);
+    void acknowledge(Type type, SubscriptionState& state, const InFlightResponse& response);
+    void remove_retired_clusters();
+    std::vector<AcknowledgedUpdate> take_acknowledged_updates();
+    bool is_acknowledged(const ResourceVersion& required) const;
+
+    PendingUpdate apply_changes(const ProxyMessage& message);
+    void schedule_rejected_again();
+    void limit_pending_updates();
+
+    std::vector<ResponseDraft> take_drafts();
+    std::optional<ResponseDraft> next_draft(Type type, Selection selection);
+    static void select_resources(Type type, SubscriptionState& state, Selection selection,
+                                 ResponseDraft& draft, InFlightResponse& response);
     bool may_send(Type type) const;
-    std::vector<Applied> proven();
+    static Response to_response(const ResponseDraft& draft);
 
     std::string origin_;
-    std::size_t messages_most_;
-    std::array<Lane, 4> lanes_;
-    std::deque<Pending> pending_;
-    std::vector<ReleasedOrder> unannounced_;  // given, not yet named in a response
-    std::uint64_t nonces_ = 0, given_ = 0;
+    std::size_t max_pending_updates_;
+    std::array<SubscriptionState, kTypes.size()> subscriptions_;
+    std::deque<PendingUpdate> pending_updates_;
+    /// Released, and not yet named in a response.
+    std::vector<ReleasedUpdate> unannounced_;
+    std::uint64_t last_nonce_ = 0;
+    /// The newest update number that a response named.
+    std::uint64_t announced_update_ = 0;
 };
 
 }  // namespace badgergrade::xds
--- a/src/xds/load_report.cpp
+++ b/src/xds/load_report.cpp
@@ -2,6 +2,7 @@
 
 #include <google/protobuf/util/time_util.h>
 
+#include <algorithm>
 #include <cmath>
 
 #include "xds/resource_names.h"
@@ -9,125 +10,145 @@
 namespace badgergrade::xds {
 
 using google::protobuf::util::TimeUtil;
+namespace endpoint_v3 = envoy::config::endpoint::v3;
+namespace load_stats_v3 = envoy::service::load_stats::v3;
 
 namespace {
-constexpr std::uint64_t kMost = 1000000000;  // counts in one report beyond this are nonsense
-constexpr std::int64_t kLongestSpan = 3600LL * 1000000;
+/// No proxy sends this many requests within one report; a higher count is a fault of the sender.
+constexpr std::uint64_t kMaxCount = 1000000000;
+constexpr std::int64_t kMaxIntervalUs = 3600LL * 1000000;
+/// The highest valid TCP port.
+constexpr std::uint32_t kMaxPort = 65535;
+/// All servers are reported under this cluster name: a server is identified by its address.
+constexpr const char* kServersCluster = "servers";
 }  // namespace
 
-EndpointSums& EndpointSums::operator+=(const EndpointSums& o) {
-    tries += o.tries;
-    errored += o.errored;
-    succeeded += o.succeeded;
-    answer_us += o.answer_us;
-    for (const auto& [name, value] : o.load) {
-        load[name] = value;
+EndpointLoad& EndpointLoad::operator+=(const EndpointLoad& other) {
+    attempts += other.attempts;
+    failures += other.failures;
+    successes += other.successes;
+    total_latency_us += other.total_latency_us;
+    for (const auto& [name, value] : other.load_metrics) {
+        load_metrics[name] = value;
     }
     return *this;
 }
 
-envoy::service::load_stats::v3::LoadStatsRequest to_message(const LoadReport& report) {
-    envoy::service::load_stats::v3::LoadStatsRequest out;
-    const auto span = TimeUtil::MicrosecondsToDuration(report.span.count());
+namespace {
+void write_endpoint(const net::Address& address, const EndpointLoad& load,
+                    endpoint_v3::UpstreamEndpointStats& out) {
+    auto* socket = out.mutable_address()->mutable_socket_address();
+    socket->set_address(address.host);
+    socket->set_port_value(address.port);
+    out.set_total_issued_requests(static_cast<std::uint64_t>(load.attempts));
+    out.set_total_error_requests(static_cast<std::uint64_t>(load.failures));
+    out.set_total_successful_requests(static_cast<std::uint64_t>(load.successes));
+    auto* latency = out.add_load_metric_stats();
+    latency->set_metric_name(std::string(kLatencyMetric));
+    latency->set_num_requests_finished_with_metric(static_cast<std::uint64_t>(load.successes));
+    latency->set_total_metric_value(load.total_latency_us);
+    for (const auto& [name, value] : load.load_metrics) {
+        auto* metric = out.add_load_metric_stats();
+        metric->set_metric_name(name);
+        metric->set_num_requests_finished_with_metric(1);
+        metric->set_total_metric_value(value);
+    }
+}
+}  // namespace
+
+load_stats_v3::LoadStatsRequest to_message(const LoadReport& report) {
+    load_stats_v3::LoadStatsRequest out;
+    const auto interval = TimeUtil::MicrosecondsToDuration(report.interval.count());
     if (!report.endpoints.empty()) {
         auto* cluster = out.add_cluster_stats();
-        cluster->set_cluster_name("servers");
-        *cluster->mutable_load_report_interval() = span;
+        cluster->set_cluster_name(kServersCluster);
+        *cluster->mutable_load_report_interval() = interval;
         auto* locality = cluster->add_upstream_locality_stats();
-        for (const auto& [address, sums] : report.endpoints) {
-            auto* endpoint = locality->add_upstream_endpoint_stats();
-            auto* socket = endpoint->mutable_address()->mutable_socket_address();
-            socket->set_address(address.host);
-            socket->set_port_value(address.port);
-            endpoint->set_total_issued_requests(static_cast<std::uint64_t>(sums.tries));
-            endpoint->set_total_error_requests(static_cast<std::uint64_t>(sums.errored));
-            endpoint->set_total_successful_requests(static_cast<std::uint64_t>(sums.succeeded));
-            auto* time = endpoint->add_load_metric_stats();
-            time->set_metric_name(std::string(kAnswerTime));
-            time->set_num_requests_finished_with_metric(static_cast<std::uint64_t>(sums.succeeded));
-            time->set_total_metric_value(sums.answer_us);
-            for (const auto& [name, value] : sums.load) {
-                auto* metric = endpoint->add_load_metric_stats();
-                metric->set_metric_name(name);
-                metric->set_num_requests_finished_with_metric(1);
-                metric->set_total_metric_value(value);
-            }
+        for (const auto& [address, load] : report.endpoints) {
+            write_endpoint(address, load, *locality->add_upstream_endpoint_stats());
         }
     }
-    for (const auto& [name, sums] : report.operations) {
+    for (const auto& [name, demand] : report.operations) {
         auto* cluster = out.add_cluster_stats();
         cluster->set_cluster_name(std::string(kOperationPrefix) + name);
-        *cluster->mutable_load_report_interval() = span;
+        *cluster->mutable_load_report_interval() = interval;
         auto* locality = cluster->add_upstream_locality_stats();
-        locality->set_total_issued_requests(static_cast<std::uint64_t>(sums.count));
-        locality->set_total_error_requests(static_cast<std::uint64_t>(sums.errored));
+        locality->set_total_issued_requests(static_cast<std::uint64_t>(demand.requests));
+        locality->set_total_error_requests(static_cast<std::uint64_t>(demand.failures));
     }
     return out;
 }
 
 namespace {
-bool plausible(std::uint64_t count) {
-    return count <= kMost;
+bool in_range(std::uint64_t count) {
+    return count <= kMaxCount;
 }
 
-void read_endpoint(const envoy::config::endpoint::v3::UpstreamEndpointStats& from, LoadReport& out,
-                   std::vector<std::string>& refused) {
+RejectedLoad count_out_of_range(const std::string& whose) {
+    return {LoadReportError::CountOutOfRange, "sums for '" + whose + "' are out of range"};
+}
+
+void read_endpoint(const endpoint_v3::UpstreamEndpointStats& from, ParsedLoadReport& out) {
     const auto& socket = from.address().socket_address();
     const net::Address address{socket.address(), static_cast<std::uint16_t>(socket.port_value())};
-    if (socket.port_value() == 0 || socket.port_value() > 65535 ||
-        !plausible(from.total_issued_requests()) || !plausible(from.total_error_requests()) ||
-        !plausible(from.total_successful_requests())) {
-        refused.push_back("sums for '" + socket.address() + ":" +
-                          std::to_string(socket.port_value()) + "' are out of range");
+    if (socket.port_value() == 0 || socket.port_value() > kMaxPort ||
+        !in_range(from.total_issued_requests()) || !in_range(from.total_error_requests()) ||
+        !in_range(from.total_successful_requests())) {
+        out.rejected.push_back(
+            count_out_of_range(socket.address() + ":" + std::to_string(socket.port_value())));
         return;
     }
-    EndpointSums sums;
-    sums.tries = static_cast<std::int64_t>(from.total_issued_requests());
-    sums.errored = static_cast<std::int64_t>(from.total_error_requests());
-    sums.succeeded = static_cast<std::int64_t>(from.total_successful_requests());
-    // Clients of other makers may count issued ones only as they end.
-    sums.tries = std::max(sums.tries, sums.errored + sums.succeeded);
+    EndpointLoad load;
+    load.attempts = static_cast<std::int64_t>(from.total_issued_requests());
+    load.failures = static_cast<std::int64_t>(from.total_error_requests());
+    load.successes = static_cast<std::int64_t>(from.total_successful_requests());
+    // Other implementations may count issued requests only when they end.
+    load.attempts = std::max(load.attempts, load.failures + load.successes);
     for (const auto& metric : from.load_metric_stats()) {
         if (!std::isfinite(metric.total_metric_value())) {
             continue;
         }
-        if (metric.metric_name() == kAnswerTime) {
-            sums.answer_us += std::max(0.0, metric.total_metric_value());
+        if (metric.metric_name() == kLatencyMetric) {
+            load.total_latency_us += std::max(0.0, metric.total_metric_value());
         } else if (metric.num_requests_finished_with_metric() > 0) {
-            sums.load[metric.metric_name()] =
+            load.load_metrics[metric.metric_name()] =
                 metric.total_metric_value() /
                 static_cast<double>(metric.num_requests_finished_with_metric());
         }
     }
-    out.endpoints[address] += sums;
+    out.report.endpoints[address] += load;
+}
+
+void read_operation(const std::string& cluster_name,
+                    const endpoint_v3::UpstreamLocalityStats& locality, ParsedLoadReport& out) {
+    if (!in_range(locality.total_issued_requests()) || !in_range(locality.total_error_requests())) {
+        out.rejected.push_back(count_out_of_range(cluster_name));
+        return;
+    }
+    OperationDemand& demand = out.report.operations[cluster_name.substr(kOperationPrefix.size())];
+    demand.requests += static_cast<std::int64_t>(locality.total_issued_requests());
+    demand.failures += static_cast<std::int64_t>(locality.total_error_requests());
 }
 }  // namespace
 
-LoadReport read_report(const envoy::service::load_stats::v3::LoadStatsRequest& message,
-                       std::vector<std::string>& refused) {
-    LoadReport out;
+ParsedLoadReport parse_load_report(const load_stats_v3::LoadStatsRequest& message) {
+    ParsedLoadReport out;
     for (const auto& cluster : message.cluster_stats()) {
-        const auto span = TimeUtil::DurationToMicroseconds(cluster.load_report_interval());
-        if (span < 0 || span > kLongestSpan) {
-            refused.push_back("a report over " + std::to_string(span) + " us");
+        const auto interval_us = TimeUtil::DurationToMicroseconds(cluster.load_report_interval());
+        if (interval_us < 0 || interval_us > kMaxIntervalUs) {
+            out.rejected.push_back({LoadReportError::IntervalOutOfRange,
+                                    "a report over " + std::to_string(interval_us) + " us"});
             continue;
         }
-        out.span = std::max(out.span, Micros(span));
-        const bool operation = cluster.cluster_name().rfind(kOperationPrefix, 0) == 0;
+        out.report.interval = std::max(out.report.interval, Micros(interval_us));
+        const bool is_operation = cluster.cluster_name().rfind(kOperationPrefix, 0) == 0;
         for (const auto& locality : cluster.upstream_locality_stats()) {
-            if (operation) {
-                if (!plausible(locality.total_issued_requests()) ||
-                    !plausible(locality.total_error_requests())) {
-                    refused.push_back("sums for '" + cluster.cluster_name() + "' are out of range");
-                    continue;
-                }
-                auto& sums = out.operations[cluster.cluster_name().substr(kOperationPrefix.size())];
-                sums.count += static_cast<std::int64_t>(locality.total_issued_requests());
-                sums.errored += static_cast<std::int64_t>(locality.total_error_requests());
-            } else {
-                for (const auto& endpoint : locality.upstream_endpoint_stats()) {
-                    read_endpoint(endpoint, out, refused);
-                }
+            if (is_operation) {
+                read_operation(cluster.cluster_name(), locality, out);
+                continue;
+            }
+            for (const auto& endpoint : locality.upstream_endpoint_stats()) {
+                read_endpoint(endpoint, out);
             }
         }
     }
--- a/src/xds/load_report.h
+++ b/src/xds/load_report.h
@@ -1,7 +1,9 @@
-// What a forwarder met and was asked for, as LRS carries it: one side builds reports, the other
-// reads them.
+/// @file
+/// Load reports of proxies as the load reporting service (LRS) carries them: proxies build them,
+/// the control plane reads them. No I/O.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
@@ -12,26 +14,58 @@
 
 namespace badgergrade::xds {
 
-struct EndpointSums {
-    std::int64_t tries = 0, errored = 0, succeeded = 0;
-    double answer_us = 0;                // sum over the succeeded ones
-    std::map<std::string, double> load;  // last load report in an answer, by column
-    EndpointSums& operator+=(const EndpointSums& o);
+/// What one proxy saw of one server during a report interval.
+struct EndpointLoad {
+    /// Requests sent, including repeated ones.
+    std::int64_t attempts = 0;
+    /// Attempts that ended with an error or a timeout.
+    std::int64_t failures = 0;
+    /// Attempts that ended with a good response.
+    std::int64_t successes = 0;
+    /// Summed latency of the successes, in microseconds.
+    double total_latency_us = 0;
+    /// The newest value of each load metric that the server attached to its responses, by name.
+    std::map<std::string, double> load_metrics;
+
+    /// Adds the counts; of each load metric the right-hand value stands, as the newer one.
+    EndpointLoad& operator+=(const EndpointLoad& other);
 };
 
-struct OperationSums {
-    std::int64_t count = 0, errored = 0;
+/// Demand of one operation at one proxy during a report interval, counted once for each request of
+/// a client.
+struct OperationDemand {
+    std::int64_t requests = 0;
+    std::int64_t failures = 0;
 };
 
+/// One report of one proxy.
 struct LoadReport {
-    Micros span{};
-    std::map<net::Address, EndpointSums> endpoints;
-    std::map<std::string, OperationSums> operations;
+    Micros interval{};
+    std::map<net::Address, EndpointLoad> endpoints;
+    /// By name of the operation.
+    std::map<std::string, OperationDemand> operations;
+};
+
+/// Why a part of a report was left out.
+enum class LoadReportError { IntervalOutOfRange, CountOutOfRange };
+
+/// A part of a report that was left out.
+struct RejectedLoad {
+    LoadReportError error = LoadReportError::CountOutOfRange;
+    /// What was wrong, for the log.
+    std::string text;
+};
+
+/// The usable part of a report, and what was left out of it.
+struct ParsedLoadReport {
+    LoadReport report;
+    std::vector<RejectedLoad> rejected;
 };
 
 envoy::service::load_stats::v3::LoadStatsRequest to_message(const LoadReport& report);
-// Counts below zero or out of any range are left out and told in `refused`.
-LoadReport read_report(const envoy::service::load_stats::v3::LoadStatsRequest& message,
-                       std::vector<std::string>& refused);
+
+/// Reads a report. Counts and intervals that are out of range are left out, so that one faulty
+/// proxy can't distort the sums of all.
+ParsedLoadReport parse_load_report(const envoy::service::load_stats::v3::LoadStatsRequest& message);
 
 }  // namespace badgergrade::xds
--- a/src/xds/release_text.cpp
+++ b/src/xds/release_text.cpp
@@ -5,32 +5,35 @@
 
 namespace badgergrade::xds {
 
-std::string to_text(const std::string& origin, const std::vector<ReleasedOrder>& orders) {
-    std::string out = origin;
-    for (const ReleasedOrder& one : orders) {
-        out += " " + std::to_string(one.order) + "@" + std::to_string(one.ordered.count()) + "-" +
-               std::to_string(one.released.count()) + "+" +
-               std::to_string(static_cast<std::int64_t>(one.lines));
+std::string to_release_text(const std::string& origin, const std::vector<ReleasedUpdate>& updates) {
+    std::string text = origin;
+    for (const ReleasedUpdate& update : updates) {
+        text += " " + std::to_string(update.update_number) + "@" +
+                std::to_string(update.decided_at.count()) + "-" +
+                std::to_string(update.released_at.count()) + "+" +
+                std::to_string(static_cast<std::int64_t>(update.lines));
     }
-    return out;
+    return text;
 }
 
-OrdersText read_orders(const std::string& text) {
-    OrdersText out;
+ReleaseText parse_release_text(const std::string& text) {
+    ReleaseText parsed;
     std::istringstream words(text);
-    words >> out.origin;
+    words >> parsed.origin;
     for (std::string word; words >> word;) {
-        long long order = 0;
-        long long ordered = 0;
-        long long released = 0;
+        long long update_number = 0;
+        long long decided_us = 0;
+        long long released_us = 0;
         long long lines = 0;
-        if (std::sscanf(word.c_str(), "%lld@%lld-%lld+%lld", &order, &ordered, &released, &lines) ==
-            4) {
-            out.orders.push_back({static_cast<std::uint64_t>(order), Micros(ordered),
-                                  Micros(released), static_cast<double>(lines)});
+        constexpr int kFields = 4;
+        const int fields = std::sscanf(word.c_str(), "%lld@%lld-%lld+%lld", &update_number,
+                                       &decided_us, &released_us, &lines);
+        if (fields == kFields) {
+            parsed.updates.push_back({static_cast<std::uint64_t>(update_number), Micros(decided_us),
+                                      Micros(released_us), static_cast<double>(lines)});
         }
     }
-    return out;
+    return parsed;
 }
 
 }  // namespace badgergrade::xds
--- a/src/xds/release_text.h
+++ b/src/xds/release_text.h
@@ -1,7 +1,11 @@
-// How a response names the orders that it is the first to carry, in its control plane's identifier:
-//   ORIGIN ORDER@ORDERED-LEFT+LINES ...
-// Times are microseconds of the governor's clock. Whoever audits the channel can tell from here
-// what was waiting.
+/// @file
+/// How a discovery response names the configuration updates that it is the first to carry. The
+/// text stands in `control_plane.identifier` of the response:
+///
+///   ORIGIN UPDATE@DECIDED-RELEASED+LINES ...
+///
+/// Times are microseconds of the control plane's clock. From this text the pacing of the send queue
+/// can be audited from outside: how many lines were queued at any moment, and for how long.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +16,28 @@
 
 namespace badgergrade::xds {
 
-struct ReleasedOrder {
-    std::uint64_t order = 0;
-    Micros ordered{}, released{};
+/// One configuration update that was released to a proxy's stream.
+struct ReleasedUpdate {
+    std::uint64_t update_number = 0;
+    /// When the policy decided on it.
+    Micros decided_at{};
+    /// When it left the send queue.
+    Micros released_at{};
+    /// Its size as the send queue counts it.
     double lines = 0;
 };
 
-struct OrdersText {
+/// The parsed text of one response.
+struct ReleaseText {
+    /// Which incarnation of which control plane instance sent the response.
     std::string origin;
-    std::vector<ReleasedOrder> orders;
+    std::vector<ReleasedUpdate> updates;
 };
 
-std::string to_text(const std::string& origin, const std::vector<ReleasedOrder>& orders);
-// Words that are no order are passed over.
-OrdersText read_orders(const std::string& text);
+/// Writes the text; fractions of a line are cut off.
+std::string to_release_text(const std::string& origin, const std::vector<ReleasedUpdate>& updates);
+
+/// Reads the text. Words that do not name an update are skipped, so this never fails.
+ReleaseText parse_release_text(const std::string& text);
 
 }  // namespace badgergrade::xds
--- a/src/xds/resource_names.h
+++ b/src/xds/resource_names.h
@@ -1,4 +1,6 @@
-// The published names of types, methods and of our resources.
+/// @file
+/// Names on the wire: the published type URLs and method paths of xDS, and the names of the
+/// resources that this control plane serves.
 #pragma once
 
 #include <array>
@@ -10,25 +12,29 @@
 
 namespace badgergrade::xds {
 
-// In the order in which they are laid before bound (make before break).
+/// Resource types, in the order in which they are sent: what a resource refers to comes before it
+/// (make before break).
 enum class Type { Cluster = 0, Endpoints = 1, Listener = 2, Routes = 3 };
 constexpr std::array<Type, 4> kTypes{Type::Cluster, Type::Endpoints, Type::Listener, Type::Routes};
 
+/// Position of a type in arrays with one entry for each type.
 constexpr std::size_t index(Type type) {
     return static_cast<std::size_t>(type);
 }
 
-constexpr std::array<std::string_view, 4> kTypeUrls{
+/// Type URLs, by `index()`.
+constexpr std::array<std::string_view, kTypes.size()> kTypeUrls{
     "type.googleapis.com/envoy.config.cluster.v3.Cluster",
     "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
     "type.googleapis.com/envoy.config.listener.v3.Listener",
     "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
 };
 
-constexpr std::string_view url(Type type) {
+constexpr std::string_view type_url(Type type) {
     return kTypeUrls[index(type)];
 }
 
+/// The type with this URL; nothing if it is not served.
 inline std::optional<Type> type_of(std::string_view url) {
     for (const Type type : kTypes) {
         if (kTypeUrls[index(type)] == url) {
@@ -38,29 +44,37 @@
     return std::nullopt;
 }
 
+/// Path of the aggregated discovery stream (ADS).
 constexpr std::string_view kAdsMethod =
     "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources";
+/// Path of the load reporting stream (LRS).
 constexpr std::string_view kLrsMethod =
     "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
 
-// A table's cluster; the one listener, its routes, and the assignment that carries withdrawals for
-// tables that are not ours (the start-up table).
+/// The cluster of a table, and the endpoint assignment of that cluster.
 inline std::string cluster_name(TableId table) {
     return "table-" + std::to_string(table.value);
 }
 
+/// The only listener.
 constexpr std::string_view kListener = "invocations";
+/// The only route configuration.
 constexpr std::string_view kRoutes = "operations";
+/// The endpoint assignment that lists ejected servers. It also holds for the start-up table of a
+/// proxy, which the control plane does not serve.
 constexpr std::string_view kStartup = "startup";
 
+/// Path of requests for an operation.
 inline std::string path_of(std::string_view operation) {
     return "/invoke/" + std::string(operation);
 }
 
-// Weights travel as whole numbers: this many to 1.
+/// Weights are sent as whole numbers: a weight of 1 is sent as this.
 constexpr double kWeightScale = 10000;
-// What an operation's sums are reported under, beside the clusters.
+/// In load reports, demand for an operation is reported as a cluster with this prefix.
 constexpr std::string_view kOperationPrefix = "operation/";
-constexpr std::string_view kAnswerTime = "answer_us";
+/// In load reports, the metric that holds the summed latency of successful requests in
+/// microseconds.
+constexpr std::string_view kLatencyMetric = "answer_us";
 
 }  // namespace badgergrade::xds
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -17,177 +17,216 @@
 namespace badgergrade::xds {
 
 namespace core = envoy::config::core::v3;
+namespace route_v3 = envoy::config::route::v3;
 using google::protobuf::util::TimeUtil;
 
 namespace {
 
 constexpr std::uint32_t kMillion = 1000000;
+constexpr double kMicrosPerSecond = 1e6;
+constexpr std::uint32_t kTooManyRequests = 429;
+constexpr const char* kRateLimitFilter = "envoy.filters.http.local_ratelimit";
+constexpr const char* kRouterFilter = "envoy.filters.http.router";
+/// Weights above this are cut off, so that the sum of a locality fits into 32 bits.
+constexpr double kMaxScaledWeight = 4e9 / 1000;
+/// A lower rate is raised to this: a token bucket must fill at some time.
+constexpr double kMinRatePerSecond = 0.001;
 
-void by_ads(core::ConfigSource* source) {
+void set_source_to_ads(core::ConfigSource* source) {
     source->mutable_ads();
     source->set_resource_api_version(core::V3);
 }
 
-// Bytes that are the same for the same content: maps in messages are sorted.
-std::string stable_bytes(const google::protobuf::Message& message) {
+/// Serializes so that equal content gives equal bytes: the entries of maps are sorted.
+std::string serialize_deterministically(const google::protobuf::Message& message) {
     std::string out;
-    google::protobuf::io::StringOutputStream to(&out);
-    google::protobuf::io::CodedOutputStream coded(&to);
+    google::protobuf::io::StringOutputStream stream(&out);
+    google::protobuf::io::CodedOutputStream coded(&stream);
     coded.SetSerializationDeterministic(true);
     message.SerializeToCodedStream(&coded);
     coded.Trim();
     return out;
 }
 
-std::string retry_on(RetryMode again) {
-    // "connect-failure" and "refused-stream" prove that nothing ran; the others may follow a run.
-    return again == RetryMode::OnlyUnprocessed ? "connect-failure,refused-stream"
-                                               : "connect-failure,refused-stream,reset,5xx";
+/// "connect-failure" and "refused-stream" prove that the server did not process the request; after
+/// the others it may have.
+std::string retry_conditions(RetryMode mode) {
+    return mode == RetryMode::OnlyUnprocessed ? "connect-failure,refused-stream"
+                                              : "connect-failure,refused-stream,reset,5xx";
 }
 
 }  // namespace
 
-SnapshotCache::SnapshotCache(const Settings& told, const std::vector<std::string>& zones,
-                             Micros eject_time)
-    : operations_(told.operations),
-      zones_(zones),
-      pick_(told.pick_policy),
-      admit_(told.admission_mode),
-      try_factor_(told.attempt_timeout_factor),
-      ejects_after_(told.proxy_ejection_failures),
-      eject_time_(eject_time),
-      book_(told) {}
-
-void SnapshotCache::place(ServerId server, ServerPlace place) {
-    places_[server] = std::move(place);
+SnapshotCache::SnapshotCache(const Settings& settings, Micros ejection_time)
+    : operations_(settings.operations),
+      pick_policy_(settings.pick_policy),
+      admission_mode_(settings.admission_mode),
+      attempt_timeout_factor_(settings.attempt_timeout_factor),
+      ejection_failures_(settings.proxy_ejection_failures),
+      ejection_time_(ejection_time),
+      config_(settings) {}
+
+void SnapshotCache::set_server_location(ServerId server, ServerLocation location) {
+    server_locations_[server] = std::move(location);
 }
 
-const ServerPlace* SnapshotCache::place_of(ServerId server) const {
-    const auto it = places_.find(server);
-    return it == places_.end() ? nullptr : &it->second;
+const ServerLocation* SnapshotCache::server_location(ServerId server) const {
+    const auto it = server_locations_.find(server);
+    return it == server_locations_.end() ? nullptr : &it->second;
 }
 
-void SnapshotCache::joined(ProxyId proxy) {
-    proxies_[proxy] = {};
-    book_.joined(proxy);
+void SnapshotCache::on_proxy_connected(ProxyId proxy) {
+    sent_[proxy] = {};
+    config_.joined(proxy);
 }
 
-void SnapshotCache::left(ProxyId proxy) {
-    proxies_.erase(proxy);
-    book_.left(proxy);
+void SnapshotCache::on_proxy_disconnected(ProxyId proxy) {
+    sent_.erase(proxy);
+    config_.left(proxy);
 }
 
-std::vector<Message> SnapshotCache::order(Micros now, std::vector<Command> actions,
-                                          std::vector<std::string>& refused) {
-    ++orders_;
-    made_.clear();
-    const auto known = [&](ServerId server, const char* what) {
-        if (places_.contains(server)) {
-            return true;
+// ---- updates
+
+SnapshotCache::Update SnapshotCache::apply(Micros now, std::vector<Command> commands) {
+    ++update_number_;
+    current_resources_.clear();
+    Update update;
+    remove_unknown_servers(commands, update.rejected);
+    std::vector<std::string> rejected_by_state;
+    const auto proxy_updates = config_.take(commands, rejected_by_state);
+    for (std::string& text : rejected_by_state) {
+        update.rejected.push_back({CommandError::UnknownProxy, std::move(text)});
+    }
+    for (const runtime::ProxyUpdate& proxy_update : proxy_updates) {
+        ProxyMessage message;
+        message.proxy = proxy_update.proxy;
+        message.update_number = update_number_;
+        message.decided_at = now;
+        message.requested_ack = proxy_update.mark;
+        message.lines = proxy_update.lines;
+        message.changes = changes_for(proxy_update);
+        update.messages.push_back(std::move(message));
+    }
+    return update;
+}
+
+/// A command that names a server without a location can't be put into a resource: there is no
+/// address for it.
+void SnapshotCache::remove_unknown_servers(std::vector<Command>& commands,
+                                           std::vector<RejectedCommand>& rejected) const {
+    const auto is_unknown = [&](ServerId server, const char* command) {
+        if (server_locations_.contains(server)) {
+            return false;
         }
-        refused.push_back(std::string(what) + " server " + std::to_string(server.value) +
-                          ", which no list named");
-        return false;
+        rejected.push_back({CommandError::UnknownServer, std::string(command) + " server " +
+                                                             std::to_string(server.value) +
+                                                             ", which no list named"});
+        return true;
     };
-    std::erase_if(actions, [&](const Command& action) {
-        if (const auto* line = std::get_if<command::SetWeight>(&action)) {
-            return !known(line->server, "a line for");
+    std::erase_if(commands, [&](const Command& any) {
+        if (const auto* set_weight = std::get_if<command::SetWeight>(&any)) {
+            return is_unknown(set_weight->server, "a line for");
         }
-        const auto* withdraw = std::get_if<command::SetEjected>(&action);
-        return withdraw && !known(withdraw->server, "a withdrawal of");
+        const auto* set_ejected = std::get_if<command::SetEjected>(&any);
+        return set_ejected && is_unknown(set_ejected->server, "a withdrawal of");
     });
-    std::vector<Message> out;
-    for (const runtime::ProxyUpdate& order : book_.take(actions, refused)) {
-        Message message;
-        message.proxy = order.proxy;
-        message.order = orders_;
-        message.ordered = now;
-        message.mark = order.mark;
-        message.lines = order.lines;
-        message.changes = changes_for(order);
-        out.push_back(std::move(message));
+}
+
+std::set<TableId> SnapshotCache::assigned_tables(ProxyId proxy) const {
+    std::set<TableId> tables;
+    for (const auto& [operations, table] : config_.held_by(proxy)) {
+        tables.insert(table);
     }
-    return out;
+    return tables;
 }
 
-// Tables whose lines an order changes, also by what it shuts out or lets back.
-std::set<TableId> SnapshotCache::assignments_of(const runtime::ProxyUpdate& order) const {
-    std::set<TableId> out;
-    for (const auto& part : order.parts) {
+/// Tables whose assignment differs after the update: by their lines, or because a server in them
+/// was ejected or readmitted.
+std::set<TableId> SnapshotCache::changed_tables(const runtime::ProxyUpdate& update) const {
+    std::set<TableId> changed;
+    for (const auto& part : update.parts) {
         if (part->whole || !part->lines.empty()) {
-            out.insert(part->table);
+            changed.insert(part->table);
         }
     }
-    for (const auto* servers : {&order.out, &order.back}) {
+    const std::set<TableId> assigned = assigned_tables(update.proxy);
+    for (const auto* servers : {&update.out, &update.back}) {
         for (const ServerId server : *servers) {
-            for (const auto& [ops, table] : book_.held_by(order.proxy)) {
-                if (book_.lines(table).contains(server)) {
-                    out.insert(table);
+            for (const TableId table : assigned) {
+                if (config_.lines(table).contains(server)) {
+                    changed.insert(table);
                 }
             }
         }
     }
-    return out;
+    return changed;
 }
 
-std::vector<Change> SnapshotCache::changes_for(const runtime::ProxyUpdate& order) {
-    Held& held = proxies_.at(order.proxy);
-    const auto& bound = book_.held_by(order.proxy);
-    const std::set<TableId> assignments = assignments_of(order);
-    std::vector<Change> out;
-    const auto put = [&](ResourcePtr resource) {
-        out.push_back({resource->type, resource->name, resource});
+std::vector<ResourceChange> SnapshotCache::changes_for(const runtime::ProxyUpdate& update) {
+    SentState& sent = sent_.at(update.proxy);
+    std::set<TableId> assigned = assigned_tables(update.proxy);
+    const std::set<TableId> changed = changed_tables(update);
+    std::vector<ResourceChange> changes;
+    const auto add = [&](const ResourcePtr& resource) {
+        changes.push_back({resource->type, resource->name, resource});
     };
-    std::set<TableId> now;
-    for (const auto& [ops, table] : bound) {
-        now.insert(table);
-    }
-    for (const TableId table : now) {
-        if (!held.laid.contains(table)) {
-            put(cluster(table));
+    for (const TableId table : assigned) {
+        if (!sent.tables.contains(table)) {
+            add(cluster(table));
         }
     }
-    for (const TableId table : now) {
-        if (assignments.contains(table) || !held.laid.contains(table)) {
-            put(assignment(table));
+    for (const TableId table : assigned) {
+        if (changed.contains(table) || !sent.tables.contains(table)) {
+            add(assignment(table));
         }
     }
-    if (!order.out.empty() || !order.back.empty()) {
-        put(startup());
+    if (!update.out.empty() || !update.back.empty()) {
+        add(ejected_servers());
     }
-    if (!bound.empty()) {
-        if (!std::exchange(held.listener, true)) {
-            put(listener());
-        }
-        if (std::string key = routes_key(order.proxy); key != held.routes) {
-            put(routes(order.proxy));
-            held.routes = std::move(key);
-        }
+    if (!assigned.empty()) {
+        add_listener_and_routes(update.proxy, sent, changes);
     }
-    for (const TableId table : held.laid) {
-        if (!now.contains(table)) {
-            out.push_back({Type::Cluster, cluster_name(table), nullptr});
+    for (const TableId table : sent.tables) {
+        if (!assigned.contains(table)) {
+            changes.push_back({Type::Cluster, cluster_name(table), nullptr});
         }
     }
-    held.laid = std::move(now);
-    return out;
+    sent.tables = std::move(assigned);
+    return changes;
 }
 
-ResourcePtr SnapshotCache::keep(Type type, std::string name, std::string bytes) {
+void SnapshotCache::add_listener_and_routes(ProxyId proxy, SentState& sent,
+                                            std::vector<ResourceChange>& changes) {
+    if (!std::exchange(sent.listener, true)) {
+        const ResourcePtr resource = listener();
+        changes.push_back({resource->type, resource->name, resource});
+    }
+    std::string key = routes_key(proxy);
+    if (key == sent.routes) {
+        return;
+    }
+    const ResourcePtr resource = routes(proxy);
+    changes.push_back({resource->type, resource->name, resource});
+    sent.routes = std::move(key);
+}
+
+// ---- resources
+
+ResourcePtr SnapshotCache::make_resource(Type type, std::string name, std::string bytes) const {
     return std::make_shared<const Resource>(
-        Resource{type, std::move(name), orders_, std::move(bytes)});
+        Resource{type, std::move(name), update_number_, std::move(bytes)});
 }
 
 ResourcePtr SnapshotCache::cluster(TableId table) {
-    ResourcePtr& known = clusters_[table];
-    if (known) {
-        return known;
+    ResourcePtr& cached = clusters_[table];
+    if (cached) {
+        return cached;
     }
     envoy::config::cluster::v3::Cluster out;
     out.set_name(cluster_name(table));
     out.set_type(envoy::config::cluster::v3::Cluster::EDS);
-    by_ads(out.mutable_eds_cluster_config()->mutable_eds_config());
-    switch (pick_) {
+    set_source_to_ads(out.mutable_eds_cluster_config()->mutable_eds_config());
+    switch (pick_policy_) {
         case PickPolicy::WeightedRandom:
             out.set_lb_policy(envoy::config::cluster::v3::Cluster::RANDOM);
             break;
@@ -199,67 +238,72 @@
             out.mutable_least_request_lb_config()->mutable_choice_count()->set_value(2);
             break;
     }
-    if (ejects_after_ > 0) {
+    if (ejection_failures_ > 0) {
         auto* outlier = out.mutable_outlier_detection();
-        outlier->mutable_consecutive_5xx()->set_value(static_cast<std::uint32_t>(ejects_after_));
+        outlier->mutable_consecutive_5xx()->set_value(
+            static_cast<std::uint32_t>(ejection_failures_));
         *outlier->mutable_base_ejection_time() =
-            TimeUtil::MicrosecondsToDuration(eject_time_.count());
+            TimeUtil::MicrosecondsToDuration(ejection_time_.count());
     }
     out.mutable_lrs_server()->mutable_self();
-    return known = keep(Type::Cluster, out.name(), stable_bytes(out));
+    cached = make_resource(Type::Cluster, out.name(), serialize_deterministically(out));
+    return cached;
 }
 
 namespace {
-void add_endpoint(envoy::config::endpoint::v3::ClusterLoadAssignment& out, const ServerPlace& place,
-                  double weight, bool draining) {
+void add_endpoint(envoy::config::endpoint::v3::ClusterLoadAssignment& out,
+                  const ServerLocation& location, double weight, bool draining) {
     auto* group = out.mutable_endpoints();
     envoy::config::endpoint::v3::LocalityLbEndpoints* locality = nullptr;
     for (auto& known : *group) {
-        if (known.locality().zone() == place.zone) {
+        if (known.locality().zone() == location.zone) {
             locality = &known;
         }
     }
     if (!locality) {
         locality = out.add_endpoints();
-        locality->mutable_locality()->set_zone(place.zone);
+        locality->mutable_locality()->set_zone(location.zone);
     }
     auto* endpoint = locality->add_lb_endpoints();
     auto* socket = endpoint->mutable_endpoint()->mutable_address()->mutable_socket_address();
-    socket->set_address(place.address.host);
-    socket->set_port_value(place.address.port);
-    const auto scaled =
-        static_cast<std::uint32_t>(std::clamp(std::round(weight * kWeightScale), 1.0, 4e9 / 1000));
-    endpoint->mutable_load_balancing_weight()->set_value(scaled);
+    socket->set_address(location.address.host);
+    socket->set_port_value(location.address.port);
+    const auto scaled_weight = static_cast<std::uint32_t>(
+        std::clamp(std::round(weight * kWeightScale), 1.0, kMaxScaledWeight));
+    endpoint->mutable_load_balancing_weight()->set_value(scaled_weight);
     locality->mutable_load_balancing_weight()->set_value(locality->load_balancing_weight().value() +
-                                                         scaled);
+                                                         scaled_weight);
     endpoint->set_health_status(draining ? core::DRAINING : core::HEALTHY);
 }
 }  // namespace
 
 ResourcePtr SnapshotCache::assignment(TableId table) {
-    ResourcePtr& made = made_[cluster_name(table)];
-    if (made) {
-        return made;
+    ResourcePtr& cached = current_resources_[cluster_name(table)];
+    if (cached) {
+        return cached;
     }
     envoy::config::endpoint::v3::ClusterLoadAssignment out;
     out.set_cluster_name(cluster_name(table));
-    for (const auto& [server, weight] : book_.lines(table)) {
-        add_endpoint(out, places_.at(server), weight, book_.withdrawn().contains(server));
+    for (const auto& [server, weight] : config_.lines(table)) {
+        const bool ejected = config_.withdrawn().contains(server);
+        add_endpoint(out, server_locations_.at(server), weight, ejected);
     }
-    return made = keep(Type::Endpoints, out.cluster_name(), stable_bytes(out));
+    cached = make_resource(Type::Endpoints, out.cluster_name(), serialize_deterministically(out));
+    return cached;
 }
 
-ResourcePtr SnapshotCache::startup() {
-    ResourcePtr& made = made_[std::string(kStartup)];
-    if (made) {
-        return made;
+ResourcePtr SnapshotCache::ejected_servers() {
+    ResourcePtr& cached = current_resources_[std::string(kStartup)];
+    if (cached) {
+        return cached;
     }
     envoy::config::endpoint::v3::ClusterLoadAssignment out;
     out.set_cluster_name(std::string(kStartup));
-    for (const ServerId server : book_.withdrawn()) {
-        add_endpoint(out, places_.at(server), 0, true);
+    for (const ServerId server : config_.withdrawn()) {
+        add_endpoint(out, server_locations_.at(server), 0, true);
     }
-    return made = keep(Type::Endpoints, out.cluster_name(), stable_bytes(out));
+    cached = make_resource(Type::Endpoints, out.cluster_name(), serialize_deterministically(out));
+    return cached;
 }
 
 ResourcePtr SnapshotCache::listener() {
@@ -269,109 +313,135 @@
     namespace hcm = envoy::extensions::filters::network::http_connection_manager::v3;
     hcm::HttpConnectionManager manager;
     manager.set_stat_prefix(std::string(kListener));
-    by_ads(manager.mutable_rds()->mutable_config_source());
+    set_source_to_ads(manager.mutable_rds()->mutable_config_source());
     manager.mutable_rds()->set_route_config_name(std::string(kRoutes));
-    if (admit_ == AdmissionMode::Rate) {
-        auto* limit = manager.add_http_filters();
-        limit->set_name("envoy.filters.http.local_ratelimit");
-        envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit none;
-        none.set_stat_prefix("operations");
-        limit->mutable_typed_config()->PackFrom(none);
+    if (admission_mode_ == AdmissionMode::Rate) {
+        // The filter without a limit of its own: each route brings its token bucket.
+        envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit unlimited;
+        unlimited.set_stat_prefix("operations");
+        auto* filter = manager.add_http_filters();
+        filter->set_name(kRateLimitFilter);
+        filter->mutable_typed_config()->PackFrom(unlimited);
     }
     auto* router = manager.add_http_filters();
-    router->set_name("envoy.filters.http.router");
+    router->set_name(kRouterFilter);
     router->mutable_typed_config()->PackFrom(
         envoy::extensions::filters::http::router::v3::Router());
     envoy::config::listener::v3::Listener out;
     out.set_name(std::string(kListener));
     out.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
-    return listener_ = keep(Type::Listener, out.name(), stable_bytes(out));
+    listener_ = make_resource(Type::Listener, out.name(), serialize_deterministically(out));
+    return listener_;
 }
 
+/// Proxies with equal keys have equal routes.
 std::string SnapshotCache::routes_key(ProxyId proxy) const {
     std::string key;
     for (std::size_t k = 0; k < operations_.size(); ++k) {
-        for (const auto& [ops, table] : book_.held_by(proxy)) {
-            if (!runtime::names_op(ops, {static_cast<int>(k)})) {
+        const OperationId operation{static_cast<int>(k)};
+        for (const auto& [operations, table] : config_.held_by(proxy)) {
+            if (!runtime::names_op(operations, operation)) {
                 continue;
             }
-            const auto [let_in, again] = book_.level(table, {static_cast<int>(k)});
-            key += std::to_string(table.value) + ":" + std::to_string(let_in) + ":" +
-                   std::to_string(static_cast<int>(again)) + ";";
+            const auto [admission_limit, retry_mode] = config_.level(table, operation);
+            key += std::to_string(table.value) + ":" + std::to_string(admission_limit) + ":" +
+                   std::to_string(static_cast<int>(retry_mode)) + ";";
         }
     }
     return key;
 }
 
+namespace {
+/// The protocol rule on retries: where a repeat has an effect of its own, a request that may have
+/// been processed is never sent again, whatever the policy decided.
+RetryMode safe_retry_mode(const Operation& operation, RetryMode decided) {
+    return operation.effect == Effect::SideEffecting ? std::min(decided, RetryMode::OnlyUnprocessed)
+                                                     : decided;
+}
+
+void set_retry_policy(route_v3::RouteAction& action, const Operation& operation, RetryMode decided,
+                      double attempt_timeout_factor) {
+    const RetryMode mode = safe_retry_mode(operation, decided);
+    if (mode == RetryMode::Never) {
+        return;
+    }
+    auto* retry = action.mutable_retry_policy();
+    retry->set_retry_on(retry_conditions(mode));
+    retry->mutable_num_retries()->set_value(mode == RetryMode::Twice ? 2 : 1);
+    if (mode == RetryMode::OnlyUnprocessed) {
+        return;
+    }
+    const double attempt_timeout_us =
+        static_cast<double>(operation.latency_objective.count()) * attempt_timeout_factor;
+    *retry->mutable_per_try_timeout() =
+        TimeUtil::MicrosecondsToDuration(static_cast<std::int64_t>(attempt_timeout_us));
+}
+
+/// A token bucket that gets one token at a time, so that a rate below one request a second still
+/// admits single requests.
+void set_rate_limit(route_v3::Route& route, const Operation& operation, double rate_per_second) {
+    envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit limit;
+    limit.set_stat_prefix(operation.name);
+    auto* bucket = limit.mutable_token_bucket();
+    const double fill_interval_us =
+        std::round(kMicrosPerSecond / std::max(kMinRatePerSecond, rate_per_second));
+    bucket->set_max_tokens(static_cast<std::uint32_t>(std::max(1.0, std::ceil(rate_per_second))));
+    bucket->mutable_tokens_per_fill()->set_value(1);
+    *bucket->mutable_fill_interval() =
+        TimeUtil::MicrosecondsToDuration(static_cast<std::int64_t>(fill_interval_us));
+    (*route.mutable_typed_per_filter_config())[kRateLimitFilter].PackFrom(limit);
+}
+
+/// Admits this fraction of the requests; a second route behind it answers the rest.
+void set_admitted_fraction(route_v3::VirtualHost& host, route_v3::Route& route,
+                           const Operation& operation, double fraction) {
+    auto* admitted = route.mutable_match()->mutable_runtime_fraction()->mutable_default_value();
+    admitted->set_numerator(
+        static_cast<std::uint32_t>(std::lround(std::max(0.0, fraction) * kMillion)));
+    admitted->set_denominator(envoy::type::v3::FractionalPercent::MILLION);
+    auto* rest = host.add_routes();
+    rest->set_name(operation.name + "/rate-limited");
+    rest->mutable_match()->set_path(path_of(operation.name));
+    rest->mutable_direct_response()->set_status(kTooManyRequests);
+}
+}  // namespace
+
 ResourcePtr SnapshotCache::routes(ProxyId proxy) {
-    ResourcePtr& made = made_["routes " + routes_key(proxy)];
-    if (made) {
-        return made;
+    ResourcePtr& cached = current_resources_["routes " + routes_key(proxy)];
+    if (cached) {
+        return cached;
     }
-    namespace limit = envoy::extensions::filters::http::local_ratelimit::v3;
-    envoy::config::route::v3::RouteConfiguration out;
+    route_v3::RouteConfiguration out;
     out.set_name(std::string(kRoutes));
     auto* host = out.add_virtual_hosts();
     host->set_name(std::string(kRoutes));
     host->add_domains("*");
     for (std::size_t k = 0; k < operations_.size(); ++k) {
-        for (const auto& [ops, table] : book_.held_by(proxy)) {
-            if (!runtime::names_op(ops, {static_cast<int>(k)})) {
+        const OperationId id{static_cast<int>(k)};
+        const Operation& operation = operations_[k];
+        for (const auto& [operations, table] : config_.held_by(proxy)) {
+            if (!runtime::names_op(operations, id)) {
                 continue;
             }
-            const Operation& op = operations_[k];
-            const auto [let_in, again] = book_.level(table, {static_cast<int>(k)});
+            const auto [admission_limit, retry_mode] = config_.level(table, id);
             auto* route = host->add_routes();
-            route->set_name(op.name);
-            route->mutable_match()->set_path(path_of(op.name));
-            auto* to = route->mutable_route();
-            to->set_cluster(cluster_name(table));
-            *to->mutable_timeout() =
-                TimeUtil::MicrosecondsToDuration(op.integration_timeout.count());
-            // Rule 2: whatever was ordered, what may have run is not sent again where a repeat has
-            // an effect.
-            const RetryMode safe = op.effect == Effect::SideEffecting
-                                       ? std::min(again, RetryMode::OnlyUnprocessed)
-                                       : again;
-            if (safe != RetryMode::Never) {
-                auto* retry = to->mutable_retry_policy();
-                retry->set_retry_on(retry_on(safe));
-                retry->mutable_num_retries()->set_value(safe == RetryMode::Twice ? 2 : 1);
-                if (safe != RetryMode::OnlyUnprocessed) {
-                    *retry->mutable_per_try_timeout() =
-                        TimeUtil::MicrosecondsToDuration(static_cast<std::int64_t>(
-                            static_cast<double>(op.latency_objective.count()) * try_factor_));
-                }
-            }
-            if (admit_ == AdmissionMode::Rate && let_in < runtime::kAnyRate) {
-                limit::LocalRateLimit bucket;
-                bucket.set_stat_prefix(op.name);
-                // Filled ten times a second, so that a rate under one a second still lets single
-                // ones in.
-                auto* tokens = bucket.mutable_token_bucket();
-                const auto fill_us =
-                    static_cast<std::int64_t>(std::round(1e6 / std::max(0.001, let_in)));
-                tokens->set_max_tokens(
-                    static_cast<std::uint32_t>(std::max(1.0, std::ceil(let_in))));
-                tokens->mutable_tokens_per_fill()->set_value(1);
-                *tokens->mutable_fill_interval() = TimeUtil::MicrosecondsToDuration(fill_us);
-                (*route->mutable_typed_per_filter_config())["envoy.filters.http.local_ratelimit"]
-                    .PackFrom(bucket);
+            route->set_name(operation.name);
+            route->mutable_match()->set_path(path_of(operation.name));
+            auto* action = route->mutable_route();
+            action->set_cluster(cluster_name(table));
+            *action->mutable_timeout() =
+                TimeUtil::MicrosecondsToDuration(operation.integration_timeout.count());
+            set_retry_policy(*action, operation, retry_mode, attempt_timeout_factor_);
+            if (admission_mode_ == AdmissionMode::Rate && admission_limit < runtime::kAnyRate) {
+                set_rate_limit(*route, operation, admission_limit);
             }
-            if (admit_ == AdmissionMode::Fraction && let_in < 1) {
-                auto* part =
-                    route->mutable_match()->mutable_runtime_fraction()->mutable_default_value();
-                part->set_numerator(
-                    static_cast<std::uint32_t>(std::lround(std::max(0.0, let_in) * kMillion)));
-                part->set_denominator(envoy::type::v3::FractionalPercent::MILLION);
-                auto* rest = host->add_routes();
-                rest->set_name(op.name + "/rate-limited");
-                rest->mutable_match()->set_path(path_of(op.name));
-                rest->mutable_direct_response()->set_status(429);
+            if (admission_mode_ == AdmissionMode::Fraction && admission_limit < 1) {
+                set_admitted_fraction(*host, *route, operation, admission_limit);
             }
         }
     }
-    return made = keep(Type::Routes, out.name(), stable_bytes(out));
+    cached = make_resource(Type::Routes, out.name(), serialize_deterministically(out));
+    return cached;
 }
 
 }  // namespace badgergrade::xds
--- a/src/xds/snapshot_cache.h
+++ b/src/xds/snapshot_cache.h
@@ -1,10 +1,12 @@
-// What a governor has ordered, put into xDS resources, and the message that each order is for each
-// forwarder. No socket and no decision in here.
+/// @file
+/// The configuration that the policy decided on, as xDS resources, and the message that each
+/// decision is for each connected proxy. No I/O, and no decision is made here.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -18,88 +20,125 @@
 
 namespace badgergrade::xds {
 
-// One version of one resource: immutable, shared by all streams that carry it.
+/// One version of one resource: immutable, shared by all streams that carry it.
 struct Resource {
-    Type type;
+    Type type = Type::Cluster;
     std::string name;
-    std::uint64_t version = 0;  // the order that made it
-    std::string bytes;          // the message, without its Any
+    /// The number of the update that made it.
+    std::uint64_t version = 0;
+    /// The serialized message, without the `Any` around it.
+    std::string bytes;
 };
 
 using ResourcePtr = std::shared_ptr<const Resource>;
 
-struct Change {
-    Type type;
+/// A resource that an update adds, replaces or removes.
+struct ResourceChange {
+    Type type = Type::Cluster;
     std::string name;
-    ResourcePtr resource;  // null: removed
+    /// Null: removed.
+    ResourcePtr resource;
 };
 
-// What one order is for one forwarder: it leaves the channel whole.
-struct Message {
+/// What one update is for one proxy. It leaves the send queue as a whole.
+struct ProxyMessage {
     ProxyId proxy;
-    std::uint64_t order = 0;
-    Micros ordered{};
-    double lines = 0;  // as the channel counts: head, mark and changed lines
-    std::optional<ConfigVersion> mark;
-    std::vector<Change> changes;
+    /// Updates of one control plane instance are numbered from 1.
+    std::uint64_t update_number = 0;
+    Micros decided_at{};
+    /// Size as the send queue counts it: message head, acknowledgement request and changed lines.
+    double lines = 0;
+    /// The acknowledgement that the policy asked for, if any.
+    std::optional<ConfigVersion> requested_ack;
+    std::vector<ResourceChange> changes;
 };
 
-struct ServerPlace {
+/// Where a server is reached.
+struct ServerLocation {
     net::Address address;
     std::string zone;
 };
 
+/// Why a command of the policy could not be carried out.
+enum class CommandError { UnknownServer, UnknownProxy };
+
+/// A command that was left out.
+struct RejectedCommand {
+    CommandError error = CommandError::UnknownServer;
+    /// Which command, and what it named, for the log.
+    std::string text;
+};
+
 class SnapshotCache {
 public:
-    SnapshotCache(const Settings& told, const std::vector<std::string>& zones, Micros eject_time);
+    /// `ejection_time` is how long a proxy itself ejects a server that fails.
+    SnapshotCache(const Settings& settings, Micros ejection_time);
+
+    /// Sets where a server is reached; commands may name it from then on.
+    void set_server_location(ServerId server, ServerLocation location);
 
-    // Where a server is reached; an order may name it from then on.
-    void place(ServerId server, ServerPlace place);
-    const ServerPlace* place_of(ServerId server) const;
+    /// Null for a server without a location.
+    const ServerLocation* server_location(ServerId server) const;
 
-    void joined(ProxyId proxy);
-    void left(ProxyId proxy);
+    /// A stream of this proxy opened: it was sent nothing yet, and no table is assigned to it.
+    void on_proxy_connected(ProxyId proxy);
+
+    /// Its stream ended.
+    void on_proxy_disconnected(ProxyId proxy);
+
+    /// What one decision is for the proxies, and which of its commands were left out.
+    struct Update {
+        /// One for each connected proxy concerned, by ascending id.
+        std::vector<ProxyMessage> messages;
+        std::vector<RejectedCommand> rejected;
+    };
 
-    // Carries out the table orders among `actions` (lines, clears, bindings, withdrawals, levels,
-    // mark) and gives a message for each joined proxy concerned, in the order of their ids. Orders
-    // that name what is not known are left out and told in `refused`.
-    std::vector<Message> order(Micros now, std::vector<Command> actions,
-                               std::vector<std::string>& refused);
+    /// Carries out the commands of one decision that change the configuration: weights, cleared
+    /// tables, assignments of tables, ejections, admission limits and acknowledgement requests.
+    Update apply(Micros now, std::vector<Command> commands);
 
-    std::uint64_t orders() const { return orders_; }
+    /// The number of the newest update; 0 before the first.
+    std::uint64_t update_number() const { return update_number_; }
 
 private:
-    // What a proxy was given on its stream.
-    struct Held {
-        std::set<TableId> laid;  // tables whose cluster this proxy has been given
+    /// What a proxy was sent on its stream.
+    struct SentState {
+        /// Tables whose cluster was sent.
+        std::set<TableId> tables;
         bool listener = false;
-        std::string routes;  // what its routes were made from
+        /// What its routes were made from; see `routes_key`.
+        std::string routes;
     };
 
-    std::vector<Change> changes_for(const runtime::ProxyUpdate& order);
-    std::set<TableId> assignments_of(const runtime::ProxyUpdate& order) const;
+    void remove_unknown_servers(std::vector<Command>& commands,
+                                std::vector<RejectedCommand>& rejected) const;
+    std::vector<ResourceChange> changes_for(const runtime::ProxyUpdate& update);
+    std::set<TableId> assigned_tables(ProxyId proxy) const;
+    std::set<TableId> changed_tables(const runtime::ProxyUpdate& update) const;
+    void add_listener_and_routes(ProxyId proxy, SentState& sent,
+                                 std::vector<ResourceChange>& changes);
 
     ResourcePtr cluster(TableId table);
     ResourcePtr assignment(TableId table);
-    ResourcePtr startup();
+    ResourcePtr ejected_servers();
     ResourcePtr listener();
     ResourcePtr routes(ProxyId proxy);
     std::string routes_key(ProxyId proxy) const;
-    ResourcePtr keep(Type type, std::string name, std::string bytes);
+    ResourcePtr make_resource(Type type, std::string name, std::string bytes) const;
 
     std::vector<Operation> operations_;
-    std::vector<std::string> zones_;
-    PickPolicy pick_;
-    AdmissionMode admit_;
-    double try_factor_;
-    int ejects_after_;
-    Micros eject_time_;
-    std::map<ServerId, ServerPlace> places_;
-    runtime::ConfigState book_;
-    std::map<ProxyId, Held> proxies_;
-    std::uint64_t orders_ = 0;
-    // Resources made in this order, so that many proxies share one.
-    std::map<std::string, ResourcePtr> made_;
+    PickPolicy pick_policy_;
+    AdmissionMode admission_mode_;
+    /// Timeout of one attempt, as a multiple of the operation's latency objective.
+    double attempt_timeout_factor_;
+    int ejection_failures_;
+    Micros ejection_time_;
+    std::map<ServerId, ServerLocation> server_locations_;
+    runtime::ConfigState config_;
+    std::map<ProxyId, SentState> sent_;
+    std::uint64_t update_number_ = 0;
+    /// Resources made in the current update, so that many proxies share one object.
+    std::map<std::string, ResourcePtr> current_resources_;
     std::map<TableId, ResourcePtr> clusters_;
     ResourcePtr listener_;
 };
--- a/src/xds_server/endpoint_list_validator.cpp
+++ b/src/xds_server/endpoint_list_validator.cpp
@@ -2,35 +2,39 @@
 
 namespace badgergrade::xds_server {
 
-EndpointListValidator::Finding EndpointListValidator::look(const EndpointListHeader& answer) {
-    const bool same_life = have_ && answer.registry == last_.registry;
-    if (same_life && answer.index == last_.index) {
-        return {Verdict::Same, {}};
+EndpointListValidator::Result EndpointListValidator::validate(const EndpointListHeader& answer) {
+    const bool same_incarnation =
+        has_accepted_ && answer.registry_incarnation == accepted_.registry_incarnation;
+    if (same_incarnation && answer.index == accepted_.index) {
+        return {Decision::Unchanged, {}};
     }
-    if (same_life && answer.index < last_.index) {
-        return {Verdict::Refuse, "index " + std::to_string(answer.index) + " is older than " +
-                                     std::to_string(last_.index)};
+    if (same_incarnation && answer.index < accepted_.index) {
+        return {Decision::Reject, "index " + std::to_string(answer.index) + " is older than " +
+                                      std::to_string(accepted_.index)};
     }
-    if (have_ && last_.servers > 0 && answer.servers == 0 && empty_ == config::EmptyList::Refuse) {
-        return {Verdict::Refuse,
-                "it is empty, and the last one named " + std::to_string(last_.servers)};
+    const bool lost_all = has_accepted_ && accepted_.server_count > 0 && answer.server_count == 0;
+    if (lost_all && empty_list_ == config::EmptyList::Refuse) {
+        return {Decision::Reject,
+                "it is empty, and the last one named " + std::to_string(accepted_.server_count)};
     }
-    const bool shrunken =
-        have_ && static_cast<double>(answer.servers) < shrink_ * static_cast<double>(last_.servers);
-    if (shrunken) {
-        const bool told_twice =
-            doubting_ && doubted_.registry == answer.registry && doubted_.servers == answer.servers;
-        doubting_ = !told_twice;
-        doubted_ = answer;
-        if (!told_twice) {
-            return {Verdict::AskAgain, std::to_string(answer.servers) + " servers after " +
-                                           std::to_string(last_.servers) + "; asked a second time"};
+    const double min_kept_servers =
+        min_kept_fraction_ * static_cast<double>(accepted_.server_count);
+    if (has_accepted_ && static_cast<double>(answer.server_count) < min_kept_servers) {
+        const bool confirmed = has_unconfirmed_ &&
+                               unconfirmed_.registry_incarnation == answer.registry_incarnation &&
+                               unconfirmed_.server_count == answer.server_count;
+        has_unconfirmed_ = !confirmed;
+        unconfirmed_ = answer;
+        if (!confirmed) {
+            return {Decision::Confirm, std::to_string(answer.server_count) + " servers after " +
+                                           std::to_string(accepted_.server_count) +
+                                           "; asked a second time"};
         }
     }
-    doubting_ = false;
-    have_ = true;
-    last_ = answer;
-    return {Verdict::Take, {}};
+    has_unconfirmed_ = false;
+    has_accepted_ = true;
+    accepted_ = answer;
+    return {Decision::Accept, {}};
 }
 
 }  // namespace badgergrade::xds_server
