--- a/src/xds_server/endpoint_list_validator.h
+++ b/src/xds_server/endpoint_list_validator.h
@@ -1,10 +1,12 @@
-// Whether an answer of the registry is taken for the list of servers. No I/O.
-//
-// A registry that restarts empty, falls back to an old copy or loses most of its keys must not
-// empty every table. But the rule on drains binds from what is told, so a list is refused only
-// where it can't be true: one that is older than what the same registry gave before, an empty one
-// where the settings refuse that, and, where the settings doubt sudden losses, a much shorter one
-// until a second answer says the same.
+/// @file
+/// Decides whether an answer of the registry is accepted as the new list of servers. No I/O.
+///
+/// A registry that restarts empty, falls back to an old copy or loses most of its keys must not
+/// empty every table. But the rule on draining servers counts from the moment of the registry's
+/// answer, so a list is refused only where it can't be true:
+/// - a list with a lower index than the same incarnation of the registry gave before;
+/// - an empty list after one that was not empty, if the settings refuse that;
+/// - a much shorter list, if the settings say so, until a second answer confirms it.
 #pragma once
 
 #include <cstdint>
@@ -14,34 +16,41 @@
 
 namespace badgergrade::xds_server {
 
+/// What identifies a version of the list.
 struct EndpointListHeader {
-    std::string registry;     // which life of the registry speaks
-    std::uint64_t index = 0;  // grows with each change of the list
-    std::size_t servers = 0;
+    /// Which incarnation of the registry answered.
+    std::string registry_incarnation;
+    /// Grows with each change of the list, within one incarnation.
+    std::uint64_t index = 0;
+    std::size_t server_count = 0;
 };
 
 class EndpointListValidator {
 public:
-    EndpointListValidator(config::EmptyList empty, double shrink_doubted)
-        : empty_(empty),
-          shrink_(shrink_doubted) {}
-
-    enum class Verdict { Take, Same, Refuse, AskAgain };
-
-    struct Finding {
-        Verdict verdict = Verdict::Take;
-        std::string why;
+    /// A list with fewer servers than `min_kept_fraction` of the last one must be confirmed; 0
+    /// accepts any loss.
+    EndpointListValidator(config::EmptyList empty_list, double min_kept_fraction)
+        : empty_list_(empty_list),
+          min_kept_fraction_(min_kept_fraction) {}
+
+    enum class Decision { Accept, Unchanged, Reject, Confirm };
+
+    struct Result {
+        Decision decision = Decision::Accept;
+        /// Why a list is rejected or must be confirmed; else empty.
+        std::string reason;
     };
 
-    Finding look(const EndpointListHeader& answer);
+    /// Decides on an answer, and remembers it if it is accepted.
+    Result validate(const EndpointListHeader& answer);
 
 private:
-    config::EmptyList empty_;
-    double shrink_;
-    bool have_ = false;
-    EndpointListHeader last_;
-    EndpointListHeader doubted_;
-    bool doubting_ = false;
+    config::EmptyList empty_list_;
+    double min_kept_fraction_;
+    bool has_accepted_ = false;
+    EndpointListHeader accepted_;
+    bool has_unconfirmed_ = false;
+    EndpointListHeader unconfirmed_;
 };
 
 }  // namespace badgergrade::xds_server
--- a/src/xds_server/endpoint_watch.cpp
+++ b/src/xds_server/endpoint_watch.cpp
@@ -4,158 +4,188 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 #include <set>
-#include <stdexcept>
 
 namespace badgergrade::xds_server {
 
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Micros kRetryFirst = 250ms, kRetryMost = 5s;
-constexpr std::size_t kServersMost = 65535;
+
+constexpr Micros kFirstRetryDelay = 250ms;
+constexpr Micros kMaxRetryDelay = 5s;
+constexpr int kMaxBackoffDoublings = 5;
+constexpr Micros kIdleConnectionTime = 60s;
+/// Delay until the next poll. A registry that answers at once would otherwise make a busy loop of
+/// the watch.
+constexpr Micros kDelayAfterUpdate = 1ms;
+constexpr Micros kDelayAfterUnchanged = 100ms;
+
+constexpr int kHttpOk = 200;
+constexpr std::size_t kMaxServers = 65535;
+constexpr std::size_t kMaxServerIdBytes = 128;
+constexpr double kMaxWeight = 1e6;
+constexpr double kMaxAgeMs = 1e13;
+constexpr double kMicrosPerMilli = 1000;
+
+ServerState parse_state(const std::string& state, const std::string& server_id) {
+    if (state == "ready") {
+        return ServerState::Ready;
+    }
+    if (state == "draining") {
+        return ServerState::Draining;
+    }
+    throw InvalidServerList("server " + server_id + ": state '" + state + "'");
+}
+
+/// Reads one entry; `ids` holds the ids of the entries before it.
+ListedServer parse_server(const nlohmann::json& json, std::set<std::string>& ids) {
+    ListedServer server;
+    server.id = json.at("id").get<std::string>();
+    if (server.id.empty() || server.id.size() > kMaxServerIdBytes) {
+        throw InvalidServerList("a server's id is 1 to 128 bytes");
+    }
+    if (!ids.insert(server.id).second) {
+        throw InvalidServerList("server " + server.id + " stands twice");
+    }
+    server.zone = json.value("zone", "");
+    server.incarnation = json.value("incarnation", "");
+    server.address = net::parse_address(json.at("address").get<std::string>());
+    server.state = parse_state(json.value("state", "ready"), server.id);
+    server.weight = json.value("weight", 1.0);
+    if (!(server.weight > 0) || !std::isfinite(server.weight) || server.weight > kMaxWeight) {
+        throw InvalidServerList("server " + server.id +
+                                ": a weight is above 0 and at most 1000000");
+    }
+    const double age_ms = json.value("age_ms", 0.0);
+    if (!(age_ms >= 0) || age_ms > kMaxAgeMs) {
+        throw InvalidServerList("server " + server.id + ": age_ms is out of range");
+    }
+    server.age = Micros(static_cast<std::int64_t>(age_ms * kMicrosPerMilli));
+    return server;
+}
+
 }  // namespace
 
-ServerList parse_list(const std::string& text) {
-    ServerList out;
+ServerList parse_server_list(const std::string& text) {
+    ServerList list;
     try {
         const auto json = nlohmann::json::parse(text);
-        out.about.registry = json.at("registry").get<std::string>();
-        out.about.index = json.at("index").get<std::uint64_t>();
+        list.header.registry_incarnation = json.at("registry").get<std::string>();
+        list.header.index = json.at("index").get<std::uint64_t>();
         std::set<std::string> ids;
-        for (const auto& row : json.at("servers")) {
-            ListedServer server;
-            server.id = row.at("id").get<std::string>();
-            if (server.id.empty() || server.id.size() > 128) {
-                throw std::runtime_error("a server's id is 1 to 128 bytes");
-            }
-            if (!ids.insert(server.id).second) {
-                throw std::runtime_error("server " + server.id + " stands twice");
-            }
-            server.zone = row.value("zone", "");
-            server.incarnation = row.value("incarnation", "");
-            server.address = net::parse_address(row.at("address").get<std::string>());
-            const std::string state = row.value("state", "ready");
-            if (state == "draining") {
-                server.state = ServerState::Draining;
-            } else if (state != "ready") {
-                throw std::runtime_error("server " + server.id + ": state '" + state + "'");
-            }
-            server.weight = row.value("weight", 1.0);
-            if (!(server.weight > 0) || !std::isfinite(server.weight) || server.weight > 1e6) {
-                throw std::runtime_error("server " + server.id +
-                                         ": a weight is above 0 and at most 1000000");
-            }
-            const double age = row.value("age_ms", 0.0);
-            if (!(age >= 0) || age > 1e13) {
-                throw std::runtime_error("server " + server.id + ": age_ms is out of range");
-            }
-            server.age = Micros(static_cast<std::int64_t>(age * 1000));
-            out.servers.push_back(std::move(server));
+        for (const auto& entry : json.at("servers")) {
+            list.servers.push_back(parse_server(entry, ids));
         }
-    } catch (const nlohmann::json::exception& wrong) {
-        throw std::runtime_error(std::string("the list can't be read: ") + wrong.what());
-    } catch (const std::invalid_argument& wrong) {
-        throw std::runtime_error(std::string("the list can't be read: ") + wrong.what());
+    } catch (const nlohmann::json::exception& error) {
+        throw InvalidServerList(std::string("the list can't be read: ") + error.what());
+    } catch (const std::invalid_argument& error) {
+        throw InvalidServerList(std::string("the list can't be read: ") + error.what());
     }
-    if (out.servers.size() > kServersMost) {
-        throw std::runtime_error("the list names more than 65535 servers");
+    if (list.servers.size() > kMaxServers) {
+        throw InvalidServerList("the list names more than 65535 servers");
     }
-    out.about.servers = out.servers.size();
-    return out;
+    list.header.server_count = list.servers.size();
+    return list;
 }
 
 EndpointWatch::EndpointWatch(net::Loop& loop, base::ActorId actor, std::string host,
                              const config::GovernorConfig& config)
     : loop_(loop),
-      id_(config.id),
-      wait_(config.registry_wait),
+      instance_id_(config.id),
+      long_poll_wait_(config.registry_wait),
       timeout_(config.registry_timeout),
-      check_(config.empty_list, config.shrink_refused),
+      validator_(config.empty_list, config.shrink_refused),
       pool_(loop, actor, std::move(host), net::parse_address(config.registry_address),
-            config.registry_timeout, 60s),
-      again_(loop.clock(), actor) {}
+            config.registry_timeout, kIdleConnectionTime),
+      poll_timer_(loop.clock(), actor) {}
 
 void EndpointWatch::start() {
-    if (std::exchange(on_, true)) {
+    if (std::exchange(is_watching_, true)) {
         return;
     }
     poll();
 }
 
 void EndpointWatch::stop() {
-    on_ = false;
-    again_.stop();
-    if (now_) {
-        pool_.cancel(std::exchange(now_, 0));
+    is_watching_ = false;
+    poll_timer_.stop();
+    if (request_) {
+        pool_.cancel(std::exchange(request_, 0));
     }
 }
 
 void EndpointWatch::fetch() {
-    whole_ = true;
-    const bool was = on_;
+    fetch_whole_list_ = true;
+    const bool was_watching = is_watching_;
     stop();
-    on_ = was;
+    is_watching_ = was_watching;
     poll();
 }
 
 void EndpointWatch::poll() {
-    again_.stop();
+    poll_timer_.stop();
+    const std::uint64_t known_index = fetch_whole_list_ ? 0 : index_;
+    const auto wait_ms = std::chrono::floor<std::chrono::milliseconds>(long_poll_wait_).count();
     net::HttpMessage request;
     request.method = "GET";
-    const std::uint64_t after = whole_ ? 0 : index_;
-    request.target = "/v1/servers?index=" + std::to_string(after) +
-                     "&wait_ms=" + std::to_string(wait_.count() / 1000);
-    request.headers.emplace_back("x-governor", id_);
-    // A watch that hangs for longer than it said it would is a dead registry.
-    const Micros limit = (after == 0 ? Micros{0} : wait_) + timeout_;
-    now_ = pool_.send(std::move(request), limit, [this](net::HttpOutcome outcome) {
-        now_ = 0;
-        came(std::move(outcome));
-    });
+    request.target =
+        "/v1/servers?index=" + std::to_string(known_index) + "&wait_ms=" + std::to_string(wait_ms);
+    request.headers.emplace_back("x-governor", instance_id_);
+    // A registry that holds a poll for longer than it was asked to is dead: the request ends with a
+    // timeout and is retried.
+    const Micros time_to_answer = known_index == 0 ? Micros{0} : long_poll_wait_;
+    request_ =
+        pool_.send(std::move(request), time_to_answer + timeout_, [this](net::HttpOutcome outcome) {
+            request_ = 0;
+            on_outcome(std::move(outcome));
+        });
 }
 
-void EndpointWatch::later(const std::string& why) {
-    if (on_trouble) {
-        on_trouble(why);
+void EndpointWatch::retry_after_error(const std::string& reason) {
+    if (on_error) {
+        on_error(reason);
     }
-    const auto factor = std::int64_t{1} << std::min(failures_++, 5);
-    again_.after(std::min(kRetryMost, kRetryFirst * factor), [this] { poll(); });
+    const auto factor = std::int64_t{1} << std::min(consecutive_errors_++, kMaxBackoffDoublings);
+    const Micros delay = std::min(kMaxRetryDelay, kFirstRetryDelay * factor);
+    poll_timer_.after(delay, [this] { poll(); });
 }
 
-void EndpointWatch::came(net::HttpOutcome outcome) {
+void EndpointWatch::on_outcome(net::HttpOutcome outcome) {
+    using Decision = EndpointListValidator::Decision;
     if (outcome.how != net::HttpOutcome::How::Answered) {
-        return later("no answer: " + outcome.why);
+        return retry_after_error("no answer: " + outcome.why);
     }
-    if (outcome.response.status != 200) {
-        return later("HTTP status " + std::to_string(outcome.response.status));
+    if (outcome.response.status != kHttpOk) {
+        return retry_after_error("HTTP status " + std::to_string(outcome.response.status));
     }
     ServerList list;
     try {
-        list = parse_list(outcome.response.body);
-    } catch (const std::runtime_error& wrong) {
-        return later(wrong.what());
-    }
-    const auto finding = check_.look(list.about);
-    if (finding.verdict == EndpointListValidator::Verdict::Refuse) {
-        // The refused index is not waited behind: a registry that mends itself is heard at once.
-        return later("list refused: " + finding.why);
-    }
-    if (finding.verdict == EndpointListValidator::Verdict::AskAgain) {
-        whole_ = true;
-        return later("list doubted: " + finding.why);
-    }
-    failures_ = 0;
-    whole_ = false;
-    index_ = list.about.index;
-    if (finding.verdict == EndpointListValidator::Verdict::Take && on_list) {
-        on_list(list);
-    }
-    if (!on_) {
+        list = parse_server_list(outcome.response.body);
+    } catch (const std::runtime_error& error) {
+        return retry_after_error(error.what());
+    }
+    const auto result = validator_.validate(list.header);
+    if (result.decision == Decision::Reject) {
+        // The next poll still names the accepted index, not the rejected one, so that a registry
+        // with a valid list answers at once.
+        return retry_after_error("list refused: " + result.reason);
+    }
+    if (result.decision == Decision::Confirm) {
+        fetch_whole_list_ = true;
+        return retry_after_error("list doubted: " + result.reason);
+    }
+    consecutive_errors_ = 0;
+    fetch_whole_list_ = false;
+    index_ = list.header.index;
+    if (result.decision == Decision::Accept && on_update) {
+        on_update(list);
+    }
+    if (!is_watching_) {
         return;
     }
-    // Answers at once, again and again, would make a busy loop of the watch.
-    again_.after(finding.verdict == EndpointListValidator::Verdict::Same ? 100ms : Micros{1000},
-                 [this] { poll(); });
+    const Micros delay =
+        result.decision == Decision::Unchanged ? kDelayAfterUnchanged : kDelayAfterUpdate;
+    poll_timer_.after(delay, [this] { poll(); });
 }
 
 }  // namespace badgergrade::xds_server
--- a/src/xds_server/endpoint_watch.h
+++ b/src/xds_server/endpoint_watch.h
@@ -1,15 +1,17 @@
-// Follows the list of servers at a registry by long polls over HTTP/1.1.
-//
-//   GET /v1/servers?index=N&wait_ms=W  ->  200 {"registry": "...", "index": M, "servers": [
-//       {"id": "...", "zone": "...", "address": "host:port", "state": "ready" | "draining",
-//        "weight": 1.0, "incarnation": "...", "age_ms": 1234}, ...]}
-//
-// The answer comes when the index is above N, or after W with the same index. `age_ms` is how long
-// ago the server last started; missing or 0 is long ago. `incarnation` changes with each start.
+/// @file
+/// Follows the list of servers at the registry by long polls over HTTP/1.1.
+///
+///   GET /v1/servers?index=N&wait_ms=W  ->  200 {"registry": "...", "index": M, "servers": [
+///       {"id": "...", "zone": "...", "address": "host:port", "state": "ready" | "draining",
+///        "weight": 1.0, "incarnation": "...", "age_ms": 1234}, ...]}
+///
+/// The answer comes when the index is above N, or after W with the same index. `age_ms` is how long
+/// ago the server last started; missing or 0 is long ago. `incarnation` changes with each start.
 #pragma once
 
+#include <cstdint>
 #include <functional>
-#include <memory>
+#include <stdexcept>
 #include <string>
 #include <vector>
 
@@ -20,51 +22,74 @@
 
 namespace badgergrade::xds_server {
 
+/// One server of the registry's list.
 struct ListedServer {
-    std::string id, zone, incarnation;
+    std::string id;
+    std::string zone;
+    /// Changes with each start of the server.
+    std::string incarnation;
     net::Address address;
     ServerState state = ServerState::Ready;
+    /// Capacity relative to the other servers; above 0.
     double weight = 1;
-    Micros age{};  // 0: long ago
+    /// How long ago it started; 0: long ago.
+    Micros age{};
 };
 
 struct ServerList {
-    EndpointListHeader about;
+    EndpointListHeader header;
     std::vector<ListedServer> servers;
 };
 
-// Reads an answer; throws std::runtime_error that says what is wrong with it.
-ServerList parse_list(const std::string& json);
+/// An answer of the registry that can't be used; `what()` says what is wrong with it.
+class InvalidServerList : public std::runtime_error {
+public:
+    using std::runtime_error::runtime_error;
+};
+
+/// Reads an answer of the registry; throws InvalidServerList.
+ServerList parse_server_list(const std::string& json);
 
+/// All callbacks run on the loop's one thread, from a timer or from the end of a request. They may
+/// call any method of this object, but must not destroy it.
 class EndpointWatch {
 public:
     EndpointWatch(net::Loop& loop, base::ActorId actor, std::string host,
                   const config::GovernorConfig& config);
 
-    std::function<void(const ServerList&)> on_list;
-    // An answer was refused or could not be had; the last list stays valid. Retried by itself.
-    std::function<void(const std::string& why)> on_trouble;
+    /// An accepted list that differs from the last one.
+    std::function<void(const ServerList&)> on_update;
+
+    /// An answer did not come, could not be read or was rejected. The last list stays valid, and
+    /// the watch retries with exponential backoff.
+    std::function<void(const std::string& reason)> on_error;
 
     void start();
     void stop();
-    // The whole list once more, at once.
+
+    /// Requests the whole list once more, at once.
     void fetch();
 
 private:
     void poll();
-    void later(const std::string& why);
-    void came(net::HttpOutcome outcome);
+    void retry_after_error(const std::string& reason);
+    void on_outcome(net::HttpOutcome outcome);
 
     net::Loop& loop_;
-    std::string id_;
-    Micros wait_, timeout_;
-    EndpointListValidator check_;
+    std::string instance_id_;
+    Micros long_poll_wait_;
+    Micros timeout_;
+    EndpointListValidator validator_;
     net::HttpPool pool_;
-    base::Timer again_;
+    base::Timer poll_timer_;
+    /// Index of the accepted list.
     std::uint64_t index_ = 0;
-    int failures_ = 0;
-    bool on_ = false, whole_ = true;
-    net::HttpPool::TryId now_ = 0;
+    int consecutive_errors_ = 0;
+    bool is_watching_ = false;
+    /// The next request asks for the whole list, whatever its index.
+    bool fetch_whole_list_ = true;
+    /// The request in flight; 0: none.
+    net::HttpPool::TryId request_ = 0;
 };
 
 }  // namespace badgergrade::xds_server
--- a/src/xds_server/load_report_queue.cpp
+++ b/src/xds_server/load_report_queue.cpp
@@ -5,81 +5,98 @@
 
 namespace badgergrade::xds_server {
 
-LoadReportQueue::LoadReportQueue(const Settings& told)
-    : columns_(told.load_metric_names),
-      per_second_(std::max(1.0, told.max_reports_per_second)),
-      period_(told.report_interval) {
-    for (std::size_t k = 0; k < told.operations.size(); ++k) {
-        operations_[told.operations[k].name] = {static_cast<int>(k)};
+namespace {
+constexpr double kMicrosPerSecond = 1e6;
+}  // namespace
+
+LoadReportQueue::LoadReportQueue(const Settings& settings)
+    : load_metric_names_(settings.load_metric_names),
+      max_events_per_second_(std::max(1.0, settings.max_reports_per_second)),
+      report_interval_(settings.report_interval) {
+    for (std::size_t k = 0; k < settings.operations.size(); ++k) {
+        operations_[settings.operations[k].name] = {static_cast<int>(k)};
     }
 }
 
-void LoadReportQueue::add(Source from, const xds::LoadReport& report,
-                          const std::map<net::Address, ServerId>& servers,
-                          std::vector<std::string>& unknown) {
-    for (const auto& [address, sums] : report.endpoints) {
-        const auto it = servers.find(address);
-        if (it == servers.end()) {
+std::vector<std::string> LoadReportQueue::add(Source source, const xds::LoadReport& report,
+                                              const std::map<net::Address, ServerId>& servers) {
+    std::vector<std::string> unknown;
+    for (const auto& [address, load] : report.endpoints) {
+        const auto server = servers.find(address);
+        if (server == servers.end()) {
             unknown.push_back(net::to_text(address));
-        } else {
-            met_[{from.zone, it->second}] += sums;
+            continue;
         }
+        server_sums_[{source.zone, server->second}] += load;
     }
-    for (const auto& [name, sums] : report.operations) {
-        const auto it = operations_.find(name);
-        if (it == operations_.end()) {
+    for (const auto& [name, demand] : report.operations) {
+        const auto operation = operations_.find(name);
+        if (operation == operations_.end()) {
             unknown.push_back("operation " + name);
             continue;
         }
-        Asked& asked = asked_[{from.proxy, it->second}];
-        asked.count += sums.count;
-        asked.errored += sums.errored;
-        asked.span += report.span;
+        OperationSums& sums = operation_sums_[{source.proxy, operation->second}];
+        sums.requests += demand.requests;
+        sums.failures += demand.failures;
+        sums.interval += report.interval;
     }
+    return unknown;
 }
 
-void LoadReportQueue::close_period(Micros now) {
-    const Micros span = since_ > Micros{0} ? now - since_ : period_;
-    since_ = now;
-    for (const auto& [key, sums] : met_) {
-        if (sums.tries == 0) {
-            continue;
-        }
-        event::ServerLoadReport heard{
-            key.first, key.second, sums.tries, std::min(sums.errored, sums.tries), {}, span, {}};
-        if (sums.succeeded > 0) {
-            heard.mean_latency =
-                Micros(std::llround(sums.answer_us / static_cast<double>(sums.succeeded)));
-        }
-        if (!sums.load.empty()) {
-            for (const auto& column : columns_) {
-                const auto it = sums.load.find(column);
-                heard.load_metrics.push_back(it == sums.load.end() ? 0 : it->second);
-            }
+event::ServerLoadReport LoadReportQueue::to_event(ZoneId zone, ServerId server,
+                                                  const xds::EndpointLoad& load,
+                                                  Micros interval) const {
+    event::ServerLoadReport event{
+        zone, server, load.attempts, std::min(load.failures, load.attempts), {}, interval, {}};
+    if (load.successes > 0) {
+        event.mean_latency =
+            Micros(std::llround(load.total_latency_us / static_cast<double>(load.successes)));
+    }
+    if (load.load_metrics.empty()) {
+        return event;
+    }
+    for (const auto& name : load_metric_names_) {
+        const auto metric = load.load_metrics.find(name);
+        event.load_metrics.push_back(metric == load.load_metrics.end() ? 0 : metric->second);
+    }
+    return event;
+}
+
+void LoadReportQueue::close_interval(Micros now) {
+    const bool is_first = interval_began_ <= Micros{0};
+    const Micros interval = is_first ? report_interval_ : now - interval_began_;
+    interval_began_ = now;
+    for (const auto& [key, load] : server_sums_) {
+        const auto& [zone, server] = key;
+        if (load.attempts > 0) {
+            queue_.emplace_back(to_event(zone, server, load, interval));
         }
-        waiting_.emplace_back(std::move(heard));
     }
-    for (const auto& [key, asked] : asked_) {
-        if (asked.span > Micros{0}) {
-            waiting_.emplace_back(event::ProxyDemandReport{key.first, key.second, asked.count,
-                                                           asked.errored, asked.span});
+    for (const auto& [key, sums] : operation_sums_) {
+        const auto& [proxy, operation] = key;
+        if (sums.interval > Micros{0}) {
+            queue_.emplace_back(event::ProxyDemandReport{proxy, operation, sums.requests,
+                                                         sums.failures, sums.interval});
         }
     }
-    met_.clear();
-    asked_.clear();
+    server_sums_.clear();
+    operation_sums_.clear();
 }
 
-std::vector<Event> LoadReportQueue::take(Micros now) {
-    const double passed = static_cast<double>((now - std::exchange(drained_, now)).count()) / 1e6;
-    // An idle second may be made up for, no more: the intake is a rate, not a budget.
-    allowance_ = std::min(allowance_ + passed * per_second_, per_second_);
-    std::vector<Event> out;
-    while (!waiting_.empty() && allowance_ >= 1) {
-        out.push_back(std::move(waiting_.front()));
-        waiting_.pop_front();
+std::vector<Event> LoadReportQueue::pop(Micros now) {
+    const Micros elapsed = now - std::exchange(last_pop_, now);
+    const double elapsed_seconds = static_cast<double>(elapsed.count()) / kMicrosPerSecond;
+    // At most one second's worth of events is saved up while idle: the limit is a rate, and a burst
+    // after a pause would overrun the policy.
+    allowance_ =
+        std::min(allowance_ + elapsed_seconds * max_events_per_second_, max_events_per_second_);
+    std::vector<Event> events;
+    while (!queue_.empty() && allowance_ >= 1) {
+        events.push_back(std::move(queue_.front()));
+        queue_.pop_front();
         allowance_ -= 1;
     }
-    return out;
+    return events;
 }
 
 }  // namespace badgergrade::xds_server
--- a/src/xds_server/load_report_queue.h
+++ b/src/xds_server/load_report_queue.h
@@ -1,11 +1,17 @@
-// Gathers what forwarders report into one line a zone and server, and one a forwarder and
-// operation, each period, and lets them through to the module no faster than the intake allows, the
-// oldest first. No I/O.
+/// @file
+/// Aggregates the load reports of all proxies over each report interval and passes them to the
+/// policy at a limited rate. No I/O.
+///
+/// At the end of an interval there is one event for each zone and server (attempts, failures and
+/// mean latency) and one for each proxy and operation (demand). They leave in this order, the
+/// oldest first, at most `max_reports_per_second`.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "policy/event.h"
@@ -17,37 +23,49 @@
 
 class LoadReportQueue {
 public:
-    explicit LoadReportQueue(const Settings& told);
+    explicit LoadReportQueue(const Settings& settings);
 
-    // Sums of one forwarder. Servers and operations that are not known are told in `unknown`.
+    /// Which proxy a report comes from.
     struct Source {
         ProxyId proxy;
         ZoneId zone;
     };
 
-    void add(Source from, const xds::LoadReport& report,
-             const std::map<net::Address, ServerId>& servers, std::vector<std::string>& unknown);
-    // The end of a period: what was gathered waits for the intake.
-    void close_period(Micros now);
-    // What may pass by now.
-    std::vector<Event> take(Micros now);
+    /// Adds a report to the current interval. Returns the addresses and operations in it that are
+    /// not known; their counts are left out.
+    std::vector<std::string> add(Source source, const xds::LoadReport& report,
+                                 const std::map<net::Address, ServerId>& servers);
 
-    std::size_t waiting() const { return waiting_.size(); }
+    /// Ends the current interval: its aggregated events are queued.
+    void close_interval(Micros now);
+
+    /// Removes and returns the events that the rate limit admits by now.
+    std::vector<Event> pop(Micros now);
+
+    std::size_t queued_events() const { return queue_.size(); }
 
 private:
-    struct Asked {
-        std::int64_t count = 0, errored = 0;
-        Micros span{};
+    struct OperationSums {
+        std::int64_t requests = 0;
+        std::int64_t failures = 0;
+        /// Summed length of the reports: a proxy may report more than once in an interval.
+        Micros interval{};
     };
 
-    std::vector<std::string> columns_;
+    event::ServerLoadReport to_event(ZoneId zone, ServerId server, const xds::EndpointLoad& load,
+                                     Micros interval) const;
+
+    std::vector<std::string> load_metric_names_;
     std::map<std::string, OperationId> operations_;
-    double per_second_;
-    Micros period_, since_{}, drained_{};
+    double max_events_per_second_;
+    Micros report_interval_;
+    Micros interval_began_{};
+    Micros last_pop_{};
+    /// Events that the rate limit admits at `last_pop_`.
     double allowance_ = 0;
-    std::map<std::pair<ZoneId, ServerId>, xds::EndpointSums> met_;
-    std::map<std::pair<ProxyId, OperationId>, Asked> asked_;
-    std::deque<Event> waiting_;
+    std::map<std::pair<ZoneId, ServerId>, xds::EndpointLoad> server_sums_;
+    std::map<std::pair<ProxyId, OperationId>, OperationSums> operation_sums_;
+    std::deque<Event> queue_;
 };
 
 }  // namespace badgergrade::xds_server
--- /dev/null
+++ b/src/xds_server/load_report_streams.cpp
@@ -0,0 +1,99 @@
+#include "xds_server/load_report_streams.h"
+
+#include <google/protobuf/util/time_util.h>
+
+#include "base/cpu_meter.h"
+#include "envoy/service/load_stats/v3/lrs.pb.h"
+#include "xds/load_report.h"
+
+namespace badgergrade::xds_server {
+
+namespace {
+/// Unknown names are logged once each. This limits the memory for proxies that make up names.
+constexpr std::size_t kMaxLoggedUnknownNames = 1000;
+}  // namespace
+
+struct LoadReportStreams::StreamIdentity {
+    std::string name;
+    bool is_known = false;
+};
+
+LoadReportStreams::LoadReportStreams(log::Logger& log, Micros report_interval,
+                                     const ProxySessions& sessions, const ServerDirectory& servers,
+                                     LoadReportQueue& queue, XdsServerMetrics& metrics)
+    : log_(log),
+      report_interval_(report_interval),
+      sessions_(sessions),
+      servers_(servers),
+      queue_(queue),
+      metrics_(metrics) {}
+
+void LoadReportStreams::accept(const net::GrpcCallPtr& call) {
+    const auto identity = std::make_shared<StreamIdentity>();
+    call->on_message = [this, weak = std::weak_ptr(call), identity](std::string_view bytes) {
+        if (const auto strong = weak.lock()) {
+            on_message(strong, *identity, bytes);
+        }
+    };
+    call->on_half_closed = [weak = std::weak_ptr(call)] {
+        if (const auto strong = weak.lock()) {
+            strong->finish();
+        }
+    };
+}
+
+void LoadReportStreams::on_message(const net::GrpcCallPtr& call, StreamIdentity& identity,
+                                   std::string_view bytes) {
+    const base::CpuMeter meter(metrics_.handler_cpu_us);
+    envoy::service::load_stats::v3::LoadStatsRequest request;
+    if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
+        log_.warn("report.malformed", {{"peer", call->peer()}, {"proxy", identity.name}});
+        call->finish(net::GrpcStatus::InvalidArgument, "the report can't be read");
+        return;
+    }
+    if (!identity.is_known) {
+        if (request.node().id().empty()) {
+            call->finish(net::GrpcStatus::InvalidArgument,
+                         "the first report must carry a node with an id");
+            return;
+        }
+        identity.is_known = true;
+        identity.name = request.node().id();
+        send_instructions(*call);
+    }
+    // A proxy without a discovery stream acts on the tables of another control plane instance: its
+    // report says nothing about the decisions of this one.
+    const ProxySession* session = sessions_.find(identity.name);
+    if (!session) {
+        return;
+    }
+    const xds::ParsedLoadReport parsed = xds::parse_load_report(request);
+    const auto unknown_names =
+        queue_.add({session->proxy, session->zone}, parsed.report, servers_.by_address());
+    for (const auto& rejected : parsed.rejected) {
+        log_.warn("report.refused", {{"proxy", identity.name}, {"why", rejected.text}});
+    }
+    log_unknown_names(unknown_names, identity.name);
+}
+
+void LoadReportStreams::send_instructions(net::GrpcCall& call) const {
+    using google::protobuf::util::TimeUtil;
+    envoy::service::load_stats::v3::LoadStatsResponse response;
+    response.set_send_all_clusters(true);
+    response.set_report_endpoint_granularity(true);
+    *response.mutable_load_reporting_interval() =
+        TimeUtil::MicrosecondsToDuration(report_interval_.count());
+    call.send(response.SerializeAsString());
+}
+
+void LoadReportStreams::log_unknown_names(const std::vector<std::string>& names,
+                                          const std::string& proxy) {
+    for (const auto& name : names) {
+        const bool may_log = logged_unknown_names_.size() < kMaxLoggedUnknownNames;
+        if (may_log && logged_unknown_names_.insert(name).second) {
+            log_.info("report.unknown", {{"proxy", proxy}, {"what", name}});
+        }
+    }
+}
+
+}  // namespace badgergrade::xds_server
--- /dev/null
+++ b/src/xds_server/load_report_streams.h
@@ -0,0 +1,48 @@
+/// @file
+/// The load reporting streams (LRS) of the proxies: tells each proxy what to report and how often,
+/// and adds its reports to the queue for the policy.
+#pragma once
+
+#include <set>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "log/log.h"
+#include "net/grpc.h"
+#include "policy/ids.h"
+#include "xds_server/load_report_queue.h"
+#include "xds_server/metrics.h"
+#include "xds_server/proxy_sessions.h"
+#include "xds_server/server_directory.h"
+
+namespace badgergrade::xds_server {
+
+class LoadReportStreams {
+public:
+    /// The references must outlive this object.
+    LoadReportStreams(log::Logger& log, Micros report_interval, const ProxySessions& sessions,
+                      const ServerDirectory& servers, LoadReportQueue& queue,
+                      XdsServerMetrics& metrics);
+
+    /// Takes over a new load reporting stream.
+    void accept(const net::GrpcCallPtr& call);
+
+private:
+    /// What one stream said about itself so far.
+    struct StreamIdentity;
+
+    void on_message(const net::GrpcCallPtr& call, StreamIdentity& identity, std::string_view bytes);
+    void send_instructions(net::GrpcCall& call) const;
+    void log_unknown_names(const std::vector<std::string>& names, const std::string& proxy);
+
+    log::Logger& log_;
+    Micros report_interval_;
+    const ProxySessions& sessions_;
+    const ServerDirectory& servers_;
+    LoadReportQueue& queue_;
+    XdsServerMetrics& metrics_;
+    std::set<std::string> logged_unknown_names_;
+};
+
+}  // namespace badgergrade::xds_server
--- /dev/null
+++ b/src/xds_server/proxy_sessions.cpp
@@ -0,0 +1,250 @@
+#include "xds_server/proxy_sessions.h"
+
+#include <cmath>
+
+#include "base/cpu_meter.h"
+#include "xds_server/server_directory.h"
+
+namespace badgergrade::xds_server {
+
+namespace {
+
+constexpr std::size_t kMaxProxies = 65535;
+constexpr std::size_t kMaxNodeIdBytes = 128;
+constexpr const char* kReplaced = "a newer stream of this node";
+
+/// The request rate that a proxy announces in its node's metadata; 0 if there is none.
+double announced_rate(const envoy::config::core::v3::Node& node) {
+    const auto& metadata = node.metadata().fields();
+    const auto field = metadata.find("rate");
+    const double rate = field == metadata.end() ? 0 : field->second.number_value();
+    return std::isfinite(rate) && rate > 0 ? rate : 0;
+}
+
+/// Whether the proxy says that it has just started.
+bool has_just_started(const envoy::config::core::v3::Node& node) {
+    const auto& metadata = node.metadata().fields();
+    const auto field = metadata.find("fresh");
+    return field != metadata.end() && field->second.bool_value();
+}
+
+}  // namespace
+
+struct ProxySessions::StreamIdentity {
+    std::string name;
+    /// The first request was accepted.
+    bool is_known = false;
+};
+
+ProxySessions::ProxySessions(base::Clock& clock, log::Logger& log, std::string origin,
+                             const std::vector<std::string>& zones, XdsServerMetrics& metrics)
+    : clock_(clock),
+      log_(log),
+      origin_(std::move(origin)),
+      zones_(zones),
+      metrics_(metrics) {}
+
+void ProxySessions::accept(const net::GrpcCallPtr& call) {
+    const auto identity = std::make_shared<StreamIdentity>();
+    call->on_message = [this, weak = std::weak_ptr(call), identity](std::string_view bytes) {
+        if (const auto strong = weak.lock()) {
+            on_message(strong, *identity, bytes);
+        }
+    };
+    call->on_half_closed = [weak = std::weak_ptr(call)] {
+        if (const auto strong = weak.lock()) {
+            strong->finish();
+        }
+    };
+    call->on_closed = [this, identity, raw = call.get()](const std::string& reason) {
+        if (identity->is_known) {
+            disconnect(identity->name, raw, reason);
+        }
+    };
+}
+
+void ProxySessions::on_message(const net::GrpcCallPtr& call, StreamIdentity& identity,
+                               std::string_view bytes) {
+    const base::CpuMeter meter(metrics_.handler_cpu_us);
+    xds::AdsServer::Request request;
+    if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
+        log_.warn("stream.malformed",
+                  {{"peer", call->peer()}, {"proxy", identity.name}, {"bytes", bytes.size()}});
+        call->finish(net::GrpcStatus::InvalidArgument, "the request can't be read");
+        if (identity.is_known) {
+            disconnect(identity.name, call.get(), "malformed request");
+        }
+        return;
+    }
+    if (!identity.is_known) {
+        const auto connected = connect(call, request.node());
+        if (const auto* refusal = std::get_if<Refusal>(&connected)) {
+            log_.warn("stream.refused", {{"peer", call->peer()}, {"why", refusal->text}});
+            call->finish(net::GrpcStatus::InvalidArgument, refusal->text);
+            return;
+        }
+        identity.is_known = true;
+        identity.name = request.node().id();
+    }
+    // An older stream that was replaced may still deliver what it had received before its end. The
+    // session belongs to the newer stream then, and must not see these requests: its nonces are
+    // others.
+    const auto session = sessions_.find(identity.name);
+    if (session != sessions_.end() && session->second.call == call) {
+        handle_request(session->second, request);
+    }
+}
+
+std::variant<ProxyId, ProxySessions::Refusal> ProxySessions::proxy_id_for(const std::string& name) {
+    const auto known = ids_by_name_.find(name);
+    if (known != ids_by_name_.end()) {
+        return known->second;
+    }
+    if (ids_by_name_.size() >= kMaxProxies) {
+        return Refusal{"no more than " + std::to_string(kMaxProxies) + " nodes"};
+    }
+    const ProxyId proxy{static_cast<int>(ids_by_name_.size())};
+    ids_by_name_[name] = proxy;
+    names_by_id_[proxy] = name;
+    return proxy;
+}
+
+std::variant<ProxyId, ProxySessions::Refusal> ProxySessions::connect(
+    const net::GrpcCallPtr& call, const envoy::config::core::v3::Node& node) {
+    const std::string& name = node.id();
+    if (name.empty() || name.size() > kMaxNodeIdBytes) {
+        return Refusal{"the first request must carry a node with an id of 1 to 128 bytes"};
+    }
+    replace_older_stream(name, call);
+    auto id = proxy_id_for(name);
+    if (std::holds_alternative<Refusal>(id)) {
+        return id;
+    }
+    const ProxyId proxy = std::get<ProxyId>(id);
+    const std::string& zone_name = node.locality().zone();
+    ProxySession& session = sessions_[name];
+    session.proxy = proxy;
+    session.name = name;
+    session.call = call;
+    session.zone = find_zone(zones_, zone_name);
+    session.stream = std::make_unique<xds::AdsServer>(origin_);
+    ++metrics_.proxy_connections;
+    log_.info("proxy.connected", {{"proxy", name}, {"zone", zone_name}, {"peer", call->peer()}});
+    if (session.zone.value < 0) {
+        log_.warn("proxy.zone_unknown", {{"proxy", name}, {"zone", zone_name}});
+    }
+    on_connected({proxy, has_just_started(node), session.zone, announced_rate(node)});
+    return proxy;
+}
+
+/// The newest stream of a node stands. Without this a proxy that reconnects after a broken network
+/// path would wait for its updates until the dead connection is noticed.
+void ProxySessions::replace_older_stream(const std::string& name, const net::GrpcCallPtr& newer) {
+    const auto session = sessions_.find(name);
+    if (session == sessions_.end()) {
+        return;
+    }
+    const net::GrpcCallPtr older = session->second.call;
+    log_.warn("stream.replaced", {{"proxy", name}, {"old", older->peer()}, {"new", newer->peer()}});
+    // The session goes first: `finish` calls `on_closed` of the older stream, which then finds no
+    // session of its own to end.
+    disconnect(name, older.get(), kReplaced);
+    older->finish(net::GrpcStatus::AlreadyExists, kReplaced);
+}
+
+/// Ends a session, but only if it still belongs to this stream: the end of a replaced stream must
+/// not end the session of the newer one.
+void ProxySessions::disconnect(const std::string& name, const net::GrpcCall* call,
+                               const std::string& reason) {
+    const auto it = sessions_.find(name);
+    if (it == sessions_.end() || it->second.call.get() != call) {
+        return;
+    }
+    const ProxyId proxy = it->second.proxy;
+    log_.info("proxy.disconnected",
+              {{"proxy", name},
+               {"why", reason},
+               {"unacknowledged", it->second.stream->unacknowledged_updates()}});
+    sessions_.erase(it);
+    if (!is_shutting_down_) {
+        on_disconnected(proxy);
+    }
+}
+
+void ProxySessions::handle_request(ProxySession& session, const xds::AdsServer::Request& request) {
+    const auto result = session.stream->on_request(request);
+    if (result.ignored) {
+        log_.warn("request.ignored", {{"proxy", session.name}, {"why", result.ignored->text}});
+    }
+    if (result.rejected) {
+        ++metrics_.rejected_responses;
+        log_rejection(session, *result.rejected);
+    }
+    metrics_.acknowledged_updates += static_cast<std::int64_t>(result.acknowledged.size());
+    for (const auto& update : result.acknowledged) {
+        if (update.requested_ack) {
+            on_acknowledged(
+                {session.proxy, *update.requested_ack, clock_.now() - update.decided_at});
+        }
+    }
+    write(session);
+}
+
+void ProxySessions::log_rejection(const ProxySession& session,
+                                  const xds::AdsServer::Rejection& rejection) {
+    std::string names;
+    for (const auto& name : rejection.resource_names) {
+        names += (names.empty() ? "" : ",") + name;
+    }
+    log_.error("version.rejected", {{"proxy", session.name},
+                                    {"version", rejection.version},
+                                    {"names", names},
+                                    {"why", rejection.reason}});
+}
+
+void ProxySessions::send(Micros now, const xds::ProxyMessage& message) {
+    const auto session = sessions_.find(proxy_name(message.proxy));
+    if (session == sessions_.end()) {
+        return;
+    }
+    session->second.stream->release(now, message);
+    write(session->second);
+}
+
+/// Writes what the stream has to send. The session may be gone afterwards: a write to a broken
+/// connection ends the stream at once, and `on_closed` removes the session. The call is therefore
+/// held here, and the session is not used after the first write.
+void ProxySessions::write(ProxySession& session) {
+    const auto responses = session.stream->take_encoded(responses_);
+    if (responses.empty()) {
+        return;
+    }
+    const net::GrpcCallPtr call = session.call;
+    call->cork();
+    for (const auto& response : responses) {
+        call->send(response.shared, response.own);
+    }
+    call->uncork();
+}
+
+void ProxySessions::finish_all() {
+    for (auto& [name, session] : sessions_) {
+        if (session.call) {
+            // Without its callback: it would change the map during this loop.
+            session.call->on_closed = {};
+            session.call->finish(net::GrpcStatus::Unavailable, "the governor goes away");
+        }
+    }
+}
+
+const ProxySession* ProxySessions::find(const std::string& name) const {
+    const auto it = sessions_.find(name);
+    return it == sessions_.end() ? nullptr : &it->second;
+}
+
+std::string ProxySessions::proxy_name(ProxyId proxy) const {
+    const auto it = names_by_id_.find(proxy);
+    return it == names_by_id_.end() ? std::string{} : it->second;
+}
+
+}  // namespace badgergrade::xds_server
--- a/src/xds_server/xds_server.h
+++ b/src/xds_server/xds_server.h
@@ -1,149 +1,137 @@
-// The running governor: tells the module what happens on the sockets and carries out what it
-// decides.
+/// @file
+/// A running control plane instance. Connects the policy with the network: what happens on the
+/// sockets becomes events of the policy, and its commands become messages to proxies, health checks
+/// and requests to the registry.
+///
+/// Everything runs on the one thread of the loop. Concerns:
+///   ProxySessions      discovery streams of the proxies (ADS)
+///   LoadReportStreams  load reporting streams of the proxies (LRS)
+///   ServerDirectory    ids of the listed servers
+///   EndpointWatch      the list of servers at the registry
+///   HealthChecker      health checks that the policy asks for
+///   SnapshotCache      the decided configuration as xDS resources
+///   PacedSendQueue     the rate at which messages leave
+///   LoadReportQueue    the rate at which reports reach the policy
 #pragma once
 
 #include <functional>
-#include <map>
-#include <memory>
 #include <optional>
-#include <set>
 #include <string>
 #include <vector>
 
 #include "config/governor_config.h"
 #include "log/log.h"
 #include "net/grpc.h"
-#include "net/http_server.h"
 #include "pacing/paced_send_queue.h"
 #include "runtime/policy_runner.h"
-#include "xds/ads_server.h"
 #include "xds/snapshot_cache.h"
 #include "xds_server/endpoint_watch.h"
+#include "xds_server/health_checker.h"
 #include "xds_server/load_report_queue.h"
+#include "xds_server/load_report_streams.h"
+#include "xds_server/metrics.h"
+#include "xds_server/proxy_sessions.h"
+#include "xds_server/server_directory.h"
 #include "xds_server/xds_server_observer.h"
 
 namespace badgergrade::xds_server {
 
-struct Figures {
-    std::int64_t decisions = 0, orders = 0, applied = 0, joins = 0, rejections = 0, lists = 0;
-    std::int64_t handler_cpu_us = 0;
-    pacing::SendQueueMetrics channel;
-};
-
 class XdsServer {
 public:
-    // Listens at once; throws std::system_error where the port can't be had. `life` tells this
-    // start from earlier ones of the same governor.
+    /// Listens at once; throws std::system_error if the port is not available. `incarnation` tells
+    /// this start from earlier ones of the same instance; it is part of every version.
     XdsServer(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
-              log::Log& log, std::string life);
+              log::Log& log, std::string incarnation);
+
+    /// Breaks all connections at once, as the death of the process would.
     ~XdsServer();
     XdsServer(const XdsServer&) = delete;
 
     net::Address address() const { return server_.address(); }
 
-    // Ends in order: streams are closed, what is queued is sent.
+    /// Ends all streams with a status and sends what is queued on the connections. The loop must
+    /// run on until that is done.
     void stop();
 
-    // For trials: the channel's pace as a part of the usual one.
-    void set_channel_pace(double part) {
-        channel_.set_pace(clock_.now(), part);
-        arm_channel();
-    }
-
-    // For tests alone: changes what the module decided before it is carried out, so that the
-    // auditor of the rules can be shown a governor that breaks them.
-    std::function<void(Micros, std::vector<Command>&)> tamper;
-    // For tests alone: the server id of a listed server.
-    std::optional<ServerId> server_id(const std::string& id) const;
+    XdsServerMetrics metrics() const;
 
-    Figures figures() const;
-    // Hears from now on; must outlive the service.
-    void watch(XdsServerObserver& watcher);
+    /// Reports to this observer from now on; it must outlive the server.
+    void set_observer(XdsServerObserver& observer);
 
     const std::string& id() const { return config_.id; }
 
-    const std::string& life() const { return life_; }
+    const std::string& incarnation() const { return incarnation_; }
 
+    /// The position of this instance among the control plane instances.
     int ordinal() const { return config_.told.ordinal; }
 
-    // Names behind the module's numbers; empty where there is none.
-    std::string forwarder_name(ProxyId proxy) const;
-    std::string server_name(ServerId server) const;
-    // For measurements alone: a listed server without a registry; the full table laid and everyone
-    // bound to it with this weight on each line.
-    void list_for_trial(const ListedServer& listed);
-    void change_for_trial(double weight);
+    /// Names behind the policy's ids; empty if there is none.
+    std::string proxy_name(ProxyId proxy) const { return sessions_.proxy_name(proxy); }
+
+    std::string server_name(ServerId server) const { return servers_.name(server); }
+
+    // ---- for tests and benchmarks
+
+    /// Tests of a slow link: the send rate as a fraction of the configured one.
+    void set_send_pace(double pace_fraction);
+
+    /// Tests of the rule auditor: changes the commands of a decision before they are executed, so
+    /// that the auditor can be shown a control plane that breaks the rules.
+    std::function<void(Micros, std::vector<Command>&)> alter_commands_for_test;
+
+    /// Tests: the id of a listed server.
+    std::optional<ServerId> server_id(const std::string& id) const { return servers_.find(id); }
+
+    /// Benchmarks: lists a server without a registry.
+    void add_server_for_benchmark(const ListedServer& listed);
+
+    /// Benchmarks: puts all servers into the full table with this weight and assigns it to all
+    /// proxies.
+    void publish_weight_for_benchmark(double weight);
 
 private:
-    struct Forwarder {
-        ProxyId proxy;
-        std::string name;
-        ZoneId zone;
-        net::GrpcCallPtr call;
-        std::unique_ptr<xds::AdsServer> stream;
-    };
-
-    struct Known {
-        ServerId server;
-        std::string incarnation;
-        Micros started{};
-        ZoneId zone;
-        bool listed = false;
-    };
-    struct StreamState;
+    void connect_policy();
+    void connect_sessions();
+    void connect_sockets();
+    void connect_endpoint_watch();
 
     void on_call(const net::GrpcCallPtr& call);
-    void open_ads(const net::GrpcCallPtr& call);
-    void open_lrs(const net::GrpcCallPtr& call);
-    void on_ads_message(const net::GrpcCallPtr& call, const std::shared_ptr<StreamState>& state,
-                        std::string_view bytes);
-    void on_lrs_message(const net::GrpcCallPtr& call, const std::shared_ptr<StreamState>& state,
-                        std::string_view bytes);
-    Forwarder* join(const net::GrpcCallPtr& call, const envoy::config::core::v3::Node& node,
-                    std::string& why);
-    void leave(const std::string& name, const net::GrpcCall* call, const std::string& why);
-    void answer(Forwarder& forwarder, const xds::AdsServer::Request& request);
-    void write(Forwarder& forwarder);
-
-    void on_list(const ServerList& list);
-    ServerId server_for(const ListedServer& listed, bool& fresh);
-    ZoneId zone_of(const std::string& name) const;
-
-    void tell(const Event& event);
-    void carry_out(std::vector<Command> actions);
-    void probe(ServerId server);
-    void arm_channel();
-    void run_channel();
-    void tick();
-    void end_period();
-    void unknown_once(const std::vector<std::string>& what, const std::string& from);
-
-    net::Loop& loop_;
+    void on_endpoint_update(const ServerList& list);
+
+    void post(const Event& event) { policy_.tell(event); }
+
+    void execute(std::vector<Command> commands);
+    bool execute_immediately(const Command& command);
+    void queue_config_update(std::vector<Command> commands);
+    void start_health_check(ServerId server);
+
+    void schedule_sending();
+    void send_due_messages();
+    void pass_load_reports();
+    void close_report_interval();
+
     base::Clock& clock_;
-    base::ActorId actor_;
     config::GovernorConfig config_;
     log::Logger log_;
-    std::string life_;
-    runtime::PolicyRunner driver_;
-    xds::SnapshotCache board_;
-    pacing::PacedSendQueue channel_;
-    LoadReportQueue reports_;
-    xds::ResponseCache responses_;
+    std::string incarnation_;
+    XdsServerMetrics metrics_;
+    runtime::PolicyRunner policy_;
+    xds::SnapshotCache snapshots_;
+    pacing::PacedSendQueue send_queue_;
+    LoadReportQueue load_reports_;
     net::GrpcServer server_;
-    EndpointWatch registry_;
-    std::map<std::string, Forwarder> forwarders_;
-    std::map<std::string, ProxyId> proxy_ids_;
-    std::map<ProxyId, std::string> proxy_names_;
-    std::map<std::pair<std::string, net::Address>, Known> servers_;
-    std::map<net::Address, ServerId> by_address_;
-    std::map<ServerId, std::string> server_names_;
-    std::map<ServerId, std::unique_ptr<net::HttpPool>> probes_;
-    std::set<std::string> told_unknown_;
-    base::Timer channel_timer_, tick_, period_;
-    Figures figures_;
-    XdsServerObserver* watcher_ = nullptr;
-    Micros exhausted_told_{};
-    bool stopping_ = false;
+    EndpointWatch endpoint_watch_;
+    ServerDirectory servers_;
+    // Destroyed before `server_`, since the sessions hold calls of its connections.
+    ProxySessions sessions_;
+    LoadReportStreams report_streams_;
+    HealthChecker health_checker_;
+    base::Timer send_timer_;
+    base::Timer load_report_timer_;
+    base::Timer report_interval_timer_;
+    XdsServerObserver* observer_ = nullptr;
+    Micros last_exhausted_log_{};
+    bool is_stopping_ = false;
 };
 
 }  // namespace badgergrade::xds_server
--- a/tests/fuzz/messages_fuzz.cpp
+++ b/tests/fuzz/messages_fuzz.cpp
@@ -27,24 +27,23 @@
 
 void server(std::string_view bytes) {
     Settings told;
-    told.zones = 1;
+    told.zone_count = 1;
     Operation op;
     op.name = "x";
     told.operations = {op};
-    xds::SnapshotCache board(told, {"z"}, Micros{1000000});
-    board.place({1}, {{"127.0.0.1", 80}, "z"});
-    board.joined({0});
+    xds::SnapshotCache snapshots(told, Micros{1000000});
+    snapshots.set_server_location({1}, {{"127.0.0.1", 80}, "z"});
+    snapshots.on_proxy_connected({0});
     xds::AdsServer stream("fuzz");
-    std::vector<std::string> refused;
-    int mark = 0;
+    int version = 0;
     for (const auto& piece : pieces(bytes)) {
-        ++mark;
-        for (const auto& message :
-             board.order(Micros{mark},
-                         {command::SetWeight{{0}, {1}, 1.0 + mark % 3},
-                          command::AssignTable{{0}, 0, {0}}, command::RequestAck{{mark}, false}},
-                         refused)) {
-            stream.give(Micros{mark}, message);
+        ++version;
+        const auto update =
+            snapshots.apply(Micros{version}, {command::SetWeight{{0}, {1}, 1.0 + version % 3},
+                                              command::AssignTable{{0}, 0, {0}},
+                                              command::RequestAck{{version}, false}});
+        for (const auto& message : update.messages) {
+            stream.release(Micros{version}, message);
         }
         xds::AdsServer::Request request;
         if (request.ParseFromString(piece)) {
@@ -72,7 +71,6 @@
         return 0;
     }
     const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-    std::vector<std::string> refused;
     std::vector<config::Mistake> mistakes;
     switch (data[0] % 5) {
         case 0:
@@ -84,13 +82,13 @@
         case 2: {
             envoy::service::load_stats::v3::LoadStatsRequest report;
             if (report.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-                xds::read_report(report, refused);
+                xds::parse_load_report(report);
             }
             break;
         }
         case 3:
             try {
-                xds_server::parse_list(std::string(bytes));
+                xds_server::parse_server_list(std::string(bytes));
             } catch (const std::runtime_error&) {}
             break;
         default:
--- a/tests/peer/grpc_peer_test.cpp
+++ b/tests/peer/grpc_peer_test.cpp
@@ -1,5 +1,5 @@
-// The protocol proved by a client that others wrote: grpc++ opens ADS and LRS streams against the
-// governor.
+// The protocol checked with an independent client: grpc++ opens ADS and LRS streams to a running
+// control plane instance.
 #include <grpcpp/grpcpp.h>
 
 #include "../program/child.h"
@@ -18,7 +18,7 @@
 
 constexpr const char* kPrefix = "type.googleapis.com/envoy.config.";
 
-class Peer : public testing::Test {
+class GrpcPeer : public testing::Test {
 protected:
     void SetUp() override {
         registry = std::make_unique<Child>(
@@ -33,7 +33,7 @@
         context.set_deadline(std::chrono::system_clock::now() + std::chrono::seconds(30));
     }
 
-    static void fill(envoy::config::core::v3::Node* node) {
+    static void fill_node(envoy::config::core::v3::Node* node) {
         node->set_id("peer");
         node->mutable_locality()->set_zone("samrong");
         (*node->mutable_metadata()->mutable_fields())["rate"].set_number_value(10);
@@ -44,14 +44,16 @@
     grpc::ClientContext context;
 };
 
-TEST_F(Peer, IsServedByAds) {
+// A proxy of another implementation must get clusters, assignments, a listener and routes that
+// agree with each other, and a status when the control plane stops.
+TEST_F(GrpcPeer, IsServedByAds) {
     const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
     const auto stream = stub->StreamAggregatedResources(&context);
-    const auto ask = [&](const std::string& type, const std::vector<std::string>& names,
-                         const discovery::DiscoveryResponse* ack) {
+    const auto send_request = [&](const std::string& type, const std::vector<std::string>& names,
+                                  const discovery::DiscoveryResponse* ack) {
         discovery::DiscoveryRequest request;
         if (!ack) {
-            fill(request.mutable_node());
+            fill_node(request.mutable_node());
         }
         request.set_type_url(kPrefix + type);
         for (const auto& name : names) {
@@ -63,8 +65,8 @@
         }
         ASSERT_TRUE(stream->Write(request));
     };
-    ask("cluster.v3.Cluster", {}, nullptr);
-    ask("listener.v3.Listener", {}, nullptr);
+    send_request("cluster.v3.Cluster", {}, nullptr);
+    send_request("listener.v3.Listener", {}, nullptr);
     std::set<int> ports;
     std::string routes_name;
     std::string routed_to;
@@ -108,12 +110,12 @@
         if (type == "route.v3.RouteConfiguration") {
             names = {routes_name};
         }
-        ask(type, names, &response);
+        send_request(type, names, &response);
         if (!cluster.empty() && !std::exchange(asked_endpoints, true)) {
-            ask("endpoint.v3.ClusterLoadAssignment", {cluster}, nullptr);
+            send_request("endpoint.v3.ClusterLoadAssignment", {cluster}, nullptr);
         }
         if (!routes_name.empty() && !std::exchange(asked_routes, true)) {
-            ask("route.v3.RouteConfiguration", {routes_name}, nullptr);
+            send_request("route.v3.RouteConfiguration", {routes_name}, nullptr);
         }
     }
     EXPECT_FALSE(ports.empty());
@@ -127,11 +129,12 @@
     EXPECT_EQ(governor->wait(), 0);
 }
 
-TEST_F(Peer, IsToldWhatToReportByLrs) {
+// A proxy that opens a load reporting stream must be told what to report and how often.
+TEST_F(GrpcPeer, GetsReportingInstructionsByLrs) {
     const auto stub = stats::LoadReportingService::NewStub(channel);
     const auto stream = stub->StreamLoadStats(&context);
     stats::LoadStatsRequest request;
-    fill(request.mutable_node());
+    fill_node(request.mutable_node());
     ASSERT_TRUE(stream->Write(request));
     stats::LoadStatsResponse response;
     ASSERT_TRUE(stream->Read(&response));
@@ -142,7 +145,9 @@
     EXPECT_TRUE(stream->Finish().ok());
 }
 
-TEST_F(Peer, IsRefusedWithAStatusWhereItErrs) {
+// A stream without a node id, and a method that is not served: the proxy must see a status that
+// says so, not a broken connection.
+TEST_F(GrpcPeer, IsRefusedWithAStatusForInvalidRequests) {
     const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
     {
         const auto stream = stub->StreamAggregatedResources(&context);
--- a/tests/program/cli_test.cpp
+++ b/tests/program/cli_test.cpp
@@ -59,7 +59,7 @@
     Child forwarder({"standin", "forwarder", "--id", "f1", "--zone", "bang-na", "--settings", ini,
                      "--governor", governor.after("xds="), "--startup", a});
     const std::string at = forwarder.after("ready on ");
-    EXPECT_TRUE(governor.shows("forwarder.joined")) << governor.text();
+    EXPECT_TRUE(governor.shows("proxy.connected")) << governor.text();
     Child client({"standin", "client", "--settings", ini, "--forwarder", at, "--rate", "30",
                   "--seconds", "1.5", "--work-ms", "2"});
     EXPECT_EQ(client.wait(), 0);
--- a/tests/program/core_test.cpp
+++ b/tests/program/core_test.cpp
@@ -1,5 +1,5 @@
-// The parts without sockets: clock, channel, reports, HTTP/1.1, gRPC framing, the board and the
-// stream's states.
+// Components without sockets: clock, send queue, load reports, HTTP/1.1, gRPC framing, the snapshot
+// cache and the states of a discovery stream.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -36,7 +36,9 @@
     EXPECT_EQ(clock.now(), 5us);
 }
 
-TEST(Clock, ATimerDiesWithItsOwner) {
+// An object is destroyed while its timer is set. The timer must not run: it would use the
+// destroyed object.
+TEST(Clock, ATimerEndsWithItsOwner) {
     base::VirtualClock clock(0us);
     bool ran = false;
     {
@@ -47,51 +49,53 @@
     EXPECT_FALSE(ran);
 }
 
-// ---- channel
+// ---- send queue
 
-xds::Message message(int proxy, double lines, Micros at) {
-    xds::Message m;
-    m.proxy = {proxy};
-    m.lines = lines;
-    m.ordered = at;
-    return m;
+xds::ProxyMessage make_message(int proxy, double lines, Micros decided_at) {
+    xds::ProxyMessage message;
+    message.proxy = {proxy};
+    message.lines = lines;
+    message.decided_at = decided_at;
+    return message;
 }
 
-TEST(Channel, SendsSoManyLinesASecondInOrder) {
-    pacing::PacedSendQueue channel(1000);
-    channel.put(0us, message(1, 100, 0us));
-    channel.put(0us, message(2, 50, 0us));
-    EXPECT_EQ(channel.waiting(), 150);
-    EXPECT_EQ(*channel.due(), 100ms);
-    EXPECT_FALSE(channel.take(99ms));
-    EXPECT_EQ(channel.take(100ms)->proxy.value, 1);
-    EXPECT_EQ(channel.waiting(), 50);
-    EXPECT_EQ(*channel.due(), 150ms);
-    EXPECT_EQ(channel.take(150ms)->proxy.value, 2);
-    EXPECT_FALSE(channel.due());
+TEST(PacedSendQueue, SendsAtTheConfiguredRateInOrder) {
+    pacing::PacedSendQueue queue(1000);
+    queue.push(0us, make_message(1, 100, 0us));
+    queue.push(0us, make_message(2, 50, 0us));
+    EXPECT_EQ(queue.queued_lines(), 150);
+    EXPECT_EQ(*queue.next_send_time(), 100ms);
+    EXPECT_FALSE(queue.pop(99ms));
+    EXPECT_EQ(queue.pop(100ms)->proxy.value, 1);
+    EXPECT_EQ(queue.queued_lines(), 50);
+    EXPECT_EQ(*queue.next_send_time(), 150ms);
+    EXPECT_EQ(queue.pop(150ms)->proxy.value, 2);
+    EXPECT_FALSE(queue.next_send_time());
 }
 
-TEST(Channel, SlowsDownInTheMidstOfAMessageAndBack) {
-    pacing::PacedSendQueue channel(1000);
-    channel.put(0us, message(1, 100, 0us));
-    channel.set_pace(50ms, 0.5);
-    EXPECT_EQ(*channel.due(), 150ms);
-    channel.set_pace(100ms, 1);
-    EXPECT_EQ(*channel.due(), 125ms);
+TEST(PacedSendQueue, ChangesItsRateWithinAMessage) {
+    pacing::PacedSendQueue queue(1000);
+    queue.push(0us, make_message(1, 100, 0us));
+    queue.set_pace(50ms, 0.5);
+    EXPECT_EQ(*queue.next_send_time(), 150ms);
+    queue.set_pace(100ms, 1);
+    EXPECT_EQ(*queue.next_send_time(), 125ms);
 }
 
-TEST(Channel, LosesWhatWasForOneThatLeft) {
-    pacing::PacedSendQueue channel(1000);
-    channel.put(0us, message(1, 10, 0us));
-    channel.put(0us, message(2, 10, 0us));
-    channel.drop({1});
-    EXPECT_EQ(channel.take(1s)->proxy.value, 2);
-    EXPECT_EQ(channel.figures().dropped, 1);
+// A proxy disconnects while messages to it are queued. They must not be sent, they are counted,
+// and the next proxy gets its message.
+TEST(PacedSendQueue, DiscardsMessagesToADisconnectedProxy) {
+    pacing::PacedSendQueue queue(1000);
+    queue.push(0us, make_message(1, 10, 0us));
+    queue.push(0us, make_message(2, 10, 0us));
+    queue.discard({1});
+    EXPECT_EQ(queue.pop(1s)->proxy.value, 2);
+    EXPECT_EQ(queue.metrics().discarded_messages, 1);
 }
 
-// ---- reports
+// ---- load reports
 
-Settings told() {
+Settings test_settings() {
     Settings s;
     s.zone_count = 2;
     for (const char* name : {"look", "order"}) {
@@ -109,77 +113,79 @@
     return s;
 }
 
-TEST(Reports, SumUpByZoneAndServerAndPassNoFasterThanTheIntake) {
-    xds_server::LoadReportQueue reports(told());
-    std::vector<std::string> unknown;
+// More reports arrive in one interval than the policy may get. They must be aggregated, and passed
+// on no faster than the limit.
+TEST(LoadReportQueue, AggregatesByZoneAndServerAndLimitsTheRate) {
+    xds_server::LoadReportQueue reports(test_settings());
     std::map<net::Address, ServerId> servers;
     for (int k = 0; k < 30; ++k) {
         servers[{"127.0.0.1", static_cast<std::uint16_t>(k + 1)}] = {static_cast<std::uint32_t>(k)};
     }
     xds::LoadReport one;
-    one.span = 1s;
+    one.interval = 1s;
     for (const auto& [address, id] : servers) {
         one.endpoints[address] = {4, 1, 3, 3000.0, {}};
     }
     one.operations["look"] = {9, 1};
-    reports.add({{1}, {0}}, one, servers, unknown);
-    reports.add({{2}, {0}}, one, servers, unknown);
-    EXPECT_TRUE(unknown.empty());
-    reports.close_period(10s);
-    EXPECT_EQ(reports.waiting(), 32u);
-    auto first = reports.take(10s);
+    EXPECT_TRUE(reports.add({{1}, {0}}, one, servers).empty());
+    EXPECT_TRUE(reports.add({{2}, {0}}, one, servers).empty());
+    reports.close_interval(10s);
+    EXPECT_EQ(reports.queued_events(), 32u);
+    auto first = reports.pop(10s);
     EXPECT_EQ(first.size(), 10u) << "one second's worth at most";
-    const auto& heard = std::get<event::ServerLoadReport>(first.at(0));
-    EXPECT_EQ(heard.attempts, 8);
-    EXPECT_EQ(heard.failures, 2);
-    EXPECT_EQ(heard.mean_latency, 1000us);
-    EXPECT_EQ(reports.take(10s + 500ms).size(), 5u);
-    EXPECT_EQ(reports.take(20s).size(), 10u);
-    EXPECT_EQ(reports.take(30s).size(), 7u);
+    const auto& report = std::get<event::ServerLoadReport>(first.at(0));
+    EXPECT_EQ(report.attempts, 8);
+    EXPECT_EQ(report.failures, 2);
+    EXPECT_EQ(report.mean_latency, 1000us);
+    EXPECT_EQ(reports.pop(10s + 500ms).size(), 5u);
+    EXPECT_EQ(reports.pop(20s).size(), 10u);
+    EXPECT_EQ(reports.pop(30s).size(), 7u);
 }
 
-TEST(Reports, TellWhatTheyDoNotKnow) {
-    xds_server::LoadReportQueue reports(told());
-    std::vector<std::string> unknown;
+// A proxy reports on a server and an operation that are not known here. Both must be named to the
+// caller and left out.
+TEST(LoadReportQueue, ReturnsUnknownNames) {
+    xds_server::LoadReportQueue reports(test_settings());
     xds::LoadReport one;
-    one.span = 1s;
+    one.interval = 1s;
     one.endpoints[{"127.0.0.1", 9}] = {1, 0, 1, 5, {}};
     one.operations["nobody"] = {1, 0};
-    reports.add({{1}, {0}}, one, {}, unknown);
-    EXPECT_EQ(unknown.size(), 2u);
+    EXPECT_EQ(reports.add({{1}, {0}}, one, {}).size(), 2u);
 }
 
-TEST(LoadSums, TravelThereAndBack) {
+TEST(LoadReport, IsReadAsItWasWritten) {
     xds::LoadReport one;
-    one.span = 1500ms;
+    one.interval = 1500ms;
     one.endpoints[{"127.0.0.1", 80}] = {10, 3, 7, 1234.5, {{"cpu", 0.5}}};
     one.operations["look"] = {11, 2};
-    std::vector<std::string> refused;
-    const auto back = xds::read_report(xds::to_message(one), refused);
-    EXPECT_TRUE(refused.empty());
-    EXPECT_EQ(back.span, one.span);
-    const auto& sums = back.endpoints.at({"127.0.0.1", 80});
-    EXPECT_EQ(sums.tries, 10);
-    EXPECT_EQ(sums.answer_us, 1234.5);
-    EXPECT_EQ(sums.load.at("cpu"), 0.5);
-    EXPECT_EQ(back.operations.at("look").errored, 2);
+    const auto parsed = xds::parse_load_report(xds::to_message(one));
+    EXPECT_TRUE(parsed.rejected.empty());
+    EXPECT_EQ(parsed.report.interval, one.interval);
+    const auto& load = parsed.report.endpoints.at({"127.0.0.1", 80});
+    EXPECT_EQ(load.attempts, 10);
+    EXPECT_EQ(load.total_latency_us, 1234.5);
+    EXPECT_EQ(load.load_metrics.at("cpu"), 0.5);
+    EXPECT_EQ(parsed.report.operations.at("look").failures, 2);
 }
 
-TEST(LoadSums, RefuseCountsOutOfRange) {
+// A faulty proxy reports counts below zero, which arrive as huge ones. They must be left out and
+// reported: they would distort the sums of all proxies.
+TEST(LoadReport, RejectsCountsOutOfRange) {
     xds::LoadReport one;
-    one.span = 1s;
+    one.interval = 1s;
     one.endpoints[{"127.0.0.1", 80}] = {-5, 0, 0, 0, {}};
     one.operations["look"] = {-1, 0};
-    std::vector<std::string> refused;
-    const auto back = xds::read_report(xds::to_message(one), refused);
-    EXPECT_EQ(refused.size(), 2u);
-    EXPECT_TRUE(back.endpoints.empty());
-    EXPECT_TRUE(back.operations.empty());
+    const auto parsed = xds::parse_load_report(xds::to_message(one));
+    ASSERT_EQ(parsed.rejected.size(), 2u);
+    EXPECT_EQ(parsed.rejected[0].error, xds::LoadReportError::CountOutOfRange);
+    EXPECT_EQ(parsed.rejected[1].error, xds::LoadReportError::CountOutOfRange);
+    EXPECT_TRUE(parsed.report.endpoints.empty());
+    EXPECT_TRUE(parsed.report.operations.empty());
 }
 
 // ---- HTTP/1.1
 
-TEST(Http1, ReadsMessagesInAnyPieces) {
+TEST(Http1, ParsesMessagesInPiecesOfAnySize) {
     const std::string text =
         "POST /invoke/x HTTP/1.1\r\nHost: a\r\nX-Key: b\r\nContent-Length: 5\r\n\r\nhelloGET / "
         "HTTP/1.1\r\n\r\n";
@@ -197,7 +203,9 @@
     }
 }
 
-TEST(Http1, RefusesWhatSmugglesAndWhatHasNoEnd) {
+// A client sends a message whose length is ambiguous (request smuggling), invalid or without
+// limit. The parser must report an error and accept nothing more on this connection.
+TEST(Http1, RejectsAmbiguousAndUnboundedMessages) {
     const std::string bad[] = {
         "GET / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
         "GET / HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
@@ -211,11 +219,11 @@
         net::Http1Parser parser(net::Http1Parser::Kind::Requests, {}, [](net::HttpMessage) {});
         EXPECT_FALSE(parser.feed(text)) << text.substr(0, 60);
         EXPECT_FALSE(parser.error().empty());
-        EXPECT_FALSE(parser.feed("GET / HTTP/1.1\r\n\r\n")) << "goes on after a mistake";
+        EXPECT_FALSE(parser.feed("GET / HTTP/1.1\r\n\r\n")) << "accepts input after an error";
     }
 }
 
-TEST(Grpc, FramesMessagesInAnyPieces) {
+TEST(Grpc, ParsesFramesInPiecesOfAnySize) {
     const std::string all =
         net::grpc_frame("one") + net::grpc_frame("") + net::grpc_frame(std::string(1000, 'x'));
     for (std::size_t piece : {1u, 3u, 7u, 2000u}) {
@@ -235,11 +243,12 @@
     EXPECT_FALSE(packed.feed(std::string("\1\0\0\0\1x", 6), [](std::string_view) {}));
 }
 
-// ---- the board and the stream
+// ---- snapshot cache and discovery stream
 
-struct Wire {
-    explicit Wire(const Settings& settings = told())
-        : board(settings, {"north", "south"}, 4s),
+// A control plane and a proxy that exchange requests and responses without a connection.
+struct StreamPair {
+    explicit StreamPair(const Settings& settings = test_settings())
+        : snapshots(settings, 4s),
           server("g.1"),
           client([] {
               envoy::config::core::v3::Node node;
@@ -247,37 +256,40 @@
               return node;
           }()) {
         for (std::uint32_t k = 1; k <= 4; ++k) {
-            board.place({k}, {{"127.0.0.1", static_cast<std::uint16_t>(9000 + k)},
-                              k < 3 ? "north" : "south"});
+            snapshots.set_server_location({k}, {{"127.0.0.1", static_cast<std::uint16_t>(9000 + k)},
+                                                k < 3 ? "north" : "south"});
         }
-        board.joined({0});
+        snapshots.on_proxy_connected({0});
     }
 
-    std::vector<xds::Message> order(const std::vector<Command>& actions) {
-        auto out = board.order(now, actions, refused);
-        for (const auto& m : out) {
-            server.give(now, m);
+    std::vector<xds::ProxyMessage> apply(const std::vector<Command>& commands) {
+        auto update = snapshots.apply(now, commands);
+        for (const auto& rejected : update.rejected) {
+            rejected_commands.push_back(rejected);
         }
-        return out;
+        for (const auto& message : update.messages) {
+            server.release(now, message);
+        }
+        return update.messages;
     }
 
-    // Client and server talk until neither has anything to say; what was proven is kept.
-    void talk() {
-        if (!std::exchange(begun, true)) {
+    // Exchanges requests and responses until neither side has any.
+    void exchange() {
+        if (!std::exchange(has_started, true)) {
             for (const auto& r : client.start()) {
                 requests.push_back(r);
             }
         }
-        for (int turns = 0; turns < 50; ++turns) {
+        for (int round = 0; round < 50; ++round) {
             for (const auto& r : std::exchange(requests, {})) {
                 auto out = server.on_request(r);
-                for (const auto& a : out.applied) {
-                    if (a.mark) {
-                        marks.push_back(a.mark->value);
+                for (const auto& update : out.acknowledged) {
+                    if (update.requested_ack) {
+                        acknowledged.push_back(update.requested_ack->value);
                     }
                 }
                 if (out.rejected) {
-                    rejected.push_back(out.rejected->why);
+                    rejected.push_back(out.rejected->reason);
                 }
             }
             const auto responses = server.take_responses();
@@ -289,7 +301,7 @@
                 requests.insert(requests.end(), out.requests.begin(), out.requests.end());
             }
         }
-        FAIL() << "they never stop talking";
+        FAIL() << "the exchange does not end";
     }
 
     std::vector<int> ports(const char* operation) const {
@@ -307,101 +319,116 @@
     }
 
     Micros now = 1000s;
-    xds::SnapshotCache board;
+    xds::SnapshotCache snapshots;
     xds::AdsServer server;
     xds::AdsClient client;
     std::vector<xds::AdsClient::Request> requests;
-    std::vector<int> marks;
-    std::vector<std::string> refused, rejected;
-    bool begun = false;
+    // Versions whose acknowledgement came, in order.
+    std::vector<int> acknowledged;
+    std::vector<xds::RejectedCommand> rejected_commands;
+    // Reasons of rejected responses.
+    std::vector<std::string> rejected;
+    bool has_started = false;
 };
 
-TEST(Stream, LaysBeforeItBindsAndProvesTheMark) {
-    Wire wire;
+// Make before break: the proxy gets the cluster and its lines before the routes to it, and the
+// acknowledgement that the policy asked for arrives.
+TEST(Stream, SendsTheTableBeforeItsRoutesAndAcknowledges) {
+    StreamPair pair;
     const auto sent =
-        wire.order({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{0}, {2}, 0.5},
+        pair.apply({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{0}, {2}, 0.5},
                     command::AssignTable{{0}, 0, {0}}, command::RequestAck{{5}, false}});
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[0].lines, 3 + 1 + 1 + 2);
-    wire.talk();
-    EXPECT_EQ(wire.ports("look"), (std::vector<int>{9001, 9002}));
-    EXPECT_EQ(wire.marks, std::vector<int>{5});
-    EXPECT_EQ(wire.client.tables().clusters.at("table-0").lines[1].weight, 0.5);
+    pair.exchange();
+    EXPECT_EQ(pair.ports("look"), (std::vector<int>{9001, 9002}));
+    EXPECT_EQ(pair.acknowledged, std::vector<int>{5});
+    EXPECT_EQ(pair.client.tables().clusters.at("table-0").lines[1].weight, 0.5);
 }
 
-TEST(Stream, MovesFromOneTableToAnotherWithoutAGap) {
-    Wire wire;
-    wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+// A proxy is moved from one table to another. It must always have a server to choose, and the old
+// cluster must be removed in the end.
+TEST(Stream, MovesFromOneTableToAnother) {
+    StreamPair pair;
+    pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                 command::RequestAck{{1}, false}});
-    wire.talk();
-    wire.order({command::SetWeight{{7}, {3}, 1}, command::AssignTable{{7}, 0, {0}},
+    pair.exchange();
+    pair.apply({command::SetWeight{{7}, {3}, 1}, command::AssignTable{{7}, 0, {0}},
                 command::RequestAck{{2}, false}});
-    wire.talk();
-    EXPECT_EQ(wire.ports("look"), std::vector<int>{9003});
-    EXPECT_EQ(wire.marks, (std::vector<int>{1, 2}));
-    EXPECT_FALSE(wire.client.tables().clusters.contains("table-0"))
+    pair.exchange();
+    EXPECT_EQ(pair.ports("look"), std::vector<int>{9003});
+    EXPECT_EQ(pair.acknowledged, (std::vector<int>{1, 2}));
+    EXPECT_FALSE(pair.client.tables().clusters.contains("table-0"))
         << "the old cluster stays for ever";
 }
 
-TEST(Stream, WithdrawsWhateverTheTableSays) {
-    Wire wire;
-    wire.order({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{0}, {2}, 1},
+// A server is ejected while tables still name it. The proxy must not send to it until it is
+// readmitted.
+TEST(Stream, EjectsAServerWhateverTheTableSays) {
+    StreamPair pair;
+    pair.apply({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{0}, {2}, 1},
                 command::AssignTable{{0}, 0, {0}}, command::RequestAck{{1}, false}});
-    wire.talk();
-    wire.order({command::SetEjected{{1}, true}, command::RequestAck{{2}, false}});
-    wire.talk();
-    EXPECT_EQ(wire.ports("look"), std::vector<int>{9002});
-    EXPECT_TRUE(wire.client.tables().withdrawn.contains({"127.0.0.1", 9001}));
-    wire.order({command::SetEjected{{1}, false}, command::RequestAck{{3}, false}});
-    wire.talk();
-    EXPECT_TRUE(wire.client.tables().withdrawn.empty());
-    EXPECT_EQ(wire.marks, (std::vector<int>{1, 2, 3}));
+    pair.exchange();
+    pair.apply({command::SetEjected{{1}, true}, command::RequestAck{{2}, false}});
+    pair.exchange();
+    EXPECT_EQ(pair.ports("look"), std::vector<int>{9002});
+    EXPECT_TRUE(pair.client.tables().ejected.contains({"127.0.0.1", 9001}));
+    pair.apply({command::SetEjected{{1}, false}, command::RequestAck{{3}, false}});
+    pair.exchange();
+    EXPECT_TRUE(pair.client.tables().ejected.empty());
+    EXPECT_EQ(pair.acknowledged, (std::vector<int>{1, 2, 3}));
 }
 
-TEST(Stream, NeverOrdersASecondTryOfWhatHasEffects) {
-    Wire wire;
-    wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+// The policy asks for retries of all operations. An operation with side effects must still be
+// retried only where the server did not process the request.
+TEST(Stream, NeverRetriesOperationsWithSideEffects) {
+    StreamPair pair;
+    pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                 command::SetAdmission{{0}, 0, 1, RetryMode::Twice},
                 command::RequestAck{{1}, false}});
-    wire.talk();
-    EXPECT_EQ(wire.client.tables().routes.at("/invoke/look").again, RetryMode::Twice);
-    EXPECT_EQ(wire.client.tables().routes.at("/invoke/order").again, RetryMode::OnlyUnprocessed);
+    pair.exchange();
+    EXPECT_EQ(pair.client.tables().routes.at("/invoke/look").retry_mode, RetryMode::Twice);
+    EXPECT_EQ(pair.client.tables().routes.at("/invoke/order").retry_mode,
+              RetryMode::OnlyUnprocessed);
 }
 
-// An ACK of the second response says nothing of a first that was rejected.
+// A proxy rejects one response and accepts a later one. The ACK of the later one must not count
+// for the rejected one: the policy would take an update as applied that is not.
 TEST(Stream, ALaterAckDoesNotCoverARejection) {
-    Wire wire;
-    wire.order({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{1}, {3}, 1},
+    StreamPair pair;
+    pair.apply({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{1}, {3}, 1},
                 command::AssignTable{{0}, 1, {0}}, command::AssignTable{{1}, 2, {0}},
                 command::RequestAck{{1}, false}});
-    wire.talk();
-    ASSERT_EQ(wire.marks.size(), 1u);
-    wire.client.doubt = [](const xds::AdsClient::Response& r) {
+    pair.exchange();
+    ASSERT_EQ(pair.acknowledged.size(), 1u);
+    pair.client.response_check = [](const xds::AdsClient::Response& r) {
         return r.SerializeAsString().find("table-0") != std::string::npos ? "no" : "";
     };
-    wire.order({command::SetWeight{{0}, {2}, 1}, command::RequestAck{{2}, false}});
-    wire.talk();
-    EXPECT_EQ(wire.rejected.size(), 1u);
-    wire.order({command::SetWeight{{1}, {4}, 1}, command::RequestAck{{3}, false}});
-    wire.talk();
-    EXPECT_EQ(wire.ports("order"), (std::vector<int>{9003, 9004}))
+    pair.apply({command::SetWeight{{0}, {2}, 1}, command::RequestAck{{2}, false}});
+    pair.exchange();
+    EXPECT_EQ(pair.rejected.size(), 1u);
+    pair.apply({command::SetWeight{{1}, {4}, 1}, command::RequestAck{{3}, false}});
+    pair.exchange();
+    EXPECT_EQ(pair.ports("order"), (std::vector<int>{9003, 9004}))
         << "a rejection takes what is new down with it";
-    EXPECT_EQ(wire.marks, std::vector<int>{1}) << "order 2 was rejected, and 3 comes behind it";
-    EXPECT_EQ(wire.rejected.size(), 2u) << "tried once more with the next order, no more";
-    wire.client.doubt = {};
-    wire.order({command::SetWeight{{1}, {4}, 0.5}, command::RequestAck{{4}, false}});
-    wire.talk();
-    EXPECT_EQ(wire.marks, (std::vector<int>{1, 2, 3, 4}));
-    EXPECT_EQ(wire.ports("look"), (std::vector<int>{9001, 9002}));
+    EXPECT_EQ(pair.acknowledged, std::vector<int>{1}) << "2 was rejected, and 3 comes after it";
+    EXPECT_EQ(pair.rejected.size(), 2u) << "sent once more with the next update, no more";
+    pair.client.response_check = {};
+    pair.apply({command::SetWeight{{1}, {4}, 0.5}, command::RequestAck{{4}, false}});
+    pair.exchange();
+    EXPECT_EQ(pair.acknowledged, (std::vector<int>{1, 2, 3, 4}));
+    EXPECT_EQ(pair.ports("look"), (std::vector<int>{9001, 9002}));
 }
 
+// A proxy answers the same nonce with a NACK and then with an ACK. The first answer counts: the
+// ACK must not mark the rejected update as applied.
 TEST(Stream, TheSameNonceTwiceCountsOnce) {
-    Wire wire;
-    wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+    StreamPair pair;
+    pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                 command::RequestAck{{1}, false}});
-    wire.talk();
-    wire.order({command::SetWeight{{0}, {2}, 1}, command::RequestAck{{2}, false}});
-    const auto responses = wire.server.take_responses();
+    pair.exchange();
+    pair.apply({command::SetWeight{{0}, {2}, 1}, command::RequestAck{{2}, false}});
+    const auto responses = pair.server.take_responses();
     ASSERT_EQ(responses.size(), 1u);
     xds::AdsClient::Request nack;
     nack.set_type_url(responses[0].type_url());
@@ -410,116 +437,120 @@
     nack.add_resource_names("startup");
     xds::AdsClient::Request ack = nack;
     nack.mutable_error_detail()->set_message("no");
-    EXPECT_TRUE(wire.server.on_request(nack).rejected);
-    const auto second = wire.server.on_request(ack);
-    EXPECT_TRUE(second.applied.empty()) << "NACK, then ACK with the same nonce";
-    EXPECT_TRUE(second.ignored.empty());
+    EXPECT_TRUE(pair.server.on_request(nack).rejected);
+    const auto second = pair.server.on_request(ack);
+    EXPECT_TRUE(second.acknowledged.empty()) << "NACK, then ACK with the same nonce";
+    EXPECT_FALSE(second.ignored);
 }
 
-TEST(Stream, AMarkForEveryoneIsAnsweredWithoutAnyChange) {
-    Wire wire;
-    wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+// The policy asks all proxies for an acknowledgement without changing anything. Each must still
+// answer, or the policy would wait for ever.
+TEST(Stream, AnAckRequestForAllIsAnsweredWithoutAnyChange) {
+    StreamPair pair;
+    pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                 command::RequestAck{{1}, false}});
-    wire.talk();
-    wire.order({command::RequestAck{{2}, true}});
-    wire.talk();
-    EXPECT_EQ(wire.marks, (std::vector<int>{1, 2}));
+    pair.exchange();
+    pair.apply({command::RequestAck{{2}, true}});
+    pair.exchange();
+    EXPECT_EQ(pair.acknowledged, (std::vector<int>{1, 2}));
 }
 
-TEST(Stream, LevelsTravelAsShareOrRate) {
+TEST(Stream, AdmissionLimitsAreSentAsFractionOrRate) {
     for (const AdmissionMode admit : {AdmissionMode::Fraction, AdmissionMode::Rate}) {
-        Settings s = told();
+        Settings s = test_settings();
         s.admission_mode = admit;
-        Wire wire(s);
-        wire.order({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
+        StreamPair pair(s);
+        pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                     command::SetAdmission{{0}, 1, 0.25, RetryMode::Never},
                     command::RequestAck{{1}, false}});
-        wire.talk();
-        const auto& route = wire.client.tables().routes.at("/invoke/look");
-        EXPECT_EQ(route.again, RetryMode::Never);
+        pair.exchange();
+        const auto& route = pair.client.tables().routes.at("/invoke/look");
+        EXPECT_EQ(route.retry_mode, RetryMode::Never);
         if (admit == AdmissionMode::Fraction) {
-            EXPECT_DOUBLE_EQ(route.share, 0.25);
+            EXPECT_DOUBLE_EQ(route.admitted_fraction, 0.25);
         } else {
-            EXPECT_NEAR(route.rate, 0.25, 1e-6);
+            EXPECT_NEAR(route.admitted_per_second, 0.25, 1e-6);
         }
-        const auto& other = wire.client.tables().routes.at("/invoke/order");
-        EXPECT_EQ(other.share, 1);
-        EXPECT_EQ(other.rate, 0);
+        const auto& other = pair.client.tables().routes.at("/invoke/order");
+        EXPECT_EQ(other.admitted_fraction, 1);
+        EXPECT_EQ(other.admitted_per_second, 0);
     }
 }
 
-TEST(Stream, RefusesOrdersForWhatIsNotKnown) {
-    Wire wire;
-    wire.order({command::SetWeight{{0}, {99}, 1}, command::AssignTable{{0}, 0, {42}},
+// The policy names a server and a proxy that are not known. The commands must be left out and
+// reported, not sent without an address.
+TEST(Stream, RejectsCommandsForUnknownServersAndProxies) {
+    StreamPair pair;
+    pair.apply({command::SetWeight{{0}, {99}, 1}, command::AssignTable{{0}, 0, {42}},
                 command::SetEjected{{98}, true}});
-    EXPECT_EQ(wire.refused.size(), 3u);
+    EXPECT_EQ(pair.rejected_commands.size(), 3u);
 }
 
-// Random orders, drops of streams and rejections: after all is said the forwarder holds what was
-// ordered.
-TEST(Stream, AgreesAfterRandomOrdersAndBreaks) {
+// Random updates, reconnects and rejections, in 400 seeded runs. In the end the proxy must hold
+// what was decided last; a proxy left on an old table would send to servers that are gone.
+TEST(Stream, AgreesAfterRandomUpdatesAndReconnects) {
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
         base::SequentialRandom chance(seed, "stream");
-        Wire wire;
+        StreamPair pair;
         std::map<int, std::map<std::uint32_t, double>> tables;
-        std::map<int, int> bound{{0, -1}};
+        std::map<int, int> assigned{{0, -1}};
         for (int step = 0; step < 40; ++step) {
-            std::vector<Command> actions;
+            std::vector<Command> commands;
             for (std::size_t n = chance.below(4) + 1; n-- > 0;) {
                 const int table = static_cast<int>(chance.below(3));
                 const auto server = static_cast<std::uint32_t>(chance.below(4) + 1);
                 if (chance.happens(0.7)) {
                     const double weight =
                         chance.happens(0.3) ? 0 : 0.25 * static_cast<double>(chance.below(4) + 1);
-                    actions.emplace_back(command::SetWeight{{table}, {server}, weight});
+                    commands.emplace_back(command::SetWeight{{table}, {server}, weight});
                     if (weight > 0) {
                         tables[table][server] = weight;
                     } else {
                         tables[table].erase(server);
                     }
                 } else {
-                    actions.emplace_back(command::AssignTable{{table}, 0, {0}});
-                    bound[0] = table;
+                    commands.emplace_back(command::AssignTable{{table}, 0, {0}});
+                    assigned[0] = table;
                 }
             }
-            actions.emplace_back(command::RequestAck{{step}, false});
-            const bool moody = chance.happens(0.2);
-            wire.client.doubt = [&](const xds::AdsClient::Response&) {
-                return moody && chance.happens(0.5) ? "moody" : "";
+            commands.emplace_back(command::RequestAck{{step}, false});
+            const bool rejects = chance.happens(0.2);
+            pair.client.response_check = [&](const xds::AdsClient::Response&) {
+                return rejects && chance.happens(0.5) ? "rejected at random" : "";
             };
-            wire.order(actions);
+            pair.apply(commands);
             if (chance.happens(0.7)) {
-                wire.talk();
+                pair.exchange();
             }
             if (chance.happens(0.1)) {
-                // The stream breaks; the governor's module binds it anew.
-                wire.server = xds::AdsServer("g.1");
-                wire.board.joined({0});
-                wire.requests.clear();
-                wire.begun = false;
-                if (bound[0] >= 0) {
-                    wire.order({command::AssignTable{{bound[0]}, 0, {0}},
+                // The stream ends; the policy assigns the table to the new one.
+                pair.server = xds::AdsServer("g.1");
+                pair.snapshots.on_proxy_connected({0});
+                pair.requests.clear();
+                pair.has_started = false;
+                if (assigned[0] >= 0) {
+                    pair.apply({command::AssignTable{{assigned[0]}, 0, {0}},
                                 command::RequestAck{{step}, false}});
                 }
             }
         }
-        wire.client.doubt = {};
-        if (bound[0] < 0) {
+        pair.client.response_check = {};
+        if (assigned[0] < 0) {
             continue;
         }
-        // Whatever was rejected is superseded by one more change of it.
-        std::vector<Command> last{command::AssignTable{{bound[0]}, 0, {0}}};
+        // Whatever was rejected is superseded by one more change.
+        std::vector<Command> last{command::AssignTable{{assigned[0]}, 0, {0}}};
         for (std::uint32_t k = 1; k <= 4; ++k) {
             last.emplace_back(
-                command::SetWeight{{bound[0]}, {k}, 2.0 + static_cast<double>(seed % 3)});
+                command::SetWeight{{assigned[0]}, {k}, 2.0 + static_cast<double>(seed % 3)});
         }
         last.emplace_back(command::RequestAck{{999}, false});
-        wire.order(last);
-        wire.talk();
-        EXPECT_EQ(wire.ports("look").size(), 4u)
-            << "seed " << seed << " bound to " << bound[0] << ", acts on "
-            << wire.client.tables().routes.at("/invoke/look").cluster;
-        EXPECT_EQ(wire.ports("look"), wire.ports("order")) << "seed " << seed;
+        pair.apply(last);
+        pair.exchange();
+        EXPECT_EQ(pair.ports("look").size(), 4u)
+            << "seed " << seed << " assigned to " << assigned[0] << ", acts on "
+            << pair.client.tables().routes.at("/invoke/look").cluster;
+        EXPECT_EQ(pair.ports("look"), pair.ports("order")) << "seed " << seed;
     }
 }
 
--- a/tests/program/governor_test.cpp
+++ b/tests/program/governor_test.cpp
@@ -1,5 +1,5 @@
-// The running governor on sockets: what a forwarder sees, and the hard cases of streams, lists and
-// garbage.
+// A control plane instance on sockets: what a proxy sees, and the failures of streams, of the
+// registry's lists and of connections with invalid bytes.
 #include <sys/resource.h>
 
 #include "support.h"
@@ -8,7 +8,7 @@
 namespace badgergrade::test {
 namespace {
 
-TEST(Governor, GivesAForwarderItsTable) {
+TEST(Governor, SendsProxiesTheirTables) {
     Stage stage;
     stage.list_four();
     stage.start();
@@ -19,11 +19,13 @@
     stage.run(3s);
     EXPECT_FALSE(one.ports("look").empty());
     EXPECT_EQ(one.ports("look"), one.ports("order"));
-    EXPECT_EQ(stage.logged("forwarder.joined"), 2);
-    EXPECT_EQ(stage.logged("list.taken"), 1);
+    EXPECT_EQ(stage.logged("proxy.connected"), 2);
+    EXPECT_EQ(stage.logged("endpoints.updated"), 1);
 }
 
-TEST(Governor, TakesAGoneServerOutOfEveryTable) {
+// A server leaves the registry, and another one begins to drain. Both must leave the tables of all
+// proxies, and no table may become empty.
+TEST(Governor, RemovesLostServersFromEveryTable) {
     Stage stage;
     stage.list_four();
     stage.start();
@@ -44,14 +46,16 @@
     EXPECT_FALSE(two.ports("look").empty());
 }
 
-// "A response rejected": the rejection is told, and the order is never taken for applied.
+// A proxy rejects a response (NACK). The rejection must be logged, the proxy keeps its table, and
+// the update must not count as applied. Once the proxy accepts responses again, its tables must
+// agree with the registry.
 TEST(Governor, ARejectedVersionIsNotApplied) {
     Stage stage;
     stage.list_four();
     stage.start();
     Peer one(stage, "f1");
     bool refuse = false;
-    one.ads.doubt = [&](const xds::AdsClient::Response&) {
+    one.ads.response_check = [&](const xds::AdsClient::Response&) {
         return refuse ? std::string("not today") : std::string();
     };
     one.dial();
@@ -71,12 +75,14 @@
     }
 }
 
-TEST(Governor, AnAckWithAStaleNonceIsLeftAside) {
-    Opening at;
-    auto& [stage, one] = at;
+// A proxy sends an ACK with a nonce that was never issued. The request must be logged and ignored,
+// the stream stays open, and later updates still arrive.
+TEST(Governor, AnAckWithAStaleNonceIsIgnored) {
+    ConnectedStage connected;
+    auto& [stage, one] = connected;
     stage.run(2s);
     xds::AdsClient::Request stale;
-    stale.set_type_url(std::string(xds::url(xds::Type::Endpoints)));
+    stale.set_type_url(std::string(xds::type_url(xds::Type::Endpoints)));
     stale.set_response_nonce("no-such-nonce");
     stale.set_version_info("whatever");
     one.send(stale);
@@ -90,7 +96,9 @@
     }
 }
 
-TEST(Governor, TheNewerOfTwoStreamsWithOneNodeStands) {
+// Two streams carry the same node id, as after a reconnect over a broken network path. The older
+// stream must be ended with a reason, and the newer one is served.
+TEST(Governor, TheNewerOfTwoStreamsOfOneNodeStands) {
     Stage stage;
     stage.list_four();
     stage.start();
@@ -106,31 +114,32 @@
     EXPECT_EQ(stage.logged("stream.replaced"), 1);
 }
 
-// "A stream that ends between a response and its ACK": the forwarder comes back and gets all it
-// needs.
-TEST(Governor, AStreamThatEndsBeforeItsAckIsServedAnew) {
+// A stream ends between a response and its ACK. The proxy connects again and must get everything
+// that it needs.
+TEST(Governor, AStreamThatEndsBeforeItsAckIsServedAgain) {
     Stage stage;
     stage.list_four();
     stage.start();
     Peer one(stage, "f1");
-    one.silent = true;
+    one.answers_nothing = true;
     one.dial();
     stage.run(2s);
     ASSERT_FALSE(one.responses.empty());
     one.close();
     stage.run(100ms);
-    EXPECT_EQ(stage.logged("forwarder.left"), 1);
+    EXPECT_EQ(stage.logged("proxy.disconnected"), 1);
     Peer again(stage, "f1");
     again.dial();
     stage.run(2s);
     EXPECT_FALSE(again.ports("look").empty());
 }
 
-// "A governor killed while a table is half sent", and started over: tables stay in force, then the
-// new one's come.
-TEST(Governor, AForwarderKeepsItsTablesOverAGovernorsDeath) {
-    Opening at;
-    auto& [stage, one] = at;
+// The control plane dies while an update is half sent, and starts again. The proxy must keep its
+// tables in between, must never be without a server to choose, and then gets the tables of the new
+// instance.
+TEST(Governor, AProxyKeepsItsTablesWhileTheControlPlaneRestarts) {
+    ConnectedStage connected;
+    auto& [stage, one] = connected;
     stage.run(3s);
     const auto before = one.ports("look");
     stage.registry->remove("a");
@@ -142,7 +151,8 @@
     stage.start("2");
     one.dial();
     stage.run(20ms);
-    EXPECT_FALSE(one.ports("look").empty()) << "bare while the new governor lists its clusters";
+    EXPECT_FALSE(one.ports("look").empty())
+        << "no server to choose while the new instance lists its clusters";
     stage.run(3s);
     for (const int port : one.ports("look")) {
         EXPECT_NE(port, 9001);
@@ -150,9 +160,9 @@
     EXPECT_FALSE(one.ports("look").empty());
 }
 
-// Back pressure: a forwarder that stops reading is given up, memory stays bounded, others are
-// unhurt.
-TEST(Governor, AForwarderThatStopsReadingIsGivenUp) {
+// A proxy stops reading, so that responses for it queue up in memory. Its connection must be ended
+// when the limit of queued bytes is reached; other proxies must not be affected.
+TEST(Governor, AProxyThatStopsReadingIsDisconnected) {
     Stage stage(settings("[log]\nlevel = debug\n"),
                 false);  // real time: the kernel's buffers are part of it
     stage.config.waiting_bytes = 32768;
@@ -167,7 +177,7 @@
     stuck.dial();
     stage.run(300ms);
     ASSERT_TRUE(stuck.stream);
-    // A small window and no reading: what the governor sends waits with it.
+    // With a small window and no reading, responses queue up in the control plane.
     stuck.stream->pause_reading();
     for (int round = 0; round < 400 && stage.logged("connection.ended") == 0; ++round) {
         for (int k = 0; k < 8; ++k) {
@@ -177,31 +187,32 @@
         stage.run(20ms);
     }
     EXPECT_GE(stage.logged("connection.ended"), 1);
-    EXPECT_EQ(stage.logged("forwarder.left"), 1);
+    EXPECT_EQ(stage.logged("proxy.disconnected"), 1);
     EXPECT_TRUE(good.ended.empty()) << good.ended;
     EXPECT_FALSE(good.ports("look").empty());
 }
 
-// A half-open connection: the far side fell silent without an end.
-TEST(Governor, AHalfOpenConnectionIsNoticed) {
-    Opening at;
-    auto& [stage, one] = at;
+// The peer disappears without closing its connection. The unanswered keepalive must end the
+// connection and the session.
+TEST(Governor, AHalfOpenConnectionIsDetected) {
+    ConnectedStage connected;
+    auto& [stage, one] = connected;
     stage.run(1s);
     one.stream->pause_reading();  // answers no ping any more
     stage.run(10s);
-    EXPECT_EQ(stage.logged("forwarder.left"), 1);
+    EXPECT_EQ(stage.logged("proxy.disconnected"), 1);
     EXPECT_EQ(stage.logged("connection.ended"), 1);
 }
 
-struct Garbage {
+struct InvalidBytes {
     const char* name;
     std::string bytes;
     int times = 1;
 };
 
-class GarbageOnXds : public testing::TestWithParam<int> {};
+class InvalidBytesOnXds : public testing::TestWithParam<int> {};
 
-std::vector<Garbage> garbage() {
+std::vector<InvalidBytes> invalid_bytes() {
     const std::string preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
     const std::string settings_frame("\0\0\0\4\0\0\0\0\0", 9);
     std::string oversized("\xff\xff\xff\0\0\0\0\0\1", 9);
@@ -232,14 +243,16 @@
             {"zeros", std::string(100000, '\0')}};
 }
 
-TEST_P(GarbageOnXds, IsToldAndClosedAndNothingElseTouched) {
+// A client sends bytes that are not HTTP/2, or that misuse it. The connection must be closed and
+// logged once; another proxy keeps its stream and gets its updates.
+TEST_P(InvalidBytesOnXds, CloseTheConnectionAndAffectNothingElse) {
     Stage stage;
     stage.list_four();
     stage.start();
     Peer good(stage, "good");
     good.dial();
     stage.run(1s);
-    const Garbage what = garbage()[static_cast<std::size_t>(GetParam())];
+    const InvalidBytes what = invalid_bytes()[static_cast<std::size_t>(GetParam())];
     std::string ended;
     net::StreamPtr bad;
     net::Dial dial(*stage.loop, base::ActorId{200}, "bad", stage.service->address(), 1s,
@@ -264,20 +277,24 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Kinds, GarbageOnXds, testing::Range(0, 6));
+INSTANTIATE_TEST_SUITE_P(Kinds, InvalidBytesOnXds, testing::Range(0, 6));
 
-TEST(Governor, MalformedProtobufEndsTheCallWithALine) {
-    Opening at;
-    auto& [stage, one] = at;
+// A proxy sends a message that is not valid protobuf. The stream must end with a status that says
+// so, and its session ends.
+TEST(Governor, MalformedProtobufEndsTheStreamAndIsLogged) {
+    ConnectedStage connected;
+    auto& [stage, one] = connected;
     stage.run(1s);
     one.call->send("\xff\xff\xff not a message");
     stage.run(100ms);
     EXPECT_EQ(stage.logged("stream.malformed"), 1);
     EXPECT_NE(one.call_ended.find("can't be read"), std::string::npos) << one.call_ended;
-    EXPECT_EQ(stage.logged("forwarder.left"), 1);
+    EXPECT_EQ(stage.logged("proxy.disconnected"), 1);
 }
 
-TEST(Governor, AnOversizedMessageEndsTheCall) {
+// A proxy sends a message above the size limit. The stream must end with a status that names the
+// size, before the message fills the memory.
+TEST(Governor, AnOversizedMessageEndsTheStream) {
     Stage stage;
     stage.start();
     Peer one(stage, "f1");
@@ -288,6 +305,8 @@
     EXPECT_NE(one.call_ended.find("70000 bytes"), std::string::npos) << one.call_ended;
 }
 
+// A proxy gives no node id, so that its updates could not be told apart from those of others. The
+// stream must be refused with a status that says what is missing.
 TEST(Governor, ANodeWithoutAnIdIsRefused) {
     Stage stage;
     stage.start();
@@ -298,8 +317,8 @@
     EXPECT_NE(one.call_ended.find("node with an id"), std::string::npos) << one.call_ended;
 }
 
-// Slow bytes: a request that comes byte by byte is a request.
-TEST(Governor, SlowBytesAreWaitedFor) {
+// A slow network delivers a request byte by byte. It must be handled like any other.
+TEST(Governor, ARequestThatArrivesByteByByteIsServed) {
     Stage stage;
     stage.list_four();
     stage.start();
@@ -324,13 +343,13 @@
         stream->send(std::string(1, c));
         stage.run(3ms);
     }
-    EXPECT_EQ(stage.logged("forwarder.joined"), 1);
+    EXPECT_EQ(stage.logged("proxy.connected"), 1);
     stream->close(true);
 }
 
-// "200 forwarders joining at once against the line limit": all are served, and never more lines
-// wait than allowed.
-TEST(Governor, ManyJoiningAtOnceKeepTheLineLimit) {
+// 200 proxies connect at once, for example after a restart of the control plane. All must be
+// served, and never more lines may be queued than the settings allow.
+TEST(Governor, ManyProxiesConnectingAtOnceKeepTheLineLimit) {
     auto config = settings();
     config.told.proxy_count = 200;
     config.told.max_queued_lines = 1500;
@@ -352,22 +371,25 @@
         served += !peer->ports("look").empty();
     }
     EXPECT_EQ(served, 200);
-    EXPECT_LE(stage.service->figures().channel.waiting_most, 1500);
-    EXPECT_GT(stage.service->figures().channel.waiting_most, 500) << "the limit was never near";
+    EXPECT_LE(stage.service->metrics().send_queue.max_queued_lines, 1500);
+    EXPECT_GT(stage.service->metrics().send_queue.max_queued_lines, 500)
+        << "the limit was never near";
 }
 
-// ---- the registry's bad hours
+// ---- failures of the registry
 
-TEST(Registry, AnEmptyListAfterAFullOneIsRefused) {
-    Opening at;
-    auto& [stage, one] = at;
+// The registry restarts without its data and serves an empty list. The list must be rejected,
+// tables stay as they were, and the next list with servers is followed again.
+TEST(Registry, AnEmptyListAfterAFullOneIsRejected) {
+    ConnectedStage connected;
+    auto& [stage, one] = connected;
     stage.run(2s);
     const auto before = one.ports("look");
     stage.registry->restart(false);
     stage.run(5s);
-    EXPECT_GE(stage.logged("list.trouble"), 1);
+    EXPECT_GE(stage.logged("endpoints.watch_failed"), 1);
     EXPECT_EQ(one.ports("look"), before);
-    // Filled again it is followed again.
+    // A list that is not empty is accepted again.
     stage.list("x", "north", 9100);
     stage.list("y", "south", 9101);
     stage.run(12s);
@@ -377,53 +399,62 @@
     EXPECT_FALSE(one.ports("look").empty());
 }
 
-TEST(Registry, AnOlderListIsRefused) {
+// The registry falls back to an old copy of its data: the index of the list goes back. The list
+// must be rejected and logged.
+TEST(Registry, AnOlderListIsRejected) {
     Stage stage;
     stage.list_four();
     stage.start();
     stage.run(1s);
-    const int taken = stage.logged("list.taken");
+    const int updates = stage.logged("endpoints.updated");
     stage.registry->go_back(3);
     stage.run(3s);
-    EXPECT_EQ(stage.logged("list.taken"), taken);
-    EXPECT_GE(stage.logged("list.trouble"), 1);
+    EXPECT_EQ(stage.logged("endpoints.updated"), updates);
+    EXPECT_GE(stage.logged("endpoints.watch_failed"), 1);
 }
 
-TEST(Registry, AHungOneIsAskedAgainAndGarbageLeavesTheListAsItWas) {
+// The registry hangs, and afterwards answers with invalid JSON. Both must be logged and retried,
+// the last list stays in force, and the next valid list is accepted.
+TEST(Registry, AHungRegistryIsRetriedAndInvalidAnswersChangeNothing) {
     Stage stage;
     stage.list_four();
     stage.start();
     stage.run(1s);
     stage.registry->hang(true);
     stage.run(8s);
-    EXPECT_GE(stage.logged("list.trouble"), 1);
+    EXPECT_GE(stage.logged("endpoints.watch_failed"), 1);
     stage.registry->hang(false);
     stage.registry->garbage = "{\"registry\": 7";
     stage.list("e", "north", 9005);
     stage.run(4s);
-    const int taken = stage.logged("list.taken");
+    const int updates = stage.logged("endpoints.updated");
     stage.registry->garbage.clear();
     stage.run(10s);
-    EXPECT_EQ(stage.logged("list.taken"), taken + 1);
+    EXPECT_EQ(stage.logged("endpoints.updated"), updates + 1);
 }
 
-TEST(EndpointListValidator, DoubtsASuddenLossOnce) {
-    xds_server::EndpointListValidator check(config::EmptyList::Refuse, 0.5);
-    using V = xds_server::EndpointListValidator::Verdict;
-    EXPECT_EQ(check.look({"r", 5, 10}).verdict, V::Take);
-    EXPECT_EQ(check.look({"r", 5, 10}).verdict, V::Same);
-    EXPECT_EQ(check.look({"r", 4, 10}).verdict, V::Refuse);
-    EXPECT_EQ(check.look({"r", 6, 0}).verdict, V::Refuse);
-    EXPECT_EQ(check.look({"r", 7, 3}).verdict, V::AskAgain);
-    EXPECT_EQ(check.look({"r", 7, 3}).verdict, V::Take);
-    EXPECT_EQ(check.look({"other", 1, 9}).verdict, V::Take);
+// The registry suddenly loses most of its servers. The first such list must be confirmed by a
+// second answer; older and empty lists are rejected, and a new incarnation of the registry may
+// count from the start.
+TEST(EndpointListValidator, ConfirmsASuddenLossOnce) {
+    xds_server::EndpointListValidator validator(config::EmptyList::Refuse, 0.5);
+    using Decision = xds_server::EndpointListValidator::Decision;
+    EXPECT_EQ(validator.validate({"r", 5, 10}).decision, Decision::Accept);
+    EXPECT_EQ(validator.validate({"r", 5, 10}).decision, Decision::Unchanged);
+    EXPECT_EQ(validator.validate({"r", 4, 10}).decision, Decision::Reject);
+    EXPECT_EQ(validator.validate({"r", 6, 0}).decision, Decision::Reject);
+    EXPECT_EQ(validator.validate({"r", 7, 3}).decision, Decision::Confirm);
+    EXPECT_EQ(validator.validate({"r", 7, 3}).decision, Decision::Accept);
+    EXPECT_EQ(validator.validate({"other", 1, 9}).decision, Decision::Accept);
 }
 
-TEST(Registry, ReadsListsAndSaysWhatIsWrongWithThem) {
-    const auto list = xds_server::parse_list(
+// A list of the registry is invalid in one of several ways. It must be rejected as a whole, with a
+// text that says what is wrong.
+TEST(Registry, ParsesListsAndReportsWhatIsInvalid) {
+    const auto list = xds_server::parse_server_list(
         R"({"registry":"r","index":3,"servers":[{"id":"a","zone":"z","address":"127.0.0.1:80","age_ms":1.5,"weight":2}]})");
     EXPECT_EQ(list.servers.at(0).age, 1500us);
-    const std::pair<const char*, const char*> wrong[] = {
+    const std::pair<const char*, const char*> invalid_lists[] = {
         {"{", "can't be read"},
         {R"({"registry":"r","index":3})", "servers"},
         {R"({"registry":"r","index":3,"servers":[{"id":"a","address":"nowhere"}]})", "no port"},
@@ -434,17 +465,18 @@
         {R"({"registry":"r","index":-1,"servers":[{"id":"a","address":"1.2.3.4:5"},{"id":"a","address":"1.2.3.4:5"}]})",
          "twice"},
     };
-    for (const auto& [text, what] : wrong) {
+    for (const auto& [text, reason] : invalid_lists) {
         try {
-            xds_server::parse_list(text);
+            xds_server::parse_server_list(text);
             ADD_FAILURE() << text;
-        } catch (const std::runtime_error& said) {
-            EXPECT_NE(std::string(said.what()).find(what), std::string::npos) << said.what();
+        } catch (const xds_server::InvalidServerList& error) {
+            EXPECT_NE(std::string(error.what()).find(reason), std::string::npos) << error.what();
         }
     }
 }
 
-// No descriptors left: newcomers wait, those there are unhurt, and accepting goes on afterwards.
+// The process has no file descriptors left. New connections must wait, existing ones must not be
+// affected, and connections are accepted again as soon as descriptors are free.
 TEST(Governor, SurvivesWithoutDescriptors) {
     Stage stage(settings(), false);
     stage.list_four();
@@ -456,16 +488,16 @@
     getrlimit(RLIMIT_NOFILE, &before);
     int sample = dup(0);
     close(sample);
-    // Room for the dialler's socket and none for the accepted one.
+    // One descriptor for the client's socket, and none for the accepted one.
     rlimit tight{static_cast<rlim_t>(sample) + 1, before.rlim_max};
     Peer late(stage, "late", "south");
     setrlimit(RLIMIT_NOFILE, &tight);
     late.dial();
     stage.run(300ms);
-    EXPECT_EQ(stage.logged("forwarder.joined"), 1);
+    EXPECT_EQ(stage.logged("proxy.connected"), 1);
     setrlimit(RLIMIT_NOFILE, &before);
     stage.run(500ms);
-    EXPECT_EQ(stage.logged("forwarder.joined"), 2);
+    EXPECT_EQ(stage.logged("proxy.connected"), 2);
     EXPECT_TRUE(good.ended.empty());
     EXPECT_GE(stage.logged("descriptors.none"), 1);
 }
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -1,5 +1,5 @@
-// What the program's tests share: a loop on the virtual clock, a governor with its registry, a raw
-// xDS client, and settings in one piece.
+// Shared by the tests of the program: settings, a control plane instance with its registry on the
+// virtual clock, and a proxy's discovery stream.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -61,7 +61,7 @@
     return config;
 }
 
-// A governor with its registry on the virtual clock.
+// A control plane instance with its registry, on the virtual clock unless told otherwise.
 struct Stage {
     explicit Stage(config::GovernorConfig from = settings(), bool is_virtual = true)
         : loop(is_virtual ? std::make_unique<net::Loop>(1000s) : std::make_unique<net::Loop>()),
@@ -93,13 +93,14 @@
         list("d", "south", 9004);
     }
 
-    void start(const std::string& life = "1") {
-        service =
-            std::make_unique<xds_server::XdsServer>(*loop, base::ActorId{10}, config, *log, life);
+    void start(const std::string& incarnation = "1") {
+        service = std::make_unique<xds_server::XdsServer>(*loop, base::ActorId{10}, config, *log,
+                                                          incarnation);
     }
 
     void run(base::Micros time) { loop->run_until(loop->clock().now() + time); }
 
+    // How many log lines of this event were written.
     int logged(const std::string& event) const {
         int n = 0;
         for (const auto& line : lines) {
@@ -116,7 +117,7 @@
     std::unique_ptr<xds_server::XdsServer> service;
 };
 
-// One forwarder's stream, driven by hand.
+// One proxy's discovery stream, controlled by the test.
 struct Peer {
     Peer(Stage& s, const std::string& name, const std::string& zone = "north")
         : stage(s),
@@ -147,7 +148,7 @@
                 };
                 call = connection->call(std::string(xds::kAdsMethod));
                 call->on_message = [this](std::string_view bytes) {
-                    came(bytes);
+                    on_message(bytes);
                 };
                 call->on_closed = [this](std::string w) {
                     call_ended = w.empty() ? "ended" : w;
@@ -160,11 +161,11 @@
 
     void send(const xds::AdsClient::Request& request) { call->send(request.SerializeAsString()); }
 
-    void came(std::string_view bytes) {
+    void on_message(std::string_view bytes) {
         xds::AdsClient::Response response;
         ASSERT_TRUE(response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())));
         responses.push_back(response);
-        if (silent) {
+        if (answers_nothing) {
             return;
         }
         const auto outcome = ads.on_response(response);
@@ -184,7 +185,7 @@
         }
     }
 
-    // Lines that this forwarder would pick from for an operation.
+    // Ports of the servers that this proxy may choose for an operation.
     std::vector<int> ports(const std::string& operation) const {
         std::vector<int> out;
         const auto route = ads.tables().routes.find(xds::path_of(operation));
@@ -212,12 +213,12 @@
     net::GrpcCallPtr call;
     std::vector<xds::AdsClient::Response> responses;
     std::string ended, call_ended;
-    bool silent = false;
+    bool answers_nothing = false;
 };
 
-// Four servers, a governor and one forwarder that dials it.
-struct Opening {
-    Opening() {
+// Four servers, a control plane instance and one proxy that connects to it.
+struct ConnectedStage {
+    ConnectedStage() {
         stage.list_four();
         stage.start();
         one.dial();
