--- a/bench/governor_bench.cpp
+++ b/bench/governor_bench.cpp
@@ -347,7 +347,7 @@
 
     std::string next_reply() {
         wait_for([&] { return received_.find('\n') != std::string::npos; });
-        const std::string line = received_.substr(0, received_.find('\n'));
+        std::string line = received_.substr(0, received_.find('\n'));
         received_.erase(0, line.size() + 1);
         return line;
     }
@@ -386,6 +386,7 @@
 
     std::vector<Cost> measure_changes() {
         std::vector<Cost> costs;
+        costs.reserve(static_cast<std::size_t>(sizes_.changes));
         for (int n = 0; n < sizes_.changes; ++n) {
             costs.push_back(measure([&] {
                 const auto before = server_.metrics().acknowledged_updates;
@@ -404,6 +405,7 @@
                   "raw 127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + " " +
                       std::to_string(sent) + " " + std::to_string(answered));
         std::vector<std::shared_ptr<tcp::socket>> sockets;
+        sockets.reserve(static_cast<std::size_t>(sizes_.streams));
         for (int k = 0; k < sizes_.streams; ++k) {
             sockets.push_back(std::make_shared<tcp::socket>(acceptor.accept()));
         }
@@ -411,6 +413,7 @@
         const std::string bytes(sent, 'x');
         std::vector<char> reply(answered);
         std::vector<Cost> costs;
+        costs.reserve(static_cast<std::size_t>(sizes_.changes));
         for (int n = 0; n < sizes_.changes; ++n) {
             costs.push_back(measure([&] {
                 int open = sizes_.streams;
--- a/tests/program/core_test.cpp
+++ b/tests/program/core_test.cpp
@@ -11,6 +11,7 @@
 #include "xds/ads_server.h"
 #include "xds/snapshot_cache.h"
 #include "xds_server/load_report_queue.h"
+#include "xds_server/server_directory.h"
 
 namespace badgergrade::test {
 namespace {
@@ -183,6 +184,48 @@
     EXPECT_TRUE(parsed.report.operations.empty());
 }
 
+// ---- server directory
+
+xds_server::ListedServer listed_server(std::uint16_t port, const std::string& incarnation,
+                                       Micros age) {
+    xds_server::ListedServer listed;
+    listed.id = "a";
+    listed.zone = "south";
+    listed.incarnation = incarnation;
+    listed.address = {"127.0.0.1", port};
+    listed.age = age;
+    return listed;
+}
+
+// The registry rounds the age of a server, so that each list gives a slightly different start time.
+// The first one of an incarnation must stand: otherwise the policy would see a new start with each
+// list. A new incarnation must give a new start time.
+TEST(ServerDirectory, KeepsTheStartTimeOfAnIncarnation) {
+    const std::vector<std::string> zones{"north", "south"};
+    xds_server::ServerDirectory servers(zones);
+    const auto first = servers.update(listed_server(9001, "1", 4s), 10s);
+    EXPECT_EQ(first.started_at, 6s);
+    EXPECT_EQ(first.zone.value, 1);
+    EXPECT_EQ(servers.update(listed_server(9001, "1", 4s), 11s).started_at, 6s);
+    EXPECT_EQ(servers.update(listed_server(9001, "2", 1s), 12s).started_at, 11s);
+    EXPECT_EQ(servers.update(listed_server(9001, "3", 0s), 13s).started_at, 0s) << "long ago";
+}
+
+// A server comes back at another address while old tables still name the former one. It must get
+// another id, or loads and health checks of the two addresses would be mixed up.
+TEST(ServerDirectory, TreatsAnotherAddressAsAnotherServer) {
+    const std::vector<std::string> zones{"north", "south"};
+    xds_server::ServerDirectory servers(zones);
+    const ServerId old_id = servers.update(listed_server(9001, "1", 0s), 10s).server;
+    const ServerId new_id = servers.update(listed_server(9002, "2", 0s), 10s).server;
+    EXPECT_NE(old_id, new_id);
+    EXPECT_EQ(servers.update(listed_server(9001, "1", 0s), 11s).server, old_id);
+    EXPECT_EQ(servers.name(old_id), "a");
+    EXPECT_EQ(servers.name(new_id), "a");
+    EXPECT_EQ(servers.find("a"), new_id);
+    EXPECT_EQ(servers.by_address().at({"127.0.0.1", 9002}), new_id);
+}
+
 // ---- HTTP/1.1
 
 TEST(Http1, ParsesMessagesInPiecesOfAnySize) {
