--- a/src/xds_server/proxy_sessions.cpp
+++ b/src/xds_server/proxy_sessions.cpp
@@ -101,7 +101,8 @@
         return known->second;
     }
     if (ids_by_name_.size() >= kMaxProxies) {
-        return Refusal{"no more than " + std::to_string(kMaxProxies) + " nodes"};
+        return Refusal{RefusalReason::TooManyProxies,
+                       "no more than " + std::to_string(kMaxProxies) + " nodes"};
     }
     const ProxyId proxy{static_cast<int>(ids_by_name_.size())};
     ids_by_name_[name] = proxy;
@@ -113,7 +114,8 @@
     const net::GrpcCallPtr& call, const envoy::config::core::v3::Node& node) {
     const std::string& name = node.id();
     if (name.empty() || name.size() > kMaxNodeIdBytes) {
-        return Refusal{"the first request must carry a node with an id of 1 to 128 bytes"};
+        return Refusal{RefusalReason::InvalidNodeId,
+                       "the first request must carry a node with an id of 1 to 128 bytes"};
     }
     replace_older_stream(name, call);
     auto id = proxy_id_for(name);
--- a/src/xds_server/proxy_sessions.h
+++ b/src/xds_server/proxy_sessions.h
@@ -86,8 +86,12 @@
     /// What one stream said about itself so far.
     struct StreamIdentity;
 
-    /// Why a stream was refused, for the log and for the status of the stream.
+    enum class RefusalReason { InvalidNodeId, TooManyProxies };
+
+    /// Why a stream was refused.
     struct Refusal {
+        RefusalReason reason = RefusalReason::InvalidNodeId;
+        /// For the log and for the status of the stream.
         std::string text;
     };
 
