--- a/src/platform_server/platform_server.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -237,7 +237,7 @@
 void PlatformServer::add_collector(ConnectionId id, Connection& connection, ZoneId zone) {
     connections_.identify(id, ConnectionRole::Collector);
     connection.zone = zone;
-    log_.info("collector.joined", {{"zone", zone_name(zone)}, {"peer", connection.stream->peer()}});
+    log_.info("collector.connected", {{"zone", zone_name(zone)}, {"peer", connection.stream->peer()}});
     if (const auto evicted = collectors_.to_evict(zone, connections_)) {
         connections_.close(*evicted, "newer collectors of this zone report");
     }
@@ -255,7 +255,7 @@
     proxy_sessions_.set(connected.proxy, id);
     config_state_.on_proxy_connected(connected.proxy);
     ++counters_.joins;
-    log_.info("proxy.joined", {{"proxy", connected.proxy.value},
+    log_.info("proxy.connected", {{"proxy", connected.proxy.value},
                                {"zone", connected.zone.value},
                                {"fresh", connected.fresh_start},
                                {"peer", connection.stream->peer()}});
@@ -338,14 +338,14 @@
     if (connection.role == ConnectionRole::Proxy) {
         on_proxy_released(id, connection, why);
     } else if (connection.role == ConnectionRole::Collector) {
-        log_.info("collector.left", {{"zone", zone_name(connection.zone)}, {"why", why}});
+        log_.info("collector.disconnected", {{"zone", zone_name(connection.zone)}, {"why", why}});
         collectors_.remove(connection.zone, id);
     }
 }
 
 void PlatformServer::on_proxy_released(ConnectionId id, const Connection& connection,
                                        const std::string& why) {
-    log_.info("proxy.left", {{"proxy", connection.proxy.value},
+    log_.info("proxy.disconnected", {{"proxy", connection.proxy.value},
                              {"why", why},
                              {"unanswered", connection.pending_acks.size()}});
     if (!proxy_sessions_.remove(connection.proxy, id)) {
