--- a/src/pacing/paced_send_queue.h
+++ b/src/pacing/paced_send_queue.h
@@ -56,8 +56,9 @@
     /// Discarded messages on the way are removed and counted.
     std::optional<xds::ProxyMessage> pop(Micros now);
 
-    /// Discards all queued messages to a proxy that disconnected. They keep their place, because
-    /// the lines in front of a message must not change after it was queued.
+    /// Discards all queued messages to a proxy that disconnected; they are not sent when it comes
+    /// back. They keep their place, because the lines in front of a message must not change after
+    /// it was queued. Messages that are pushed later are not affected.
     void discard(ProxyId proxy);
 
     /// Lines of all queued messages, including message heads and acknowledgement requests.
--- a/src/platform_server/platform_server.h
+++ b/src/platform_server/platform_server.h
@@ -64,8 +64,10 @@
     /// Where it listens, or will once the address is free.
     net::Address address() const { return listener_ ? listener_->address() : config_.listen; }
 
-    /// Applies a new configuration: discovery may have moved. A change that takes effect only after
-    /// a restart is logged (`config.needs_restart`).
+    /// Applies a new configuration: only the address of discovery takes effect. A changed name,
+    /// listening address or limit on sockets is logged (`config.needs_restart`); the other
+    /// settings, the known list and the seed are ignored without a line. Connections, tables and
+    /// the state of the planner stay. No-op after stop().
     void reload(const platform::NodeConfig& config);
 
     /// Closes all connections; no message is read and no update sent from then on.
--- a/src/policy/command.h
+++ b/src/policy/command.h
@@ -31,10 +31,12 @@
 /// Read the whole endpoint list once.
 struct FetchEndpoints {};
 
+/// Check a server once; event::HealthCheckResult brings the outcome.
 struct CheckHealth {
     ServerId server;
 };
 
+/// Send a message to other control plane instances; it arrives as event::GossipMessage.
 struct SendGossip {
     /// Nothing: every other instance.
     std::optional<PeerId> recipient;
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -9,12 +9,16 @@
 //   - it crawls: its answers take four times as long as the median server's, and longer than the
 //     objective.
 // Failures beside long answers are an overload of that server: ejecting it tips the next one.
-// After the ejection time the server is on probation at a reduced weight; failing again doubles the
-// ejection time.
+// After the ejection time (6 s at first) the server is on probation for 5 s: it is in the zone's
+// tables again, at a quarter of its weight. Failing or crawling again ejects it for twice as long,
+// 24 s at most. The ejection time falls again while a healthy server gets attempts.
+//
+// The full table follows its own rule: it drops a server that half of the zones have ejected
+// (table_planner.h).
 //
 // Invariants: at most a fixed part of a zone's servers is ejected, unless the zone is dead (three
 // quarters of its servers answer nothing) while other zones answer; reports from before probation
-// do not count in it. docs/design.md, "Verdicts", has the reasons.
+// do not count in it. docs/design.md, "Changed" 1, has the reasons.
 #pragma once
 
 #include <cstddef>
@@ -65,7 +69,8 @@
     bool refusing_connections = false;
 };
 
-/// A server was ejected from a zone's tables, or is back in them.
+/// A server was ejected from a zone's tables, or has passed its probation. The step from ejection
+/// to probation, with which the server returns to the tables, gives no change and no log line.
 struct EjectionChange {
     ZoneId zone;
     ServerId server;
@@ -81,9 +86,11 @@
     /// `cpu_column`: where load metrics hold the CPU utilization; past their end: nowhere.
     OutlierDetector(int zone_count, Micros shortest_objective, std::size_t cpu_column);
 
-    /// The zone must be known.
+    /// Counts a report in the bucket of `now`, whatever interval it covers. The zone must be
+    /// known.
     void on_load_report(Micros now, const event::ServerLoadReport& report);
-    /// The server has started anew: what was met before does not count.
+    /// The server has started anew: what was met before does not count, and its ejections and
+    /// probations in all zones end.
     void forget(ServerId server);
 
     /// Sum over all zones and ready servers.
@@ -92,7 +99,9 @@
     AttemptStats server_stats(Micros now, ServerId server, int newest_buckets) const;
 
     /// Takes the decisions of this moment, in the order of zones and servers.
-    /// `everywhere`: fleet_stats() of this moment.
+    /// `everywhere`: fleet_stats() of this moment. Call it once a decision: the ejection time of
+    /// healthy servers falls by kDecisionTick with each call. A server that is not ready is left
+    /// out, and its ejection or probation goes on until it is ready again.
     std::vector<EjectionChange> evaluate(Micros now, const FleetState& fleet,
                                          const AttemptStats& everywhere);
 
--- a/src/policy/overload_control.h
+++ b/src/policy/overload_control.h
@@ -10,8 +10,16 @@
 // it is; under a low score it falls. What is shed is a part of the work asked for (rate x latency
 // objective). The operation that is worth least for its work is shed first.
 //
+// The rates are those of the connected proxies' demand reports over the last 6.4 s
+// (kDemandBuckets). A zone's table has the shed fraction of that zone; the full table has the mean
+// over the connected proxies of their zones' shed fractions. A local-only table also admits no
+// more than twice what the zone's own servers, warming ones at their fraction, carry of what the
+// zone asks for. Subset tables get the limits of their zone's tables (subsetting.h). In fraction
+// mode the limit is the admitted fraction, in steps of 1/20; in rate mode it is
+// admission_rate_limit().
+//
 // Invariants: a fifth of the work, and a tenth of each operation, is always asked for, so that the
-// recovery can be seen; without an overload nothing is shed. docs/design.md, "Levels", has the
+// recovery can be seen; without an overload nothing is shed. docs/design.md, "Changed" 5, has the
 // reasons.
 #pragma once
 
@@ -39,10 +47,11 @@
     explicit OverloadControl(const Settings& settings);
 
     /// Sets the desired limits of the full table, the zone tables and the local-only tables.
-    /// `demand_shares`: by zone.
+    /// `demand_shares`: by zone. Call it with each decision; shed fractions change once a second.
     void update(Micros now, FleetState& fleet, const OutlierDetector& outliers,
                 const SlowStart& slow_start, const std::vector<double>& demand_shares);
 
+    /// Whether any zone's shed fraction is above 0.
     bool sheds() const;
 
     bool can_limit_admission() const { return admission_mode_ != AdmissionMode::None; }
--- a/src/policy/publisher.h
+++ b/src/policy/publisher.h
@@ -10,9 +10,19 @@
 // or the acknowledgement timeout has passed. Order of a batch: tables that nobody uses, so that an
 // assignment finds its table whole; then lost servers; assignments; the rest.
 //
+// A server that drains or is gone is a lost server: it is removed with the decision after the
+// list named it so. Its removal is cut to the lines that the send budget has, or delayed, while
+// - one user of the table has used up its message allowance: no user is sent the table's change;
+// - the estimated queue is over 95% of its limit;
+// - the table's last change is younger than the urgent interval, and only the reserve is left.
+// Acknowledgements are not waited for. Nothing here measures Settings::drain_grace.
+//
+// A proxy that connects is first assigned its tables, with Urgent priority, as soon as the budget
+// has the lines of all of them; until then it is sent nothing and uses what it holds.
+//
 // Invariants: a table with users is never emptied before its newcomers are sent; a change is
 // recorded as published exactly when its command is given out; a batch is one message a proxy.
-// docs/design.md, "Channel guard", has the reasons.
+// docs/design.md, "Changed" 6, has the reasons.
 #pragma once
 
 #include <map>
@@ -50,6 +60,9 @@
     Publisher(const Settings& settings, FleetState& fleet, const OutlierDetector& outliers,
               const Subsetting& subsetting, SendBudget& budget);
 
+    /// The commands of this decision, which must all be carried out: they are recorded as
+    /// published. The last one is a RequestAck, if any proxy is concerned. Call it once a
+    /// decision.
     std::vector<Command> publish(Micros now, bool full_table_mode);
 
 private:
@@ -67,7 +80,8 @@
     const OutlierDetector& outliers_;
     const Subsetting& subsetting_;
     SendBudget& budget_;
-    /// Urgent changes of one table are merged for this long, so that messages last.
+    /// Urgent changes of one table that need the reserve are merged for this long after its last
+    /// change, so that messages last: two message windows / the messages allowed in one.
     Micros urgent_interval_;
     std::vector<Command> commands_;
 };
--- a/src/policy/send_budget.h
+++ b/src/policy/send_budget.h
@@ -14,8 +14,8 @@
 // queue and message allowance; all else leaves a reserve of both.
 //
 // Invariants: no proxy gets more messages in the window than the settings allow; lines count as
-// waiting until the guaranteed pace or an acknowledgement takes them off. docs/design.md, "Channel
-// guard", has the reasons.
+// waiting until the guaranteed pace or an acknowledgement takes them off. docs/design.md,
+// "Changed" 6, has the reasons.
 #pragma once
 
 #include <cstddef>
@@ -44,7 +44,9 @@
 
     /// Begins a batch: all that is reserved until commit() is one message a proxy.
     void begin(Micros now);
-    /// How many lines each of these proxies may be sent now, message heads not included.
+    /// How many lines each of these proxies may be sent now, message heads not included. 0 where
+    /// any one of them may get no message now. There must be at least one recipient, and each must
+    /// be known.
     std::size_t lines_available(Micros now, const Proxies& proxies,
                                 const std::vector<ProxyId>& recipients, Priority priority) const;
     /// Counts these lines as sent to each recipient.
@@ -58,7 +60,11 @@
     /// The version of the last batch that sent something.
     int version() const { return version_; }
 
+    /// A proxy has applied all up to `version`. Its lines leave the queue; while no lines are
+    /// lost, so do the lines of all proxies that were sent under earlier versions.
     void on_acknowledged(ProxyId id, int version, Proxies& proxies);
+    /// A proxy's connection broke. Its unacknowledged lines are counted as lost and leave the
+    /// estimated queue; as many newer lines go on counting there after their acknowledgement.
     void on_disconnected(Proxy& proxy);
 
 private:
--- a/src/policy/shard_assignment.h
+++ b/src/policy/shard_assignment.h
@@ -22,8 +22,12 @@
 public:
     explicit ShardAssignment(const Settings& settings);
 
+    /// Begins with an empty table for the shard, or forgets it.
     void on_assignment_changed(const event::ShardAssignmentChanged& change, FleetState& fleet);
+    /// Takes in a replica; ignored where this instance does not decide on the shard.
     static void on_replica(const event::ShardReplica& replica, FleetState& fleet);
+    /// Removes lost servers and fills vacant shards. The commands must all be carried out: they
+    /// are recorded as published. Call it once a decision.
     std::vector<Command> update(Micros now, FleetState& fleet);
 
 private:
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -7,11 +7,13 @@
 // The design gives a quarter, rising. That is safe only where the server can bear it: what a server
 // can do rises evenly from its initial capacity, and retries or an overload multiply what it meets.
 // So its weight is also kept under its capacity of the moment x the factor at which it collapses /
-// the overload expected. In a severe overload it gets nothing until it is warm.
+// the overload expected. It gets nothing at all in a severe overload, until it is warm, and in the
+// first Settings::overload_collapse_time after this instance heard of its start. The fraction
+// rises in eight steps over the slow start window.
 //
 // Invariants: a warm server has its whole weight; the overload expected rises at once and falls
 // only after one slow start window, since the next wave of retries meets the servers that are
-// warming now. docs/design.md, "Easing in", has the reasons.
+// warming now. docs/design.md, "Changed" 2, has the reasons.
 #pragma once
 
 #include "policy/fleet_state.h"
@@ -35,10 +37,12 @@
     double weight_fraction(Micros now, const Server& server, double overload) const;
     /// The same at the overload that is expected now.
     double weight_fraction(Micros now, const Server& server) const;
+    /// Its fraction at its usual load is under 1. A server without a start time is warm.
     bool is_warming_up(Micros now, const Server& server) const;
     /// The weight of the ready servers that are warming up, of all ready servers (0 to 1).
     double warming_fraction(Micros now, const FleetState& fleet) const;
-    /// The weight for the tables of a zone.
+    /// The weight for the tables of a zone: the server's weight x the lower of its slow start
+    /// fraction and, on probation, kReducedWeightFraction.
     double planned_weight(Micros now, const Server& server, bool on_probation) const;
 
     /// Follows what the proxies met in the whole fleet. `shedding`: some zone's admission is cut.
--- a/src/policy/subsetting.h
+++ b/src/policy/subsetting.h
@@ -14,7 +14,7 @@
 // Invariants: servers that are warming up are in no subset; nothing is split while much of the
 // fleet is warming up; a proxy keeps its subset while the count stays the same and the
 // subset holds its weight.
-// docs/design.md, "Shelves", has the reasons.
+// docs/design.md, "Changed" 4, has the reasons.
 #pragma once
 
 #include <vector>
--- a/src/policy/table_planner.h
+++ b/src/policy/table_planner.h
@@ -12,7 +12,7 @@
 //
 // Invariants: an ejection never leaves the full table or a local-only table without servers; a
 // server that slow start gives nothing is in no table, unless that table would be empty.
-// docs/design.md, "The ceiling", has the reasons.
+// docs/design.md, "Changed" 3, has the reasons.
 #pragma once
 
 #include <map>
--- a/src/runtime/config_state.h
+++ b/src/runtime/config_state.h
@@ -1,7 +1,7 @@
 /// \file
 /// The configuration that this instance has published: weights, admission settings, ejections and
 /// which tables each proxy is assigned. Turns the commands of one decision into one update per
-/// proxy, in the terms of no protocol. No I/O and no decision in here.
+/// proxy, in the terms of no protocol. No I/O and no decision in here. For one thread.
 #pragma once
 
 #include <map>
@@ -77,7 +77,9 @@
 public:
     explicit ConfigState(const Settings& settings);
 
-    /// A proxy's stream is open; no table is assigned to it yet. Its ejections are kept for as long
+    /// A proxy's stream is open; no table is assigned to it yet. It gets its first update from the
+    /// next apply() that assigns it a table, finds an ejection that it was not sent (or that was
+    /// taken back), or asks all proxies for an acknowledgement. Its ejections are kept for as long
     /// as this instance runs, since a proxy keeps them across streams.
     void on_proxy_connected(ProxyId proxy);
     /// A proxy's stream is closed: its assignments end. An unknown proxy is ignored.
--- a/src/runtime/policy_runner.h
+++ b/src/runtime/policy_runner.h
@@ -1,6 +1,9 @@
 /// \file
 /// Runs one policy::Planner on a clock: events that arrive close together share one decision, and
 /// the timers that the planner sets come back to it as events. Knows no protocol.
+///
+/// All calls and callbacks are on the thread of the clock's loop. Callbacks must not destroy the
+/// runner. Errors: none are reported here; exceptions of callbacks pass through.
 #pragma once
 
 #include <functional>
@@ -27,7 +30,8 @@
     /// there are none. Must be set before the first event.
     std::function<void(std::vector<Command>)> on_commands;
 
-    /// Hands an event to the planner and schedules a decision, if none is scheduled yet.
+    /// Hands an event to the planner at once and schedules a decision after the batch time, if
+    /// none is scheduled yet. Calls on_event before it returns; a timer calls on_commands.
     void post(const Event& event);
     /// Schedules a decision without delay, with or without an event.
     void schedule_decision();
--- a/src/xds/ads_client.h
+++ b/src/xds/ads_client.h
@@ -105,6 +105,8 @@
         std::optional<RejectedResponse> rejected;
     };
 
+    /// Handles a response. An accepted one replaces the tables and is acknowledged (ACK); for a
+    /// rejected one (NACK) the tables stay as they are.
     ResponseResult on_response(const Response& response);
 
     /// Continues with tables that an earlier stream left in force.
--- a/src/xds_server/endpoint_watch.h
+++ b/src/xds_server/endpoint_watch.h
@@ -64,10 +64,16 @@
     /// the watch retries with exponential backoff.
     std::function<void(const std::string& reason)> on_error;
 
+    /// Begins to poll, at once. No-op while the watch runs.
     void start();
+
+    /// Cancels the request in flight and the retries. The last list is kept. From within on_error
+    /// it does not cancel the retry, which is scheduled after that callback.
     void stop();
 
-    /// Requests the whole list once more, at once.
+    /// Requests the whole list once more, at once, in place of the request in flight; also while
+    /// the watch is stopped; after an error it is then retried until an answer is accepted. Not
+    /// from within on_update of a running watch: it would poll twice from then on.
     void fetch();
 
 private:
--- a/src/xds_server/health_checker.h
+++ b/src/xds_server/health_checker.h
@@ -26,7 +26,9 @@
     /// of a request. May start another check; must not destroy this object.
     std::function<void(const event::HealthCheckResult&)> on_result;
 
-    /// Starts a health check. The address of a server is fixed by its first one.
+    /// Starts a health check; on_result must be set. Checks of one server may run at the same
+    /// time, and each ends with one result, at the latest after the timeout. The address of a
+    /// server is fixed by its first check.
     void check(ServerId server, const net::Address& address);
 
 private:
