--- a/src/platform_server/platform_server.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -237,7 +237,8 @@
 void PlatformServer::add_collector(ConnectionId id, Connection& connection, ZoneId zone) {
     connections_.identify(id, ConnectionRole::Collector);
     connection.zone = zone;
-    log_.info("collector.connected", {{"zone", zone_name(zone)}, {"peer", connection.stream->peer()}});
+    log_.info("collector.connected",
+              {{"zone", zone_name(zone)}, {"peer", connection.stream->peer()}});
     if (const auto evicted = collectors_.to_evict(zone, connections_)) {
         connections_.close(*evicted, "newer collectors of this zone report");
     }
@@ -256,9 +257,9 @@
     config_state_.on_proxy_connected(connected.proxy);
     ++counters_.joins;
     log_.info("proxy.connected", {{"proxy", connected.proxy.value},
-                               {"zone", connected.zone.value},
-                               {"fresh", connected.fresh_start},
-                               {"peer", connection.stream->peer()}});
+                                  {"zone", connected.zone.value},
+                                  {"fresh", connected.fresh_start},
+                                  {"peer", connection.stream->peer()}});
     post(connected);
 }
 
@@ -346,8 +347,8 @@
 void PlatformServer::on_proxy_released(ConnectionId id, const Connection& connection,
                                        const std::string& why) {
     log_.info("proxy.disconnected", {{"proxy", connection.proxy.value},
-                             {"why", why},
-                             {"unanswered", connection.pending_acks.size()}});
+                                     {"why", why},
+                                     {"unanswered", connection.pending_acks.size()}});
     if (!proxy_sessions_.remove(connection.proxy, id)) {
         return;
     }
