--- a/src/policy/subsetting.cpp
+++ b/src/policy/subsetting.cpp
@@ -88,9 +88,9 @@
         ZoneSubsets& subsets = zones_[index_of(zone)];
         const int count_before = subsets.count;
         update_count(now, zone, fleet, outliers.health(zone));
-        const bool many_warming =
-            slow_start.warming_fraction(now, fleet) > kManyWarmingFraction / 2;
-        if (now >= subsets.until || many_warming) {
+        // The scan over all servers is left out where the zone is not split anyway.
+        if (now >= subsets.until ||
+            slow_start.warming_fraction(now, fleet) > kManyWarmingFraction / 2) {
             subsets.count = 1;
         }
         if (subsets.count != count_before) {
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -141,14 +141,14 @@
 
 /// Tables whose assignment differs after the update: by their lines, or because a server in them
 /// was ejected or readmitted.
-std::set<TableId> SnapshotCache::changed_tables(const runtime::ProxyUpdate& update) const {
+std::set<TableId> SnapshotCache::changed_tables(const runtime::ProxyUpdate& update,
+                                                const std::set<TableId>& assigned) const {
     std::set<TableId> changed;
     for (const auto& part : update.tables) {
         if (part->replace_all || !part->weights.empty()) {
             changed.insert(part->table);
         }
     }
-    const std::set<TableId> assigned = assigned_tables(update.proxy);
     for (const auto* servers : {&update.eject, &update.restore}) {
         for (const ServerId server : *servers) {
             for (const TableId table : assigned) {
@@ -164,7 +164,7 @@
 std::vector<ResourceChange> SnapshotCache::changes_for(const runtime::ProxyUpdate& update) {
     SentState& sent = sent_.at(update.proxy);
     std::set<TableId> assigned = assigned_tables(update.proxy);
-    const std::set<TableId> changed = changed_tables(update);
+    const std::set<TableId> changed = changed_tables(update, assigned);
     std::vector<ResourceChange> changes;
     const auto add = [&](const ResourcePtr& resource) {
         changes.push_back({resource->type, resource->name, resource});
--- a/src/xds/snapshot_cache.h
+++ b/src/xds/snapshot_cache.h
@@ -114,7 +114,8 @@
                                 std::vector<RejectedCommand>& rejected) const;
     std::vector<ResourceChange> changes_for(const runtime::ProxyUpdate& update);
     std::set<TableId> assigned_tables(ProxyId proxy) const;
-    std::set<TableId> changed_tables(const runtime::ProxyUpdate& update) const;
+    std::set<TableId> changed_tables(const runtime::ProxyUpdate& update,
+                                     const std::set<TableId>& assigned) const;
     void add_listener_and_routes(ProxyId proxy, SentState& sent,
                                  std::vector<ResourceChange>& changes);
 
