--- a/src/pacing/paced_send_queue.cpp
+++ b/src/pacing/paced_send_queue.cpp
@@ -68,8 +68,7 @@
 
 void PacedSendQueue::set_pace(Micros now, double pace_fraction) {
     if (!queue_.empty() && now > head_started_) {
-        const double elapsed_seconds =
-            static_cast<double>((now - head_started_).count()) / kMicrosPerSecond;
+        const double elapsed_seconds = to_seconds(now - head_started_);
         const double sent_lines = elapsed_seconds * lines_per_second_ * pace_fraction_;
         unsent_head_lines_ = std::max(0.0, unsent_head_lines_ - sent_lines);
         head_started_ = now;
--- a/src/platform_server/discovery_watch.cpp
+++ b/src/platform_server/discovery_watch.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "base/backoff.h"
+
 namespace badgergrade::platform_server {
 
 using namespace std::chrono_literals;
@@ -27,8 +29,6 @@
 constexpr Micros kFirstRetryDelay = 30ms;
 /// Longest pause before a retry: the list must not get old once discovery works again.
 constexpr Micros kMaxRetryDelay = 500ms;
-/// Bound of the doubling; kMaxRetryDelay is reached before.
-constexpr int kMaxRetryDoublings = 5;
 /// Retries are made after this fraction of the delay at least, so that instances spread.
 constexpr double kMinRetryFraction = 0.5;
 
@@ -92,9 +92,8 @@
     if (on_trouble) {
         on_trouble(why);
     }
-    const int doublings = std::min(consecutive_failures_++, kMaxRetryDoublings);
     const Micros delay =
-        std::min(kMaxRetryDelay, kFirstRetryDelay * (std::int64_t{1} << doublings));
+        base::exponential_backoff(kFirstRetryDelay, kMaxRetryDelay, consecutive_failures_++);
     const double jittered_us =
         static_cast<double>(delay.count()) * retry_jitter_.between(kMinRetryFraction, 1);
     retry_timer_.after(Micros(static_cast<std::int64_t>(jittered_us)), [this] { poll(); });
--- a/src/platform_server/platform_server.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -398,7 +398,7 @@
 }
 
 const std::string& PlatformServer::zone_name(ZoneId zone) const {
-    return config_.protocol_names.zones[static_cast<std::size_t>(zone.value)];
+    return config_.protocol_names.zones[index_of(zone)];
 }
 
 }  // namespace badgergrade::platform_server
--- a/src/policy/command.h
+++ b/src/policy/command.h
@@ -70,6 +70,9 @@
 
 /// How much of some operations the users of a table admit, and what they retry.
 struct SetAdmission {
+    /// A rate (invocations per second) at or above this admits everything.
+    static constexpr double kUnlimitedRate = 1e6;
+
     TableId table;
     OperationMask operations;
     /// A fraction (0 to 1) or a rate per second, by Settings::admission_mode.
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -36,10 +36,6 @@
 /// Table numbers are reserved for this many subsets in each zone.
 constexpr int kMaxSubsets = 64;
 
-inline double to_seconds(Micros duration) {
-    return static_cast<double>(duration.count()) / 1e6;
-}
-
 struct Server {
     ZoneId zone{};
     ServerState state = ServerState::Gone;
@@ -129,9 +125,4 @@
     }
 };
 
-/// The place of a zone in a vector that holds one element a zone.
-inline std::size_t index_of(ZoneId zone) {
-    return static_cast<std::size_t>(zone.value);
-}
-
 }  // namespace badgergrade::policy
--- a/src/policy/ids.h
+++ b/src/policy/ids.h
@@ -3,6 +3,7 @@
 
 #include <chrono>
 #include <compare>
+#include <cstddef>
 #include <cstdint>
 
 namespace badgergrade {
@@ -11,6 +12,10 @@
 /// beginning of the clock that is handed in (base::Clock); they are never wall-clock time.
 using Micros = std::chrono::microseconds;
 
+constexpr double to_seconds(Micros duration) {
+    return static_cast<double>(duration.count()) / 1e6;
+}
+
 /// A number that identifies one kind of thing. Each kind has a type of its own, so that ids of
 /// different kinds can't be mixed up.
 template <class Tag, class Rep>
@@ -19,6 +24,12 @@
     friend auto operator<=>(const Id&, const Id&) = default;
 };
 
+/// The place of an id in a vector that holds one element for each id from 0 on.
+template <class Tag, class Rep>
+constexpr std::size_t index_of(Id<Tag, Rep> id) {
+    return static_cast<std::size_t>(id.value);
+}
+
 /// A backend server. A server that restarts keeps its id.
 using ServerId = Id<struct ServerTag, std::uint32_t>;
 /// An availability zone: an index from 0 to Settings::zone_count - 1, or -1 where none is known.
--- a/src/policy/overload_control.cpp
+++ b/src/policy/overload_control.cpp
@@ -4,6 +4,8 @@
 #include <cmath>
 #include <numeric>
 
+#include "policy/command.h"
+
 namespace badgergrade::policy {
 namespace {
 
@@ -59,7 +61,7 @@
         }
         remaining -= rates[k];
     }
-    return kUnlimitedRate;
+    return command::SetAdmission::kUnlimitedRate;
 }
 
 OverloadControl::OverloadControl(const Settings& settings)
@@ -74,7 +76,7 @@
         shed_order_.push_back(id);
     }
     const auto worth_less = [&](OperationId a, OperationId b) {
-        return worth[static_cast<std::size_t>(a.value)] < worth[static_cast<std::size_t>(b.value)];
+        return worth[index_of(a)] < worth[index_of(b)];
     };
     std::stable_sort(shed_order_.begin(), shed_order_.end(), worth_less);
 }
@@ -86,7 +88,7 @@
 void OverloadControl::update(Micros now, FleetState& fleet, const OutlierDetector& outliers,
                              const SlowStart& slow_start,
                              const std::vector<double>& demand_shares) {
-    if (!can_limit_admission() || work_seconds_.empty()) {
+    if (admission_mode_ == AdmissionMode::None || work_seconds_.empty()) {
         return;
     }
     if (now >= next_update_) {
@@ -161,7 +163,7 @@
                                  const Limits& limits) const {
     double to_shed = limits.shed_fraction * demand.work;
     for (const OperationId operation : shed_order_) {
-        const auto k = static_cast<std::size_t>(operation.value);
+        const auto k = index_of(operation);
         const std::vector<double>& rates = demand.rates[k];
         const double rate = std::accumulate(rates.begin(), rates.end(), 0.0);
         double admitted = 1;
@@ -177,7 +179,8 @@
         admitted = std::floor(admitted * kFractionSteps) / kFractionSteps;
         double limit = admitted;
         if (admission_mode_ == AdmissionMode::Rate) {
-            limit = admitted >= 1 ? kUnlimitedRate : admission_rate_limit(rates, admitted);
+            limit = admitted >= 1 ? command::SetAdmission::kUnlimitedRate
+                                  : admission_rate_limit(rates, admitted);
         }
         fleet.tables[limits.table].desired_limits[operation] = limit;
     }
--- a/src/policy/overload_control.h
+++ b/src/policy/overload_control.h
@@ -32,9 +32,6 @@
 
 namespace badgergrade::policy {
 
-/// A limit that admits everything, in invocations per second.
-constexpr double kUnlimitedRate = 1e6;
-
 /// The shed fraction of a zone one second later.
 double next_shed_fraction(double shed_fraction, double overload_score);
 
@@ -54,8 +51,6 @@
     /// Whether any zone's shed fraction is above 0.
     bool sheds() const;
 
-    bool can_limit_admission() const { return admission_mode_ != AdmissionMode::None; }
-
 private:
     struct Demand;
 
--- a/src/policy/zone_allocation.cpp
+++ b/src/policy/zone_allocation.cpp
@@ -59,7 +59,7 @@
         surplus[zone] = -std::max(desired, minimum_for(desired));
     }
     for (const ServerCapacity& server : servers) {
-        surplus[static_cast<std::size_t>(server.zone.value)] += server.usable;
+        surplus[index_of(server.zone)] += server.usable;
     }
     return surplus;
 }
@@ -139,13 +139,13 @@
             break;
         }
         allocation.zone_of_server[server->server] = move.to;
-        surplus[static_cast<std::size_t>(move.from.value)] -= server->usable;
-        surplus[static_cast<std::size_t>(move.to.value)] += server->usable;
+        surplus[index_of(move.from)] -= server->usable;
+        surplus[index_of(move.to)] += server->usable;
     }
     allocation.usable.assign(demand_shares.size(), 0.0);
     for (const ServerCapacity& server : servers) {
         const ZoneId zone = allocation.zone_of_server[server.server];
-        allocation.usable[static_cast<std::size_t>(zone.value)] += server.usable;
+        allocation.usable[index_of(zone)] += server.usable;
     }
     return allocation;
 }
--- a/src/replay/report.cpp
+++ b/src/replay/report.cpp
@@ -13,10 +13,6 @@
 
 namespace {
 
-double in_seconds(Micros t) {
-    return static_cast<double>(t.count()) / 1e6;
-}
-
 // For gnuplot's quotes and its page.
 std::string plain(const std::string& text) {
     std::string out;
@@ -80,11 +76,11 @@
 // One shade a trouble, named above the first panel; names that would overlap go to further rows.
 void shades(std::ostream& out, const RecordedDay& day, Micros from, Micros to, bool names) {
     double row_end[4] = {-1e9, -1e9, -1e9, -1e9};
-    const double width = in_seconds(to - from);
+    const double width = to_seconds(to - from);
     for (const auto& trouble : day.troubles) {
-        const double begin = std::max(in_seconds(from), in_seconds(trouble.at));
+        const double begin = std::max(to_seconds(from), to_seconds(trouble.at));
         const double end = trouble.lasts.count() > 0
-                               ? std::min(in_seconds(to), in_seconds(trouble.at + trouble.lasts))
+                               ? std::min(to_seconds(to), to_seconds(trouble.at + trouble.lasts))
                                : begin + width / 200;
         if (end <= begin) {
             continue;
@@ -117,7 +113,7 @@
     out << "set output '" << output << "'\n";
     data(out, "$A", comparison.a);
     data(out, "$B", comparison.b);
-    out << "set multiplot\nset xrange [" << in_seconds(from) << ":" << in_seconds(to)
+    out << "set multiplot\nset xrange [" << to_seconds(from) << ":" << to_seconds(to)
         << "]\nset lmargin 10\nset rmargin 3\nset grid ytics lc rgb '#dddddd'\n"
         << "set style line 1 lc rgb '#1f5fa8' lw 2\nset style line 2 lc rgb '#c0392b' lw 2 dt "
            "2\nset border 3\nset tics nomirror\n";
@@ -200,7 +196,7 @@
            ".25rem}pre{background:#f7f7f7;padding:.8rem;white-space:pre-wrap}\n"
            "</style></head><body>\n";
     out << "<h1>" << escaped(day.header.made_by()) << " under two settings</h1>\n<p>"
-        << day.invocations << " invocations recorded, " << digits(in_seconds(day.length), false)
+        << day.invocations << " invocations recorded, " << digits(to_seconds(day.length), false)
         << " s, seed " << day.header.seed()
         << ". Service is the billed value answered within the latency objective, "
            "by part of that asked for; a retry counts with its first try.";
--- a/src/runtime/config_state.cpp
+++ b/src/runtime/config_state.cpp
@@ -6,7 +6,9 @@
 
 ConfigState::ConfigState(const Settings& settings)
     : head_lines_(settings.message_head_lines),
-      unlimited_(settings.admission_mode == AdmissionMode::Rate ? kUnlimitedRate : 1),
+      unlimited_(settings.admission_mode == AdmissionMode::Rate
+                     ? command::SetAdmission::kUnlimitedRate
+                     : 1),
       default_retry_mode_(settings.default_retry_mode) {
     for (int k = 0; k < static_cast<int>(settings.operations.size()); ++k) {
         operations_.push_back({k});
--- a/src/runtime/config_state.h
+++ b/src/runtime/config_state.h
@@ -19,9 +19,6 @@
 
 namespace badgergrade::runtime {
 
-/// An admission limit (attempts per second) at or above this admits everything.
-constexpr double kUnlimitedRate = 1e6;
-
 /// Whether a mask of operations includes this one; the mask 0 includes all.
 constexpr bool includes(OperationMask mask, OperationId operation) {
     return mask == 0 || (mask >> operation.value & 1) != 0;
@@ -29,7 +26,7 @@
 
 /// What a proxy admits of one operation and how it retries.
 struct AdmissionSetting {
-    /// A fraction of [0, 1] or attempts per second, as Settings::admission_mode says.
+    /// A fraction of [0, 1] or invocations per second, as Settings::admission_mode says.
     double limit = 0;
     RetryMode retry_mode = RetryMode::OnlyUnprocessed;
     friend bool operator==(const AdmissionSetting&, const AdmissionSetting&) = default;
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -432,7 +432,7 @@
                 TimeUtil::MicrosecondsToDuration(operation.integration_timeout.count());
             set_retry_policy(*action, operation, retry_mode, attempt_timeout_factor_);
             if (admission_mode_ == AdmissionMode::Rate &&
-                admission_limit < runtime::kUnlimitedRate) {
+                admission_limit < command::SetAdmission::kUnlimitedRate) {
                 set_rate_limit(*route, operation, admission_limit);
             }
             if (admission_mode_ == AdmissionMode::Fraction && admission_limit < 1) {
--- a/src/xds_server/endpoint_watch.cpp
+++ b/src/xds_server/endpoint_watch.cpp
@@ -5,6 +5,8 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
+#include "base/backoff.h"
+
 namespace badgergrade::xds_server {
 
 using namespace std::chrono_literals;
@@ -13,7 +15,6 @@
 
 constexpr Micros kFirstRetryDelay = 250ms;
 constexpr Micros kMaxRetryDelay = 5s;
-constexpr int kMaxBackoffDoublings = 5;
 constexpr Micros kIdleConnectionTime = 60s;
 /// Delay until the next poll. A registry that answers at once would otherwise make a busy loop of
 /// the watch.
@@ -145,8 +146,8 @@
     if (on_error) {
         on_error(reason);
     }
-    const auto factor = std::int64_t{1} << std::min(consecutive_errors_++, kMaxBackoffDoublings);
-    const Micros delay = std::min(kMaxRetryDelay, kFirstRetryDelay * factor);
+    const Micros delay =
+        base::exponential_backoff(kFirstRetryDelay, kMaxRetryDelay, consecutive_errors_++);
     poll_timer_.after(delay, [this] { poll(); });
 }
 
--- a/src/xds_server/load_report_queue.cpp
+++ b/src/xds_server/load_report_queue.cpp
@@ -5,9 +5,7 @@
 
 namespace badgergrade::xds_server {
 
-namespace {
-constexpr double kMicrosPerSecond = 1e6;
-}  // namespace
+namespace {}  // namespace
 
 LoadReportQueue::LoadReportQueue(const Settings& settings)
     : load_metric_names_(settings.load_metric_names),
@@ -85,7 +83,7 @@
 
 std::vector<Event> LoadReportQueue::pop(Micros now) {
     const Micros elapsed = now - std::exchange(last_pop_, now);
-    const double elapsed_seconds = static_cast<double>(elapsed.count()) / kMicrosPerSecond;
+    const double elapsed_seconds = to_seconds(elapsed);
     // At most one second's worth of events is saved up while idle: the limit is a rate, and a burst
     // after a pause would overrun the policy.
     allowance_ =
--- a/src/xds_server/load_report_streams.cpp
+++ b/src/xds_server/load_report_streams.cpp
@@ -13,11 +13,6 @@
 constexpr std::size_t kMaxLoggedUnknownNames = 1000;
 }  // namespace
 
-struct LoadReportStreams::StreamIdentity {
-    std::string name;
-    bool is_known = false;
-};
-
 LoadReportStreams::LoadReportStreams(log::Logger& log, Micros report_interval,
                                      const ProxySessions& sessions, const ServerDirectory& servers,
                                      LoadReportQueue& queue, XdsServerMetrics& metrics)
@@ -29,17 +24,9 @@
       metrics_(metrics) {}
 
 void LoadReportStreams::accept(const net::GrpcCallPtr& call) {
-    const auto identity = std::make_shared<StreamIdentity>();
-    call->on_message = [this, weak = std::weak_ptr(call), identity](std::string_view bytes) {
-        if (const auto strong = weak.lock()) {
-            on_message(strong, *identity, bytes);
-        }
-    };
-    call->on_half_closed = [weak = std::weak_ptr(call)] {
-        if (const auto strong = weak.lock()) {
-            strong->finish();
-        }
-    };
+    receive_stream(call, [this](const auto& stream, StreamIdentity& identity, auto bytes) {
+        on_message(stream, identity, bytes);
+    });
 }
 
 void LoadReportStreams::on_message(const net::GrpcCallPtr& call, StreamIdentity& identity,
--- a/src/xds_server/load_report_streams.h
+++ b/src/xds_server/load_report_streams.h
@@ -15,6 +15,7 @@
 #include "xds_server/metrics.h"
 #include "xds_server/proxy_sessions.h"
 #include "xds_server/server_directory.h"
+#include "xds_server/stream_receiver.h"
 
 namespace badgergrade::xds_server {
 
@@ -29,9 +30,6 @@
     void accept(const net::GrpcCallPtr& call);
 
 private:
-    /// What one stream said about itself so far.
-    struct StreamIdentity;
-
     void on_message(const net::GrpcCallPtr& call, StreamIdentity& identity, std::string_view bytes);
     void send_instructions(net::GrpcCall& call) const;
     void log_unknown_names(const std::vector<std::string>& names, const std::string& proxy);
--- a/src/xds_server/proxy_sessions.cpp
+++ b/src/xds_server/proxy_sessions.cpp
@@ -30,12 +30,6 @@
 
 }  // namespace
 
-struct ProxySessions::StreamIdentity {
-    std::string name;
-    /// The first request was accepted.
-    bool is_known = false;
-};
-
 ProxySessions::ProxySessions(base::Clock& clock, log::Logger& log, std::string origin,
                              const std::vector<std::string>& zones, XdsServerMetrics& metrics)
     : clock_(clock),
@@ -45,17 +39,10 @@
       metrics_(metrics) {}
 
 void ProxySessions::accept(const net::GrpcCallPtr& call) {
-    const auto identity = std::make_shared<StreamIdentity>();
-    call->on_message = [this, weak = std::weak_ptr(call), identity](std::string_view bytes) {
-        if (const auto strong = weak.lock()) {
-            on_message(strong, *identity, bytes);
-        }
-    };
-    call->on_half_closed = [weak = std::weak_ptr(call)] {
-        if (const auto strong = weak.lock()) {
-            strong->finish();
-        }
-    };
+    const auto identity =
+        receive_stream(call, [this](const auto& stream, StreamIdentity& identity, auto bytes) {
+            on_message(stream, identity, bytes);
+        });
     call->on_closed = [this, identity, raw = call.get()](const std::string& reason) {
         if (identity->is_known) {
             disconnect(identity->name, raw, reason);
--- a/src/xds_server/proxy_sessions.h
+++ b/src/xds_server/proxy_sessions.h
@@ -25,6 +25,7 @@
 #include "policy/ids.h"
 #include "xds/ads_server.h"
 #include "xds_server/metrics.h"
+#include "xds_server/stream_receiver.h"
 
 namespace badgergrade::xds_server {
 
@@ -83,9 +84,6 @@
     std::string proxy_name(ProxyId proxy) const;
 
 private:
-    /// What one stream said about itself so far.
-    struct StreamIdentity;
-
     enum class RefusalReason { InvalidNodeId, TooManyProxies };
 
     /// Why a stream was refused.
--- a/tests/policy/overload_control_test.cpp
+++ b/tests/policy/overload_control_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "fleet_builder.h"
+#include "policy/command.h"
 #include "policy/demand_estimator.h"
 
 namespace badgergrade::policy {
@@ -33,7 +34,7 @@
 // One limit for all proxies, so the busiest are cut first and quiet ones keep what they ask for.
 TEST(OverloadControl, RateLimitCutsTheBusiestFirst) {
     EXPECT_DOUBLE_EQ(admission_rate_limit({1, 1, 10}, 0.5), 4);
-    EXPECT_DOUBLE_EQ(admission_rate_limit({}, 0.5), kUnlimitedRate);
+    EXPECT_DOUBLE_EQ(admission_rate_limit({}, 0.5), command::SetAdmission::kUnlimitedRate);
 }
 
 // In an overload the operation that is worth least for its work is shed before the others.
