--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The simulator's text wire: one message a line, a word and then tab-separated `name=value`
 /// fields. Here, and nowhere else, the simulator's words are mapped to the terms of the policy.
 /// Times on the wire are decimal milliseconds; in the program they are whole microseconds.
--- a/src/adapter/host.h
+++ b/src/adapter/host.h
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Runs the control plane instances of one simulator process: reads frames of events, hands them to
 /// the instances and answers each frame with their commands. Takes no decision itself.
 #pragma once
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The simulator's adapter: reads the wire from standard input, answers on standard output, reports
 /// errors on standard error.
 #include <iostream>
--- a/src/config/governor_config.h
+++ b/src/config/governor_config.h
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The configuration file of one control plane instance: the settings of the policy, and what the
 /// program itself needs. The keys are those of docs and examples/governor.ini.
 #pragma once
--- a/src/config/ini.h
+++ b/src/config/ini.h
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// INI files with the place of every value, and typed readers that collect every error with file,
 /// line, key and what would be right. Reading goes on after an error, so that one run shows them
 /// all.
--- a/src/platform_server/platform_server.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -47,7 +47,7 @@
       config_state_(config.settings),
       policy_runner_(clock_, actor, config.settings, config.seed, config.batch_window),
       connections_(clock_, actor, max_connections(config), warnings_),
-      update_sender_({config_.protocol_names, server_ids_, config_state_, proxy_sessions_,
+      update_sender_({config_.protocol_names, server_ids_, config_state_, proxy_connections_,
                       connections_, warnings_},
                      log_),
       housekeeping_timer_(clock_, actor),
@@ -133,7 +133,7 @@
         return;
     }
     log_.info("node.stopping",
-              {{"proxies", proxy_sessions_.size()}, {"connections", connections_.size()}});
+              {{"proxies", proxy_connections_.size()}, {"connections", connections_.size()}});
     if (listener_) {
         listener_->close();
     }
@@ -143,7 +143,7 @@
     listen_retry_timer_.stop();
     connections_.close_all();
     collectors_.clear();
-    proxy_sessions_.clear();
+    proxy_connections_.clear();
 }
 
 void PlatformServer::reload(const platform::NodeConfig& config) {
@@ -170,7 +170,7 @@
     statistics.rejected = connections_.rejected_total();
     statistics.connections = connections_.size();
     statistics.unidentified = connections_.unidentified();
-    statistics.proxies = proxy_sessions_.size();
+    statistics.proxies = proxy_connections_.size();
     statistics.servers = server_ids_.size();
     statistics.buffered_bytes = connections_.buffered_bytes();
     statistics.timers = policy_runner_.timers();
@@ -250,10 +250,10 @@
                                const event::ProxyConnected& connected) {
     connections_.identify(id, ConnectionRole::Proxy);
     connection.proxy = connected.proxy;
-    if (const auto existing = proxy_sessions_.find(connected.proxy)) {
+    if (const auto existing = proxy_connections_.find(connected.proxy)) {
         connections_.close(*existing, "a newer stream of this proxy");
     }
-    proxy_sessions_.set(connected.proxy, id);
+    proxy_connections_.set(connected.proxy, id);
     config_state_.on_proxy_connected(connected.proxy);
     ++counters_.joins;
     log_.info("proxy.connected", {{"proxy", connected.proxy.value},
@@ -349,7 +349,7 @@
     log_.info("proxy.disconnected", {{"proxy", connection.proxy.value},
                                      {"why", why},
                                      {"unanswered", connection.pending_acks.size()}});
-    if (!proxy_sessions_.remove(connection.proxy, id)) {
+    if (!proxy_connections_.remove(connection.proxy, id)) {
         return;
     }
     config_state_.on_proxy_disconnected(connection.proxy);
--- a/src/platform_server/platform_server.h
+++ b/src/platform_server/platform_server.h
@@ -22,7 +22,7 @@
 #include "platform_server/collector_registry.h"
 #include "platform_server/connection_table.h"
 #include "platform_server/discovery_watch.h"
-#include "platform_server/proxy_sessions.h"
+#include "platform_server/proxy_connections.h"
 #include "platform_server/update_sender.h"
 #include "runtime/config_state.h"
 #include "runtime/policy_runner.h"
@@ -112,7 +112,7 @@
     runtime::ConfigState config_state_;
     runtime::PolicyRunner policy_runner_;
     ConnectionTable connections_;
-    ProxySessions proxy_sessions_;
+    ProxyConnections proxy_connections_;
     CollectorRegistry collectors_;
     UpdateSender update_sender_;
     base::Timer housekeeping_timer_;
--- a/src/platform_server/proxy_sessions.h
+++ b/src/platform_server/proxy_connections.h
@@ -13,9 +13,9 @@
 /// The newest connection of each proxy that has identified itself.
 ///
 /// Failure guarded against: a proxy dials anew before the end of its old stream is seen. The end
-/// that then arrives late must not disconnect the proxy: the newest connection is the session, and
+/// that then arrives late must not disconnect the proxy: the newest connection stands, and
 /// the end of another one changes nothing.
-class ProxySessions {
+class ProxyConnections {
 public:
     /// The connection of a proxy, if it has one.
     std::optional<ConnectionId> find(ProxyId proxy) const {
@@ -23,10 +23,10 @@
         return it == connections_.end() ? std::nullopt : std::optional(it->second);
     }
 
-    /// Makes this connection the session of the proxy.
+    /// Makes this connection the one of the proxy.
     void set(ProxyId proxy, ConnectionId id) { connections_[proxy] = id; }
 
-    /// Ends the session of the proxy if this connection is it; whether it was.
+    /// Forgets the connection of the proxy if it is this one; whether it was.
     bool remove(ProxyId proxy, ConnectionId id) {
         const auto it = connections_.find(proxy);
         if (it == connections_.end() || it->second != id) {
--- a/src/platform_server/update_sender.cpp
+++ b/src/platform_server/update_sender.cpp
@@ -41,7 +41,7 @@
 
 // The connection is found by its proxy for each update: sending an earlier one may have closed it.
 void UpdateSender::send(const runtime::ProxyUpdate& update, const std::string& bytes) {
-    const std::optional<ConnectionId> id = dependencies_.proxy_sessions.find(update.proxy);
+    const std::optional<ConnectionId> id = dependencies_.proxy_connections.find(update.proxy);
     if (!id) {
         return;
     }
--- a/src/platform_server/update_sender.h
+++ b/src/platform_server/update_sender.h
@@ -12,7 +12,7 @@
 #include "platform/config.h"
 #include "platform/server_ids.h"
 #include "platform_server/connection_table.h"
-#include "platform_server/proxy_sessions.h"
+#include "platform_server/proxy_connections.h"
 #include "policy/command.h"
 #include "runtime/config_state.h"
 
@@ -25,7 +25,7 @@
         const platform::ProtocolNames& protocol_names;
         const platform::ServerIds& server_ids;
         runtime::ConfigState& config_state;
-        const ProxySessions& proxy_sessions;
+        const ProxyConnections& proxy_connections;
         ConnectionTable& connections;
         log::RateLimitedLogger& warnings;
     };
--- a/src/runtime/config_state.h
+++ b/src/runtime/config_state.h
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The configuration that this instance has published: weights, admission settings, ejections and
 /// which tables each proxy is assigned. Turns the commands of one decision into one update per
 /// proxy, in the terms of no protocol. No I/O and no decision in here. For one thread.
--- a/src/runtime/policy_runner.h
+++ b/src/runtime/policy_runner.h
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Runs one policy::Planner on a clock: events that arrive close together share one decision, and
 /// the timers that the planner sets come back to it as events. Knows no protocol.
 ///
