--- a/src/xds_server/stream_receiver.h
+++ b/src/xds_server/stream_receiver.h
@@ -29,7 +29,7 @@
 /// Returns the identity that the handler is given, which lives as long as the stream.
 inline std::shared_ptr<StreamIdentity> receive_stream(const net::GrpcCallPtr& call,
                                                       StreamMessageHandler on_message) {
-    const auto identity = std::make_shared<StreamIdentity>();
+    auto identity = std::make_shared<StreamIdentity>();
     call->on_message = [weak = std::weak_ptr(call), identity,
                         on_message = std::move(on_message)](std::string_view bytes) {
         if (const auto strong = weak.lock()) {
