--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -15,9 +15,9 @@
     int runs = 1;
 };
 
-scenario::DayScript load_day(const std::string& path) {
+scenario::ScenarioScript load_day(const std::string& path) {
     std::vector<config::ConfigError> mistakes;
-    scenario::DayScript script;
+    scenario::ScenarioScript script;
     try {
         script = scenario::load_script(path, mistakes);
     } catch (const std::runtime_error& wrong) {
@@ -27,14 +27,14 @@
     return script;
 }
 
-scenario::DayRun record(const scenario::DayScript& script, const scenario::DayOptions& options,
-                        const std::string& path) {
+scenario::ScenarioRun record(const scenario::ScenarioScript& script,
+                             const scenario::ScenarioOptions& options, const std::string& path) {
     recording::WriterOptions how;
     // The virtual clock can wait for the disk; the real one can't.
     how.when_full = options.clock == scenario::ClockKind::Virtual ? recording::WhenFull::Wait
                                                                   : recording::WhenFull::Lose;
     recording::WriterFigures figures;
-    scenario::DayRun result;
+    scenario::ScenarioRun result;
     try {
         result = replay::record_day(script, options, path, how, figures);
     } catch (const recording::CannotWrite& wrong) {
@@ -53,9 +53,9 @@
     if (args.seed > 0) {
         script.seed = args.seed;
     }
-    scenario::DayOptions options;
+    scenario::ScenarioOptions options;
     options.clock = args.real ? scenario::ClockKind::Real : scenario::ClockKind::Virtual;
-    options.log = log_level(args.log);
+    options.log_level = log_level(args.log);
     bool broken = false;
     bool differs = false;
     std::string first;
@@ -63,14 +63,15 @@
         std::optional<replay::GovernorFiles> files;
         if (n == 0 && !args.governors.empty()) {
             files.emplace(args.governors, script);
-            options.before = [&](scenario::World& world) {
-                world.governor_watcher = &*files;
+            options.before_start = [&](scenario::SimulatedFleet& world) {
+                world.instance_observer = &*files;
             };
         } else {
-            options.before = {};
+            options.before_start = {};
         }
-        const auto result = n == 0 && !args.record.empty() ? record(script, options, args.record)
-                                                           : scenario::run_day(script, options);
+        const auto result = n == 0 && !args.record.empty()
+                                ? record(script, options, args.record)
+                                : scenario::run_scenario(script, options);
         const std::string text = result.result.dump(1);
         if (n == 0) {
             first = text;
@@ -79,7 +80,7 @@
         if (files) {
             files->close();
         }
-        broken = broken || !result.breaks.empty();
+        broken = broken || !result.violations.empty();
         if (n == 0 && !args.quiet) {
             std::printf("%s", scenario::to_text(script, result).c_str());
         }
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -98,7 +98,7 @@
     const auto [records, lost, last] = contents_of(reader);
     std::printf("%llu bytes, %zu blocks, %llu records over %s, %llu lost while recording, %s\n",
                 static_cast<unsigned long long>(reader.bytes()), reader.blocks().size(),
-                static_cast<unsigned long long>(records), scenario::in_seconds(last).c_str(),
+                static_cast<unsigned long long>(records), scenario::format_seconds(last).c_str(),
                 static_cast<unsigned long long>(lost),
                 reader.finished() ? "ended in order" : "not ended in order");
     for (const auto& note : header.notes()) {
@@ -123,10 +123,10 @@
                     day.figures["worst_10_s"].get<double>());
     }
     for (const auto& trouble : day.troubles) {
-        std::printf("  at %s %s%s\n", scenario::in_seconds(trouble.at).c_str(),
+        std::printf("  at %s %s%s\n", scenario::format_seconds(trouble.at).c_str(),
                     trouble.text.c_str(),
                     trouble.lasts > base::Micros{0}
-                        ? (" for " + scenario::in_seconds(trouble.lasts)).c_str()
+                        ? (" for " + scenario::format_seconds(trouble.lasts)).c_str()
                         : "");
     }
     return kGood;
@@ -142,7 +142,7 @@
     }
     std::printf("%s: %zu whole blocks, %llu records to %s, %s\n", path.c_str(),
                 reader.blocks().size(), static_cast<unsigned long long>(records),
-                scenario::in_seconds(last).c_str(),
+                scenario::format_seconds(last).c_str(),
                 reader.damage().empty() ? "all of it whole" : "DAMAGED");
     return reader.damage().empty() ? kGood : kRuleBroken;
 }
@@ -195,7 +195,7 @@
             throw Failure(kBadSettings, wrong.what());
         }
         const std::string text = played.run.result.dump(1);
-        broken = broken || !played.run.breaks.empty();
+        broken = broken || !played.run.violations.empty();
         if (n > 0) {
             differs = differs || text != first;
             continue;
@@ -284,7 +284,7 @@
         write_report(path, day, comparison);
     }
     const bool broken =
-        !comparison.a.first.run.breaks.empty() || !comparison.b.first.run.breaks.empty();
+        !comparison.a.first.run.violations.empty() || !comparison.b.first.run.violations.empty();
     const bool differs = args.clock == "virtual" && !(comparison.a.same && comparison.b.same);
     return broken || differs ? kRuleBroken : kGood;
 }
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -3,10 +3,10 @@
 #include <sstream>
 
 #include "cli/cli.h"
-#include "testbed/client.h"
-#include "testbed/forwarder.h"
-#include "testbed/registry.h"
-#include "testbed/worker.h"
+#include "testbed/fake_client.h"
+#include "testbed/fake_proxy.h"
+#include "testbed/fake_registry.h"
+#include "testbed/fake_server.h"
 
 namespace badgergrade::cli {
 namespace {
@@ -27,17 +27,17 @@
 }
 
 // "id zone host:port" a line; # begins a comment.
-std::vector<testbed::Registry::Row> read_servers(const std::string& path) {
+std::vector<testbed::FakeRegistry::Entry> read_servers(const std::string& path) {
     std::ifstream in(path);
     if (!in) {
         throw Failure(kNoFile, path + ": can't be read");
     }
-    std::vector<testbed::Registry::Row> rows;
+    std::vector<testbed::FakeRegistry::Entry> rows;
     int number = 0;
     for (std::string line; std::getline(in, line);) {
         ++number;
         std::istringstream words(line.substr(0, line.find('#')));
-        testbed::Registry::Row row;
+        testbed::FakeRegistry::Entry row;
         std::string at;
         if (!(words >> row.server.id)) {
             continue;
@@ -55,7 +55,7 @@
 int run_registry(const std::string& listen, const std::string& servers) {
     const auto rows = read_servers(servers);
     net::Loop loop;
-    testbed::Registry registry(loop, base::ActorId{1}, "registry", address(listen), nullptr);
+    testbed::FakeRegistry registry(loop, base::ActorId{1}, "registry", address(listen), nullptr);
     for (const auto& row : rows) {
         registry.put(row);
     }
@@ -64,40 +64,40 @@
     return kGood;
 }
 
-int run_worker(const testbed::WorkerSettings& settings, const std::vector<std::string>& operations,
-               bool cold) {
+int run_worker(const testbed::FakeServerSettings& settings,
+               const std::vector<std::string>& operations, bool cold) {
     net::Loop loop;
-    testbed::Worker worker(loop, base::ActorId{1}, settings, 1, nullptr, cold, operations);
+    testbed::FakeServer worker(loop, base::ActorId{1}, settings, 1, nullptr, cold, operations);
     say_ready("worker", worker.address());
     run_until_signal(loop, [] {});
     return kGood;
 }
 
-int run_forwarder(testbed::ForwarderSettings settings, const std::string& ini,
+int run_forwarder(testbed::FakeProxySettings settings, const std::string& ini,
                   const std::vector<std::string>& governors,
                   const std::vector<std::string>& startup) {
     const auto config = load_governor(ini);
     settings.operations = config.settings.operations;
-    settings.again = config.settings.default_retry_mode;
-    settings.pick = config.settings.pick_policy;
-    settings.ejects_after = config.settings.proxy_ejection_failures;
-    settings.eject_time = config.ejection_time;
-    settings.connection_idle = config.settings.connection_idle_timeout;
+    settings.retry_mode = config.settings.default_retry_mode;
+    settings.pick_policy = config.settings.pick_policy;
+    settings.ejection_failures = config.settings.proxy_ejection_failures;
+    settings.ejection_time = config.ejection_time;
+    settings.connection_idle_timeout = config.settings.connection_idle_timeout;
     settings.connect_timeout = 250ms;
     settings.dial_timeout = 2s;
-    settings.redial_least = 500ms;
-    settings.redial_most = 2s;
-    settings.keepalive = config.keepalive;
+    settings.min_reconnect_delay = 500ms;
+    settings.max_reconnect_delay = 2s;
+    settings.keepalive_interval = config.keepalive;
     for (const auto& one : governors) {
-        settings.governors.push_back(address(one));
-        settings.governor_names.push_back(one);
+        settings.instance_addresses.push_back(address(one));
+        settings.instance_names.push_back(one);
     }
     for (const auto& one : startup) {
-        settings.startup.push_back({address(one), settings.zone, 1, false});
+        settings.startup_table.push_back({address(one), settings.zone, 1, false});
     }
     net::Loop loop;
     const std::map<net::Address, std::string> names;
-    testbed::Forwarder forwarder(loop, base::ActorId{1}, settings, 1, nullptr, &names);
+    testbed::FakeProxy forwarder(loop, base::ActorId{1}, settings, 1, nullptr, &names);
     say_ready("forwarder", forwarder.address());
     run_until_signal(loop, [] {});
     return kGood;
@@ -108,13 +108,13 @@
     int came = 0, results[4] = {};
     Micros time{};
 
-    void invocation_came(Micros, const testbed::Invocation&) override { ++came; }
+    void on_invocation_arrived(Micros, const testbed::Invocation&) override { ++came; }
 
-    void invocation_ended(Micros now, const testbed::Invocation& what,
-                          testbed::Result result) override {
+    void on_invocation_finished(Micros now, const testbed::Invocation& what,
+                                testbed::InvocationResult result) override {
         ++results[static_cast<int>(result)];
-        if (result == testbed::Result::Succeeded) {
-            time += now - what.came;
+        if (result == testbed::InvocationResult::Succeeded) {
+            time += now - what.arrived_at;
         }
     }
 };
@@ -132,18 +132,18 @@
         one.id = schedule.size() + 1;
         one.operation = static_cast<int>(chance.below(config.settings.operations.size()));
         one.work = Micros(std::llround(work_ms * 1000 * chance.lognormal(0.5)));
-        one.came = begin + Micros(std::llround(at * 1e6));
+        one.arrived_at = begin + Micros(std::llround(at * 1e6));
         schedule.push_back(std::move(one));
     }
-    testbed::ClientSettings settings;
+    testbed::FakeClientSettings settings;
     settings.operations = config.settings.operations;
-    settings.wait = 50ms;
+    settings.retry_backoff = 50ms;
     Tally tally;
-    testbed::Client client(loop, base::ActorId{1}, "client", settings, address(forwarder),
-                           std::move(schedule), &tally);
+    testbed::FakeClient client(loop, base::ActorId{1}, "client", settings, address(forwarder),
+                               std::move(schedule), &tally);
     const Micros end = begin + Micros(std::llround(seconds * 1e6));
     loop.run_until(end);
-    while (client.open() > 0) {
+    while (client.pending_count() > 0) {
         loop.run_until(loop.clock().now() + 50ms);
     }
     const int good = tally.results[0];
@@ -173,7 +173,7 @@
 
 void worker_command(CLI::App& app, Command& chosen) {
     struct Args {
-        testbed::WorkerSettings settings;
+        testbed::FakeServerSettings settings;
         std::string listen = "127.0.0.1:0";
         std::vector<std::string> operations;
         bool cold = false;
@@ -194,11 +194,11 @@
     sub->callback([args, &chosen] {
         chosen = [args] {
             args->settings.listen = address(args->listen);
-            args->settings.cold_time = 15s;
-            args->settings.fall_time = 1500ms;
-            args->settings.fall_multiple = 3;
+            args->settings.warm_up_time = 15s;
+            args->settings.collapse_window = 1500ms;
+            args->settings.collapse_factor = 3;
             args->settings.reports_load = true;
-            args->settings.report_every = 500ms;
+            args->settings.load_report_interval = 500ms;
             return run_worker(args->settings, args->operations, args->cold);
         };
     });
@@ -206,7 +206,7 @@
 
 void forwarder_command(CLI::App& app, Command& chosen) {
     struct Args {
-        testbed::ForwarderSettings settings;
+        testbed::FakeProxySettings settings;
         std::string listen = "127.0.0.1:0", ini;
         std::vector<std::string> governors, startup;
     };
@@ -222,7 +222,7 @@
         ->required();
     sub->add_option("--startup", args->startup, "Servers of the start-up table")->delimiter(',');
     sub->add_option("--listen", args->listen, "Where to listen")->capture_default_str();
-    sub->add_option("--rate", args->settings.rate, "Usual invocations a second")
+    sub->add_option("--rate", args->settings.invocations_per_second, "Usual invocations a second")
         ->capture_default_str();
     sub->callback([args, &chosen] {
         chosen = [args] {
--- a/src/replay/compare.cpp
+++ b/src/replay/compare.cpp
@@ -42,7 +42,7 @@
     if (text.size() > kTextShown) {
         text = text.substr(0, kTextShown) + " ...";
     }
-    return scenario::in_seconds(step->at) + " " + step->governor +
+    return scenario::format_seconds(step->at) + " " + step->governor +
            (decision ? " decided: " : " heard: ") + text;
 }
 
@@ -164,7 +164,7 @@
     put(out, "messages ordered", sum(fa, "orders_applied"), sum(fb, "orders_applied"), false);
     put(out, "list change to applied p99, ms", fa["list_change_to_applied_ms"]["p99"],
         fb["list_change_to_applied_ms"]["p99"], false);
-    for (const char* rule : scenario::kRules) {
+    for (const char* rule : scenario::kAuditRules) {
         put(out, std::string("breaks of rule ") + rule, a["rules"][rule]["broken"],
             b["rules"][rule]["broken"], false);
     }
@@ -222,7 +222,7 @@
             return;
         }
         out.push_back((decision ? "first other decision at " : "first heard otherwise at ") +
-                      scenario::in_seconds(parting->at()));
+                      scenario::format_seconds(parting->at()));
         out.push_back("  A: " + shown(parting->a, decision));
         out.push_back("  B: " + shown(parting->b, decision));
     };
--- a/src/replay/merge.cpp
+++ b/src/replay/merge.cpp
@@ -13,7 +13,7 @@
 #include "base/random.h"
 #include "config/governor_config.h"
 #include "replay/recorder.h"
-#include "scenario/moves.h"
+#include "scenario/fault_action.h"
 
 namespace badgergrade::replay {
 
@@ -232,7 +232,7 @@
                    : config_.zones.front();
     }
 
-    void at(Micros when, scenario::Move move, bool opening = false) {
+    void at(Micros when, scenario::FaultAction move, bool opening = false) {
         moves_.push_back({std::max(0us, when), opening, false, std::move(move)});
     }
 
@@ -339,9 +339,9 @@
         }
     }
 
-    testbed::WorkerSettings worker(const std::string& id, const ServerSight& sight) const {
+    testbed::FakeServerSettings worker(const std::string& id, const ServerSight& sight) const {
         const Settings& told = config_.settings;
-        testbed::WorkerSettings s;
+        testbed::FakeServerSettings s;
         const bool weighed = told.listed_weights != ListedWeights::None &&
                              told.listed_weights != ListedWeights::Live;
         s.id = id;
@@ -349,28 +349,30 @@
         s.cores = weighed ? std::clamp(static_cast<int>(std::lround(sight.weight)), 1, 256) : 2;
         // Whole weight is cores times speed; work is reckoned for a server of the middle speed.
         s.speed = std::max(0.05, sight.factor);
-        s.cold_from = told.initial_capacity_fraction;
-        s.cold_time = told.slow_start_window;
-        s.fall_multiple = told.overload_collapse_factor;
-        s.fall_time = told.overload_collapse_time;
+        s.initial_capacity_fraction = told.initial_capacity_fraction;
+        s.warm_up_time = told.slow_start_window;
+        s.collapse_factor = told.overload_collapse_factor;
+        s.collapse_window = told.overload_collapse_time;
         s.handshake_work = 10ms;
         s.reports_load = !told.load_metric_names.empty();
-        s.report_every = 500ms;
+        s.load_report_interval = 500ms;
         return s;
     }
 
     void open() {
-        using enum scenario::MoveKind;
+        using enum scenario::FaultActionKind;
         const auto& first = *lists_.front().second;
         for (const auto& row : first) {
             at(0us,
-               {.kind = AddWorker,
-                .who = row.server,
-                .worker = worker(row.server, servers_.at(row.server))},
+               {.kind = AddServer,
+                .target = row.server,
+                .server_settings = worker(row.server, servers_.at(row.server))},
                true);
-            at(0us, {.kind = StartWorker, .who = row.server}, true);
+            at(0us, {.kind = StartServer, .target = row.server}, true);
             at(0us,
-               {.kind = ListWorker, .who = row.server, .on = row.state == ServerState::Draining},
+               {.kind = ListServer,
+                .target = row.server,
+                .enabled = row.state == ServerState::Draining},
                true);
             runs_.insert(row.server);
             begun_.insert(row.server);
@@ -381,13 +383,13 @@
             ordinals.insert(life.config.settings.ordinal);
         }
         for (const int ordinal : ordinals) {
-            at(0us, {.kind = StartGovernor, .who = "governor-" + std::to_string(ordinal)}, true);
+            at(0us, {.kind = StartInstance, .target = "governor-" + std::to_string(ordinal)}, true);
         }
         for (const auto& [name, sight] : forwarders_) {
             at(0us,
-               {.kind = AddForwarder,
-                .who = name,
-                .by = std::max(0.01, sight.second),
+               {.kind = AddProxy,
+                .target = name,
+                .magnitude = std::max(0.01, sight.second),
                 .text = zone_name(sight.first)},
                true);
         }
@@ -396,7 +398,7 @@
             const auto first_join = std::find_if(streams_.at(name).begin(), streams_.at(name).end(),
                                                  [](const auto* s) { return s->joined; });
             const bool late = (*first_join)->at > 5s;
-            at(late ? (*first_join)->at - 50ms : 0us, {.kind = StartForwarder, .who = name}, !late);
+            at(late ? (*first_join)->at - 50ms : 0us, {.kind = StartProxy, .target = name}, !late);
         }
     }
 
@@ -420,7 +422,7 @@
     }
 
     void follow_lists() {
-        using enum scenario::MoveKind;
+        using enum scenario::FaultActionKind;
         for (const auto& [when, rows] : lists_) {
             std::set<std::string> here;
             for (const auto& row : *rows) {
@@ -431,16 +433,16 @@
                 if (anew) {
                     if (runs_.contains(row.server)) {
                         at(death(row.server, std::min(when, row.started)),
-                           {.kind = StopWorker, .who = row.server});
+                           {.kind = StopServer, .target = row.server});
                     }
                     start(row.server, row.started, true);
                 } else if (!runs_.contains(row.server)) {
                     start(row.server, when - 1ms, false);
                 }
                 if (was == listed_.end() || anew || was->second.state != row.state) {
-                    at(when, {.kind = ListWorker,
-                              .who = row.server,
-                              .on = row.state == ServerState::Draining});
+                    at(when, {.kind = ListServer,
+                              .target = row.server,
+                              .enabled = row.state == ServerState::Draining});
                 }
                 listed_[row.server] = row;
             }
@@ -450,9 +452,9 @@
                     continue;
                 }
                 if (runs_.erase(it->first)) {
-                    at(death(it->first, when), {.kind = StopWorker, .who = it->first});
+                    at(death(it->first, when), {.kind = StopServer, .target = it->first});
                 }
-                at(when, {.kind = UnlistWorker, .who = it->first});
+                at(when, {.kind = UnlistServer, .target = it->first});
                 it = listed_.erase(it);
             }
         }
@@ -460,11 +462,12 @@
 
     void start(const std::string& server, Micros when, bool cold) {
         if (begun_.insert(server).second) {
-            at(when, {.kind = scenario::MoveKind::AddWorker,
-                      .who = server,
-                      .worker = worker(server, servers_.at(server))});
+            at(when, {.kind = scenario::FaultActionKind::AddServer,
+                      .target = server,
+                      .server_settings = worker(server, servers_.at(server))});
         }
-        at(when, {.kind = scenario::MoveKind::StartWorker, .who = server, .on = cold});
+        at(when,
+           {.kind = scenario::FaultActionKind::StartServer, .target = server, .enabled = cold});
         runs_.insert(server);
     }
 
@@ -499,32 +502,33 @@
                     static_cast<double>(std::max(1us, middle(means[slot], calm_)).count());
                 TroubledSpan span{one->at - one->span, one->at, {}};
                 if (mine >= kFails && others < kOthersFail) {
-                    span.trouble.errors = 1;
+                    span.trouble.error_fraction = 1;
                 } else if (one->tries > one->errored && slower > kCrawls) {
-                    span.trouble.slower = slower;
+                    span.trouble.slowdown_factor = slower;
                 } else {
                     continue;
                 }
                 // One report after the other with the same trouble is one span of it.
                 if (!spans.empty() && spans.back().to + one->span >= span.from &&
-                    (spans.back().trouble.errors > 0) == (span.trouble.errors > 0)) {
+                    (spans.back().trouble.error_fraction > 0) ==
+                        (span.trouble.error_fraction > 0)) {
                     spans.back().to = span.to;
                 } else {
                     spans.push_back(span);
                 }
             }
             for (const auto& span : spans) {
-                at(span.from, {.kind = scenario::MoveKind::TroubleWorker,
-                               .who = server,
-                               .trouble = span.trouble});
-                at(span.to, {.kind = scenario::MoveKind::TroubleWorker, .who = server});
+                at(span.from, {.kind = scenario::FaultActionKind::SetServerFault,
+                               .target = server,
+                               .server_fault = span.trouble});
+                at(span.to, {.kind = scenario::FaultActionKind::SetServerFault, .target = server});
             }
         }
     }
 
     struct TroubledSpan {
         Micros from{}, to{};
-        testbed::WorkerTrouble trouble;
+        testbed::ServerFault trouble;
     };
 
     // Cold servers are slow by nature.
@@ -537,7 +541,7 @@
     }
 
     void follow_streams() {
-        using enum scenario::MoveKind;
+        using enum scenario::FaultActionKind;
         for (const auto& [forwarder, all] : streams_) {
             for (std::size_t k = 0; k < all.size(); ++k) {
                 if (all[k]->joined) {
@@ -553,20 +557,20 @@
                                                all.end(), [](const auto* s) { return s->joined; });
                 const Micros until = back == all.end() ? length_ : (*back)->at;
                 if (back != all.end() && (*back)->fresh) {
-                    at(all[k]->at, {.kind = StopForwarder, .who = forwarder});
-                    at(until - 50ms, {.kind = StartForwarder, .who = forwarder});
+                    at(all[k]->at, {.kind = StopProxy, .target = forwarder});
+                    at(until - 50ms, {.kind = StartProxy, .target = forwarder});
                 } else if (until - all[k]->at < kBroken) {
-                    at(all[k]->at, {.kind = BreakStream, .who = forwarder});
+                    at(all[k]->at, {.kind = BreakStream, .target = forwarder});
                 } else {
-                    at(all[k]->at, {.kind = IsolateForwarder, .who = forwarder, .on = true});
-                    at(until - 50ms, {.kind = IsolateForwarder, .who = forwarder});
+                    at(all[k]->at, {.kind = IsolateProxy, .target = forwarder, .enabled = true});
+                    at(until - 50ms, {.kind = IsolateProxy, .target = forwarder});
                 }
             }
         }
     }
 
     void follow_lives() {
-        using enum scenario::MoveKind;
+        using enum scenario::FaultActionKind;
         std::map<int, std::vector<const Life*>> by_governor;
         for (const Life& life : lives_) {
             by_governor[life.config.settings.ordinal].push_back(&life);
@@ -576,11 +580,11 @@
                              [](const Life* a, const Life* b) { return a->last < b->last; });
             const std::string who = "governor-" + std::to_string(ordinal);
             for (std::size_t k = 0; k + 1 < all.size(); ++k) {
-                at(all[k]->last, {.kind = StopGovernor, .who = who});
-                at(begin_of(*all[k + 1]), {.kind = StartGovernor, .who = who});
+                at(all[k]->last, {.kind = StopInstance, .target = who});
+                at(begin_of(*all[k + 1]), {.kind = StartInstance, .target = who});
             }
             if (length_ - all.back()->last > 10s) {
-                at(all.back()->last, {.kind = StopGovernor, .who = who});
+                at(all.back()->last, {.kind = StopInstance, .target = who});
             }
         }
     }
@@ -701,7 +705,7 @@
         follow_streams();
         follow_lives();
         std::stable_sort(moves_.begin(), moves_.end(), [](const auto& a, const auto& b) {
-            return std::pair(!a.opening, a.at) < std::pair(!b.opening, b.at);
+            return std::pair(!a.initial, a.at) < std::pair(!b.initial, b.at);
         });
         const auto works = work(came);
         pb::Header header = lives_.front().header;
@@ -780,7 +784,7 @@
     std::map<std::string, std::set<Micros>> starts_;  // by the chosen lists
     std::map<std::string, std::vector<const Sums*>> by_server_;
     std::map<std::string, std::vector<const StreamChange*>> streams_;
-    std::vector<scenario::TimedMove> moves_;
+    std::vector<scenario::TimedFaultAction> moves_;
     std::set<std::string> runs_, begun_;
     std::map<std::string, ListedRow> listed_;
 };
--- a/src/replay/play.cpp
+++ b/src/replay/play.cpp
@@ -51,27 +51,27 @@
     return seconds_[k];
 }
 
-void Series::invocation_came(Micros now, const testbed::Invocation&) {
+void Series::on_invocation_arrived(Micros now, const testbed::Invocation&) {
     ++at(now).came;
 }
 
-void Series::try_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int,
-                      int number, testbed::TryEnd) {
+void Series::on_attempt_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int,
+                             int number, testbed::AttemptOutcome) {
     Second& second = at(now);
     ++second.tries;
     second.further += number > 1;
 }
 
-void Series::joined(Micros now, const std::string&, const std::string&) {
+void Series::on_proxy_connected(Micros now, const std::string&, const std::string&) {
     ++at(now).joins;
 }
 
-void Series::server_fell(Micros now, const std::string&, const std::vector<Push>&) {
+void Series::on_server_collapsed(Micros now, const std::string&, const std::vector<ReceivedWork>&) {
     ++at(now).pushed_over;
 }
 
-void Series::response_read(Micros now, const std::string&, const std::string&,
-                           const std::string& orders, std::size_t, const std::string& why) {
+void Series::on_response(Micros now, const std::string&, const std::string&,
+                         const std::string& orders, std::size_t, const std::string& why) {
     const auto read = xds::parse_release_text(orders);
     for (const auto& order : read.updates) {
         if (why.empty()) {
@@ -127,31 +127,31 @@
     playable.script.length = out.to;
     for (auto& [forwarder, list] : playable.world.traffic) {
         std::erase_if(list, [&](const auto& one) {
-            return one.came < out.from - options.lead || one.came >= out.to;
+            return one.arrived_at < out.from - options.lead || one.arrived_at >= out.to;
         });
     }
     // A virtual and a real clock both begin here (day/runner.cpp).
     std::optional<Trail> trail;
     std::optional<Series> series;
-    scenario::DayOptions how;
+    scenario::ScenarioOptions how;
     how.clock = options.clock;
     how.speed = options.speed;
-    how.log = options.log;
-    how.given = &playable.world;
-    how.count_from = out.from;
-    how.watchers = options.watchers;
-    how.prepare = [&](Micros begin) {
+    how.log_level = options.log;
+    how.recorded = &playable.world;
+    how.measure_from = out.from;
+    how.observers = options.watchers;
+    how.make_observers = [&](Micros begin) {
         trail.emplace(begin);
         series.emplace(begin);
         return std::vector<testbed::Observer*>{&*series};
     };
-    how.before = [&](scenario::World& world) {
-        world.governor_watcher = &*trail;
+    how.before_start = [&](scenario::SimulatedFleet& world) {
+        world.instance_observer = &*trail;
         if (options.before) {
             options.before(world);
         }
     };
-    out.run = scenario::run_day(playable.script, how);
+    out.run = scenario::run_scenario(playable.script, how);
     out.script = std::move(playable.script);
     out.trail = trail->steps();
     out.seconds = series->seconds(out.to);
--- a/src/replay/play.h
+++ b/src/replay/play.h
@@ -51,13 +51,13 @@
 
     explicit Series(Micros begin) : begin_(begin) {}
 
-    void invocation_came(Micros, const testbed::Invocation&) override;
-    void try_sent(Micros, const std::string&, const std::string&, std::uint64_t, int, int number,
-                  testbed::TryEnd) override;
-    void joined(Micros, const std::string&, const std::string&) override;
-    void response_read(Micros, const std::string&, const std::string&, const std::string& orders,
-                       std::size_t, const std::string&) override;
-    void server_fell(Micros, const std::string&, const std::vector<Push>&) override;
+    void on_invocation_arrived(Micros, const testbed::Invocation&) override;
+    void on_attempt_sent(Micros, const std::string&, const std::string&, std::uint64_t, int,
+                         int number, testbed::AttemptOutcome) override;
+    void on_proxy_connected(Micros, const std::string&, const std::string&) override;
+    void on_response(Micros, const std::string&, const std::string&, const std::string& orders,
+                     std::size_t, const std::string&) override;
+    void on_server_collapsed(Micros, const std::string&, const std::vector<ReceivedWork>&) override;
 
     // With the waiting lines reckoned from when orders were given and when they left.
     std::vector<Second> seconds(Micros length) const;
@@ -80,13 +80,13 @@
     Micros lead = std::chrono::seconds(60);
     log::Level log = log::Level::Off;
     // Taken beside, as by a recorder.
-    std::function<void(scenario::World&)> before;
+    std::function<void(scenario::SimulatedFleet&)> before;
     std::vector<testbed::Observer*> watchers;
 };
 
 struct Played {
-    scenario::DayScript script;  // as played
-    scenario::DayRun run;
+    scenario::ScenarioScript script;  // as played
+    scenario::ScenarioRun run;
     std::vector<Trail::Step> trail;
     std::vector<Series::Second> seconds;
     Micros from{}, to{};
--- a/src/replay/recorded_day.cpp
+++ b/src/replay/recorded_day.cpp
@@ -47,43 +47,43 @@
     return "unknown";
 }
 
-testbed::WorkerSettings worker_of(const std::string& id, const pb::Worker& w) {
-    testbed::WorkerSettings s;
+testbed::FakeServerSettings worker_of(const std::string& id, const pb::Worker& w) {
+    testbed::FakeServerSettings s;
     s.id = id;
     s.zone = w.zone();
     s.cores = w.cores();
     s.speed = w.speed();
-    s.queue_per_core = w.queue_per_core();
-    s.cold_from = w.cold_from();
-    s.cold_time = Micros(w.cold_time_us());
-    s.fall_time = Micros(w.fall_time_us());
-    s.fall_multiple = w.fall_multiple();
-    s.connections_most = w.connections_most();
+    s.max_queued_per_core = w.queue_per_core();
+    s.initial_capacity_fraction = w.cold_from();
+    s.warm_up_time = Micros(w.cold_time_us());
+    s.collapse_window = Micros(w.fall_time_us());
+    s.collapse_factor = w.fall_multiple();
+    s.max_connections = w.connections_most();
     s.handshake_work = Micros(w.handshake_work_us());
-    s.key_gain = w.key_gain();
-    s.key_time = Micros(w.key_time_us());
+    s.cache_saving_fraction = w.key_gain();
+    s.cache_ttl = Micros(w.key_time_us());
     s.reports_load = w.reports_load();
-    s.report_every = Micros(w.report_every_us());
-    s.error_rate = w.error_rate();
+    s.load_report_interval = Micros(w.report_every_us());
+    s.error_fraction = w.error_rate();
     return s;
 }
 
-testbed::WorkerTrouble trouble_of(const pb::WorkerTrouble& t) {
-    testbed::WorkerTrouble out;
+testbed::ServerFault trouble_of(const pb::WorkerTrouble& t) {
+    testbed::ServerFault out;
     out.hangs = t.hangs();
-    out.errors = t.errors();
-    out.slower = t.slower();
-    out.taken = t.taken();
-    out.answers_lost = t.answers_lost();
-    out.counters = t.counters();
-    out.connections_most = static_cast<std::size_t>(t.connections_most());
+    out.error_fraction = t.errors();
+    out.slowdown_factor = t.slower();
+    out.stolen_cpu_fraction = t.taken();
+    out.lost_response_fraction = t.answers_lost();
+    out.reported_load_fraction = t.counters();
+    out.max_connections = static_cast<std::size_t>(t.connections_most());
     return out;
 }
 
 // Builds the day out of its records, in their order.
 class Builder {
 public:
-    Builder(RecordedDay& day, const scenario::DayScript& script)
+    Builder(RecordedDay& day, const scenario::ScenarioScript& script)
         : day_(day),
           script_(script),
           figures_(script, 0us, script.length, {}) {}
@@ -99,7 +99,7 @@
     }
 
     void close() {
-        figures_.close();
+        figures_.finish();
         day_.figures = figures_.json();
         if (senseless_ > 0) {
             day_.damage.push_back(
@@ -141,73 +141,76 @@
                 {at, Micros(t.lasts_us()), t.name() + (t.whom().empty() ? "" : " " + t.whom())});
         }
         if (record.has_tried()) {
-            figures_.try_sent(at, {}, {}, 0, 0, static_cast<int>(record.tried().number()), {});
+            figures_.on_attempt_sent(at, {}, {}, 0, 0, static_cast<int>(record.tried().number()),
+                                     {});
         }
     }
 
     void move(Micros at, const pb::Move& from) {
-        scenario::TimedMove out;
+        scenario::TimedFaultAction out;
         out.at = at;
-        out.opening = from.opening();
+        out.initial = from.opening();
         // Only with the move before itself: where that is lost, this one stands alone.
-        out.joined = from.joined() && !day_.world.moves.empty() && day_.world.moves.back().at == at;
-        scenario::Move& m = out.what;
-        m.kind = static_cast<scenario::MoveKind>(from.kind());
-        m.who = name(from.who());
-        m.on = from.on();
-        m.by = from.by();
-        m.wait = Micros(from.wait_us());
+        out.same_step =
+            from.joined() && !day_.world.actions.empty() && day_.world.actions.back().at == at;
+        scenario::FaultAction& m = out.action;
+        m.kind = static_cast<scenario::FaultActionKind>(from.kind());
+        m.target = name(from.who());
+        m.enabled = from.on();
+        m.magnitude = from.by();
+        m.duration = Micros(from.wait_us());
         m.text = from.text();
         if (from.has_trouble()) {
-            m.trouble = trouble_of(from.trouble());
+            m.server_fault = trouble_of(from.trouble());
         }
         if (from.has_worker()) {
-            m.worker = worker_of(m.who, from.worker());
+            m.server_settings = worker_of(m.target, from.worker());
         }
         if (!makes_sense(m)) {
             return void(++senseless_);
         }
-        if (m.kind == scenario::MoveKind::AddForwarder) {
-            figures_.place(m.who, m.text);
+        if (m.kind == scenario::FaultActionKind::AddProxy) {
+            figures_.set_proxy_zone(m.target, m.text);
         }
-        day_.world.moves.push_back(std::move(out));
+        day_.world.actions.push_back(std::move(out));
     }
 
     // Where blocks are lost, a move may name a host whose beginning is lost with them, or start
     // what already runs.
-    bool makes_sense(const scenario::Move& m) {
-        using enum scenario::MoveKind;
+    bool makes_sense(const scenario::FaultAction& m) {
+        using enum scenario::FaultActionKind;
         switch (m.kind) {
-            case AddWorker:
-                return workers_.try_emplace(m.who, false).second;
-            case AddForwarder:
-                return forwarders_.insert(m.who).second;
-            case StartWorker:
-            case StopWorker:
-                if (!workers_.contains(m.who)) {
+            case AddServer:
+                return workers_.try_emplace(m.target, false).second;
+            case AddProxy:
+                return forwarders_.insert(m.target).second;
+            case StartServer:
+            case StopServer:
+                if (!workers_.contains(m.target)) {
                     return false;
                 }
-                workers_[m.who] = m.kind == StartWorker;
+                workers_[m.target] = m.kind == StartServer;
                 return true;
-            case ListWorker:
-            case UnlistWorker:
-            case TroubleWorker:
-                return workers_.contains(m.who) && (m.kind == UnlistWorker || workers_[m.who]);
-            case StartForwarder:
-            case StopForwarder:
+            case ListServer:
+            case UnlistServer:
+            case SetServerFault:
+                return workers_.contains(m.target) &&
+                       (m.kind == UnlistServer || workers_[m.target]);
+            case StartProxy:
+            case StopProxy:
             case BreakStream:
-            case IsolateForwarder:
-            case StallForwarder:
-                return forwarders_.contains(m.who);
-            case StartGovernor:
-            case StopGovernor: {
-                const auto known = m.who.rfind("governor-", 0) == 0 &&
-                                   std::atoi(m.who.c_str() + 9) < script_.governors;
-                return known && std::exchange(governors_[m.who], m.kind == StartGovernor) !=
-                                    (m.kind == StartGovernor);
+            case IsolateProxy:
+            case StallProxy:
+                return forwarders_.contains(m.target);
+            case StartInstance:
+            case StopInstance: {
+                const auto known = m.target.rfind("governor-", 0) == 0 &&
+                                   std::atoi(m.target.c_str() + 9) < script_.instance_count;
+                return known && std::exchange(governors_[m.target], m.kind == StartInstance) !=
+                                    (m.kind == StartInstance);
             }
             default:
-                return m.kind >= CutZone && m.kind <= GiveUp;
+                return m.kind >= PartitionZone && m.kind <= ShortenAttemptTimeouts;
         }
     }
 
@@ -224,14 +227,14 @@
         if (!forwarders_.contains(name(from.forwarder()))) {
             return void(++senseless_);
         }
-        one.forwarder = name(from.forwarder());
+        one.proxy = name(from.forwarder());
         one.key = name(from.key());
         one.work = Micros(static_cast<std::int64_t>(from.work_us()));
-        one.came = at;
-        figures_.invocation_came(at, one);
+        one.arrived_at = at;
+        figures_.on_invocation_arrived(at, one);
         ++day_.invocations;
-        open_[one.id] = {one.operation, one.forwarder, at};
-        day_.world.traffic[one.forwarder].push_back(std::move(one));
+        open_[one.id] = {one.operation, one.proxy, at};
+        day_.world.traffic[one.proxy].push_back(std::move(one));
     }
 
     void ended(Micros at, const pb::Ended& from) {
@@ -243,13 +246,13 @@
         testbed::Invocation one;
         one.id = id;
         one.operation = it->second.operation;
-        one.forwarder = it->second.forwarder;
-        one.came = it->second.came;
+        one.proxy = it->second.forwarder;
+        one.arrived_at = it->second.came;
         for (std::uint32_t n = 0; n < from.client_tries(); ++n) {
-            figures_.client_try(at, one);
+            figures_.on_client_attempt(at, one);
         }
-        figures_.invocation_ended(at, one,
-                                  static_cast<testbed::Result>(std::min(from.result(), 3u)));
+        figures_.on_invocation_finished(
+            at, one, static_cast<testbed::InvocationResult>(std::min(from.result(), 3u)));
         open_.erase(it);
     }
 
@@ -264,8 +267,8 @@
     };
 
     RecordedDay& day_;
-    const scenario::DayScript& script_;
-    scenario::Figures figures_;
+    const scenario::ScenarioScript& script_;
+    scenario::ScenarioMetrics figures_;
     const pb::Block* block_ = nullptr;
     std::int64_t last_id_ = 0;
     Micros last_told_ = Micros::min(), moved_by_{};
@@ -322,7 +325,7 @@
         }
         out.length = std::min(out.length, last + 1us);
     }
-    if (out.world.moves.empty() || out.invocations == 0) {
+    if (out.world.actions.empty() || out.invocations == 0) {
         throw std::runtime_error(path + ": holds no day that could be played");
     }
     return out;
--- a/src/replay/recorded_day.h
+++ b/src/replay/recorded_day.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "recording/reader.h"
-#include "scenario/figures.h"
-#include "scenario/moves.h"
+#include "scenario/fault_action.h"
+#include "scenario/metrics.h"
 
 namespace badgergrade::replay {
 
@@ -25,7 +25,7 @@
     pb::Header header;
     config::IniFile settings;  // as in force when it was recorded
     std::string script;        // the day's text, without its settings
-    scenario::GivenWorld world;
+    scenario::RecordedScenario world;
     std::vector<TroubleSpan> troubles;
     Micros length{};
     std::uint64_t records = 0, lost = 0, invocations = 0;
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-pb::Header header_of(const scenario::DayScript& script, Micros begin) {
+pb::Header header_of(const scenario::ScenarioScript& script, Micros begin) {
     pb::Header out;
     out.set_made_by("day " + script.name);
     out.set_settings(script.settings.to_text());
@@ -47,7 +47,7 @@
     out.set_seed(script.seed);
     out.set_begin_us(begin.count());
     out.set_length_us(script.length.count());
-    for (const auto& op : script.governor.settings.operations) {
+    for (const auto& op : script.instance_config.settings.operations) {
         out.add_operations(op.name);
     }
     return out;
@@ -67,85 +67,86 @@
     return out;
 }
 
-void Recorder::follow(scenario::World& world) {
-    world.on_move = [this](Micros now, bool opening, bool joined, const scenario::Move& move) {
+void Recorder::follow(scenario::SimulatedFleet& world) {
+    world.on_action = [this](Micros now, bool opening, bool joined,
+                             const scenario::FaultAction& move) {
         write_move(writer_, now, {now, opening, joined, move});
     };
-    world.on_trouble = [this](Micros now, const scenario::Trouble& trouble) {
+    world.on_fault = [this](Micros now, const scenario::Fault& trouble) {
         struck(now, trouble);
     };
-    world.governor_watcher = this;
+    world.instance_observer = this;
 }
 
-void write_move(recording::Writer& writer, Micros now, const scenario::TimedMove& timed) {
-    const scenario::Move& move = timed.what;
+void write_move(recording::Writer& writer, Micros now, const scenario::TimedFaultAction& timed) {
+    const scenario::FaultAction& move = timed.action;
     auto& out = *writer.add(now).mutable_move();
     out.set_kind(static_cast<std::uint32_t>(move.kind));
-    out.set_who(writer.name(move.who));
-    out.set_on(move.on);
-    out.set_by(move.by);
-    out.set_wait_us(move.wait.count());
+    out.set_who(writer.name(move.target));
+    out.set_on(move.enabled);
+    out.set_by(move.magnitude);
+    out.set_wait_us(move.duration.count());
     out.set_text(move.text);
-    out.set_opening(timed.opening);
-    out.set_joined(timed.joined);
-    if (move.kind == scenario::MoveKind::TroubleWorker) {
+    out.set_opening(timed.initial);
+    out.set_joined(timed.same_step);
+    if (move.kind == scenario::FaultActionKind::SetServerFault) {
         auto& t = *out.mutable_trouble();
-        t.set_hangs(move.trouble.hangs);
-        t.set_errors(move.trouble.errors);
-        t.set_slower(move.trouble.slower);
-        t.set_taken(move.trouble.taken);
-        t.set_answers_lost(move.trouble.answers_lost);
-        t.set_counters(move.trouble.counters);
-        t.set_connections_most(move.trouble.connections_most);
+        t.set_hangs(move.server_fault.hangs);
+        t.set_errors(move.server_fault.error_fraction);
+        t.set_slower(move.server_fault.slowdown_factor);
+        t.set_taken(move.server_fault.stolen_cpu_fraction);
+        t.set_answers_lost(move.server_fault.lost_response_fraction);
+        t.set_counters(move.server_fault.reported_load_fraction);
+        t.set_connections_most(move.server_fault.max_connections);
     }
-    if (move.kind == scenario::MoveKind::AddWorker) {
+    if (move.kind == scenario::FaultActionKind::AddServer) {
         auto& w = *out.mutable_worker();
-        const auto& s = move.worker;
+        const auto& s = move.server_settings;
         w.set_zone(s.zone);
         w.set_cores(s.cores);
         w.set_speed(s.speed);
-        w.set_queue_per_core(s.queue_per_core);
-        w.set_cold_from(s.cold_from);
-        w.set_cold_time_us(s.cold_time.count());
-        w.set_fall_time_us(s.fall_time.count());
-        w.set_fall_multiple(s.fall_multiple);
-        w.set_connections_most(s.connections_most);
+        w.set_queue_per_core(s.max_queued_per_core);
+        w.set_cold_from(s.initial_capacity_fraction);
+        w.set_cold_time_us(s.warm_up_time.count());
+        w.set_fall_time_us(s.collapse_window.count());
+        w.set_fall_multiple(s.collapse_factor);
+        w.set_connections_most(s.max_connections);
         w.set_handshake_work_us(s.handshake_work.count());
-        w.set_key_gain(s.key_gain);
-        w.set_key_time_us(s.key_time.count());
+        w.set_key_gain(s.cache_saving_fraction);
+        w.set_key_time_us(s.cache_ttl.count());
         w.set_reports_load(s.reports_load);
-        w.set_report_every_us(s.report_every.count());
-        w.set_error_rate(s.error_rate);
+        w.set_report_every_us(s.load_report_interval.count());
+        w.set_error_rate(s.error_fraction);
     }
 }
 
-void Recorder::struck(Micros now, const scenario::Trouble& trouble) {
+void Recorder::struck(Micros now, const scenario::Fault& trouble) {
     auto& out = *writer_.add(now).mutable_trouble();
     out.set_name(trouble.name);
-    out.set_lasts_us(trouble.lasts.count());
+    out.set_lasts_us(trouble.duration.count());
     out.set_line(static_cast<std::uint32_t>(trouble.line));
-    out.set_whom(!trouble.one.empty() ? trouble.one
-                 : trouble.count > 0  ? std::to_string(trouble.count)
-                 : trouble.part > 0   ? text_of(trouble.part * 100) + "%"
-                                      : "");
+    out.set_whom(!trouble.target_name.empty()  ? trouble.target_name
+                 : trouble.target_count > 0    ? std::to_string(trouble.target_count)
+                 : trouble.target_fraction > 0 ? text_of(trouble.target_fraction * 100) + "%"
+                                               : "");
 }
 
 // ---- invocations
 
-void Recorder::invocation_came(Micros now, const testbed::Invocation& what) {
+void Recorder::on_invocation_arrived(Micros now, const testbed::Invocation& what) {
     auto& out = *writer_.add(now).mutable_came();
     auto& last = writer_.last_id();
     const auto id = static_cast<std::int64_t>(what.id);
     out.set_id_more(id - last);
     last = id;
-    out.set_forwarder(writer_.name(what.forwarder));
+    out.set_forwarder(writer_.name(what.proxy));
     out.set_key(writer_.name(what.key));
     out.set_operation(static_cast<std::uint32_t>(what.operation));
     out.set_work_us(static_cast<std::uint64_t>(what.work.count()));
 }
 
-void Recorder::invocation_ended(Micros now, const testbed::Invocation& what,
-                                testbed::Result result) {
+void Recorder::on_invocation_finished(Micros now, const testbed::Invocation& what,
+                                      testbed::InvocationResult result) {
     const auto first = tries_.lower_bound({what.id, std::string()});
     auto it = first;
     for (; it != tries_.end() && it->first.first == what.id; ++it) {
@@ -155,11 +156,12 @@
     auto& out = *writer_.add(now).mutable_ended();
     out.set_id_less(writer_.last_id() - static_cast<std::int64_t>(what.id));
     out.set_result(static_cast<std::uint32_t>(result));
-    out.set_client_tries(static_cast<std::uint32_t>(what.client_tries));
+    out.set_client_tries(static_cast<std::uint32_t>(what.client_attempts));
 }
 
-void Recorder::try_sent(Micros now, const std::string& forwarder, const std::string& server,
-                        std::uint64_t invocation, int operation, int number, testbed::TryEnd) {
+void Recorder::on_attempt_sent(Micros now, const std::string& forwarder, const std::string& server,
+                               std::uint64_t invocation, int operation, int number,
+                               testbed::AttemptOutcome) {
     OpenTry one{server, now, operation, number};
     const auto [it, fresh] = tries_.try_emplace({invocation, forwarder}, one);
     if (fresh) {
@@ -170,8 +172,8 @@
     it->second = std::move(one);
 }
 
-void Recorder::try_ended(Micros now, const std::string& forwarder, const std::string&,
-                         std::uint64_t invocation, testbed::TryEnd end) {
+void Recorder::on_attempt_finished(Micros now, const std::string& forwarder, const std::string&,
+                                   std::uint64_t invocation, testbed::AttemptOutcome end) {
     const auto it = tries_.find({invocation, forwarder});
     if (it == tries_.end()) {
         return;
@@ -194,20 +196,22 @@
 
 // ---- streams
 
-void Recorder::joined(Micros now, const std::string& forwarder, const std::string& governor) {
+void Recorder::on_proxy_connected(Micros now, const std::string& forwarder,
+                                  const std::string& governor) {
     auto& out = *writer_.add(now).mutable_joined();
     out.set_forwarder(writer_.name(forwarder));
     out.set_governor(writer_.name(governor));
 }
 
-void Recorder::left(Micros now, const std::string& forwarder, const std::string& governor) {
+void Recorder::on_proxy_disconnected(Micros now, const std::string& forwarder,
+                                     const std::string& governor) {
     auto& out = *writer_.add(now).mutable_left();
     out.set_forwarder(writer_.name(forwarder));
     out.set_governor(writer_.name(governor));
 }
 
-void Recorder::response_read(Micros now, const std::string& forwarder, const std::string& governor,
-                             const std::string&, std::size_t bytes, const std::string& why) {
+void Recorder::on_response(Micros now, const std::string& forwarder, const std::string& governor,
+                           const std::string&, std::size_t bytes, const std::string& why) {
     auto& out = *writer_.add(now).mutable_read();
     out.set_forwarder(writer_.name(forwarder));
     out.set_governor(writer_.name(governor));
@@ -357,20 +361,20 @@
 
 // ---- a whole day
 
-scenario::DayRun record_day(const scenario::DayScript& script, scenario::DayOptions options,
-                            const std::string& path, recording::WriterOptions how,
-                            recording::WriterFigures& figures) {
+scenario::ScenarioRun record_day(const scenario::ScenarioScript& script,
+                                 scenario::ScenarioOptions options, const std::string& path,
+                                 recording::WriterOptions how, recording::WriterFigures& figures) {
     std::optional<recording::Writer> writer;
     std::optional<Recorder> recorder;
-    options.prepare = [&](base::Micros begin) {
+    options.make_observers = [&](base::Micros begin) {
         writer.emplace(recording::file_sink(path), header_of(script, begin), how);
         recorder.emplace(*writer);
         return std::vector<testbed::Observer*>{&*recorder};
     };
-    options.before = [&](scenario::World& world) {
+    options.before_start = [&](scenario::SimulatedFleet& world) {
         recorder->follow(world);
     };
-    auto out = scenario::run_day(script, options);
+    auto out = scenario::run_scenario(script, options);
     writer->finish();
     figures = writer->figures();
     return out;
@@ -391,7 +395,7 @@
 }
 }  // namespace
 
-GovernorFiles::GovernorFiles(std::string folder, const scenario::DayScript& script,
+GovernorFiles::GovernorFiles(std::string folder, const scenario::ScenarioScript& script,
                              std::map<std::string, Micros> ahead)
     : folder_(std::move(folder)),
       script_(script),
@@ -401,7 +405,7 @@
     auto settings = script_.settings;
     settings.set("governor", "id", service.id());
     settings.set("governor", "ordinal", std::to_string(service.ordinal()));
-    auto config = script_.governor;
+    auto config = script_.instance_config;
     config.id = service.id();
     paths_.push_back((std::filesystem::path(folder_) /
                       (service.id() + "-" + std::to_string(paths_.size()) + ".rec"))
--- a/src/replay/recorder.h
+++ b/src/replay/recorder.h
@@ -10,7 +10,7 @@
 #include "recording/writer.h"
 #include "scenario/runner.h"
 #include "scenario/script.h"
-#include "scenario/world.h"
+#include "scenario/simulated_fleet.h"
 #include "testbed/observer.h"
 #include "xds_server/xds_server_observer.h"
 
@@ -20,7 +20,7 @@
 namespace pb = badgergrade::recording::v1;
 
 // The head of a day's recording, and of a governor's.
-pb::Header header_of(const scenario::DayScript& script, Micros begin);
+pb::Header header_of(const scenario::ScenarioScript& script, Micros begin);
 pb::Header header_of(const config::GovernorConfig& config, const std::string& settings,
                      Micros begin, const std::string& wall);
 
@@ -28,27 +28,29 @@
 inline constexpr std::uint32_t kGivenUp = 100;
 
 // One move of the world; `now` is of the writer's clock, the move's own time is not looked at.
-void write_move(recording::Writer& writer, Micros now, const scenario::TimedMove& move);
+void write_move(recording::Writer& writer, Micros now, const scenario::TimedFaultAction& move);
 
 class Recorder final : public testbed::Observer, public xds_server::XdsServerObserver {
 public:
     explicit Recorder(recording::Writer& writer) : writer_(writer) {}
 
     // Hears of the moves and troubles of this world; called before it starts.
-    void follow(scenario::World& world);
-
-    void invocation_came(Micros, const testbed::Invocation&) override;
-    void invocation_ended(Micros, const testbed::Invocation&, testbed::Result) override;
-    void try_sent(Micros, const std::string& forwarder, const std::string& server,
-                  std::uint64_t invocation, int operation, int number,
-                  testbed::TryEnd before) override;
-    void try_ended(Micros, const std::string& forwarder, const std::string& server,
-                   std::uint64_t invocation, testbed::TryEnd) override;
-    void joined(Micros, const std::string& forwarder, const std::string& governor) override;
-    void left(Micros, const std::string& forwarder, const std::string& governor) override;
-    void response_read(Micros, const std::string& forwarder, const std::string& governor,
-                       const std::string& orders, std::size_t bytes,
-                       const std::string& why) override;
+    void follow(scenario::SimulatedFleet& world);
+
+    void on_invocation_arrived(Micros, const testbed::Invocation&) override;
+    void on_invocation_finished(Micros, const testbed::Invocation&,
+                                testbed::InvocationResult) override;
+    void on_attempt_sent(Micros, const std::string& forwarder, const std::string& server,
+                         std::uint64_t invocation, int operation, int number,
+                         testbed::AttemptOutcome before) override;
+    void on_attempt_finished(Micros, const std::string& forwarder, const std::string& server,
+                             std::uint64_t invocation, testbed::AttemptOutcome) override;
+    void on_proxy_connected(Micros, const std::string& forwarder,
+                            const std::string& governor) override;
+    void on_proxy_disconnected(Micros, const std::string& forwarder,
+                               const std::string& governor) override;
+    void on_response(Micros, const std::string& forwarder, const std::string& governor,
+                     const std::string& orders, std::size_t bytes, const std::string& why) override;
 
     void on_started(Micros, const xds_server::XdsServer&) override;
     void on_stopped(Micros, const xds_server::XdsServer&) override;
@@ -62,7 +64,7 @@
         int operation = 0, number = 0;
     };
 
-    void struck(Micros now, const scenario::Trouble& trouble);
+    void struck(Micros now, const scenario::Fault& trouble);
     void write_try(Micros now, const std::string& forwarder, std::uint64_t invocation,
                    const OpenTry& one, std::uint32_t end);
 
@@ -73,16 +75,16 @@
 
 // Plays the script and records it at this path; what the options watch already is watched still.
 // `figures` is what the writer came to. Throws recording::CannotWrite where the file can't be made.
-scenario::DayRun record_day(const scenario::DayScript& script, scenario::DayOptions options,
-                            const std::string& path, recording::WriterOptions how,
-                            recording::WriterFigures& figures);
+scenario::ScenarioRun record_day(const scenario::ScenarioScript& script,
+                                 scenario::ScenarioOptions options, const std::string& path,
+                                 recording::WriterOptions how, recording::WriterFigures& figures);
 
 // Records each life of each governor of a day in a file of its own, GOVERNOR-N.rec, as the
 // governors themselves would.
 class GovernorFiles final : public xds_server::XdsServerObserver {
 public:
     // `ahead`: how far a governor's clock is ahead of the day's.
-    GovernorFiles(std::string folder, const scenario::DayScript& script,
+    GovernorFiles(std::string folder, const scenario::ScenarioScript& script,
                   std::map<std::string, Micros> ahead = {});
     void on_started(Micros, const xds_server::XdsServer&) override;
     void on_stopped(Micros, const xds_server::XdsServer&) override;
@@ -101,7 +103,7 @@
     };
 
     std::string folder_;
-    const scenario::DayScript& script_;
+    const scenario::ScenarioScript& script_;
     std::map<std::string, Micros> ahead_;
     std::map<std::string, Open> open_;
     std::vector<std::string> paths_;
--- a/src/replay/report.cpp
+++ b/src/replay/report.cpp
@@ -251,10 +251,10 @@
     }
     out << "</pre>\n";
     for (const auto* s : {&comparison.a, &comparison.b}) {
-        for (const auto& b : s->first.run.breaks) {
+        for (const auto& b : s->first.run.violations) {
             out << "<p class=\"worse\">Rule <b>" << escaped(b.rule) << "</b> broken under "
                 << (s == &comparison.a ? "A" : "B") << ": " << escaped(b.parties) << ": "
-                << escaped(b.what) << "</p>\n";
+                << escaped(b.description) << "</p>\n";
         }
     }
     out << "</body></html>\n";
--- a/src/replay/trial.cpp
+++ b/src/replay/trial.cpp
@@ -60,10 +60,11 @@
 }
 
 std::size_t workers_of(const RecordedDay& day) {
-    return static_cast<std::size_t>(std::count_if(
-        day.world.moves.begin(), day.world.moves.end(), [](const scenario::TimedMove& m) {
-            return m.opening && m.what.kind == scenario::MoveKind::AddWorker;
-        }));
+    return static_cast<std::size_t>(
+        std::count_if(day.world.actions.begin(), day.world.actions.end(),
+                      [](const scenario::TimedFaultAction& m) {
+                          return m.initial && m.action.kind == scenario::FaultActionKind::AddServer;
+                      }));
 }
 
 class TrialReader {
@@ -154,34 +155,34 @@
 // ---- ready-made changes
 
 // The opening's moves that add one worker like this one, under another name.
-void add_like(scenario::GivenWorld& world, const testbed::WorkerSettings& like,
+void add_like(scenario::RecordedScenario& world, const testbed::FakeServerSettings& like,
               const std::string& id) {
-    using enum scenario::MoveKind;
-    scenario::Move add{.kind = AddWorker, .who = id, .worker = like};
-    add.worker.id = id;
-    std::vector<scenario::TimedMove> moves;
-    for (const auto kind : {StartWorker, ListWorker}) {
-        moves.push_back({0us, true, true, {.kind = kind, .who = id}});
+    using enum scenario::FaultActionKind;
+    scenario::FaultAction add{.kind = AddServer, .target = id, .server_settings = like};
+    add.server_settings.id = id;
+    std::vector<scenario::TimedFaultAction> moves;
+    for (const auto kind : {StartServer, ListServer}) {
+        moves.push_back({0us, true, true, {.kind = kind, .target = id}});
     }
     moves.insert(moves.begin(), {0us, true, true, std::move(add)});
     // Among the workers, before governors and forwarders start.
-    const auto at =
-        std::find_if(world.moves.begin(), world.moves.end(), [](const scenario::TimedMove& m) {
-            return !m.opening || m.what.kind == StartGovernor || m.what.kind == AddForwarder;
+    const auto at = std::find_if(
+        world.actions.begin(), world.actions.end(), [](const scenario::TimedFaultAction& m) {
+            return !m.initial || m.action.kind == StartInstance || m.action.kind == AddProxy;
         });
-    world.moves.insert(at, moves.begin(), moves.end());
+    world.actions.insert(at, moves.begin(), moves.end());
 }
 
-void change_workers(scenario::GivenWorld& world, int more, std::uint64_t seed) {
-    std::vector<testbed::WorkerSettings> opening;
+void change_workers(scenario::RecordedScenario& world, int more, std::uint64_t seed) {
+    std::vector<testbed::FakeServerSettings> opening;
     std::size_t all = 0;
-    for (const auto& move : world.moves) {
-        if (move.what.kind != scenario::MoveKind::AddWorker) {
+    for (const auto& move : world.actions) {
+        if (move.action.kind != scenario::FaultActionKind::AddServer) {
             continue;
         }
         ++all;
-        if (move.opening) {
-            opening.push_back(move.what.worker);
+        if (move.initial) {
+            opening.push_back(move.action.server_settings);
         }
     }
     for (int n = 0; n < more; ++n) {
@@ -189,20 +190,22 @@
                                  static_cast<std::uint64_t>(n));
         const auto k = static_cast<std::size_t>(luck.part() * static_cast<double>(opening.size()));
         // Zones in turn, so that the fleet stays as even as it was.
-        testbed::WorkerSettings like = opening[k];
+        testbed::FakeServerSettings like = opening[k];
         like.zone = opening[static_cast<std::size_t>(n) % opening.size()].zone;
-        add_like(world, like, scenario::numbered("worker", all + static_cast<std::size_t>(n)));
+        add_like(world, like, scenario::numbered_name("worker", all + static_cast<std::size_t>(n)));
     }
     std::set<std::string> dropped;
     for (int n = 0; n < -more; ++n) {
         dropped.insert(opening[opening.size() - 1 - static_cast<std::size_t>(n)].id);
     }
-    std::erase_if(world.moves,
-                  [&](const scenario::TimedMove& m) { return dropped.contains(m.what.who); });
+    std::erase_if(world.actions, [&](const scenario::TimedFaultAction& m) {
+        return dropped.contains(m.action.target);
+    });
 }
 
 // Whole times are copies, the rest is drawn by id; copies come within half a second of their first.
-void change_traffic(scenario::GivenWorld& world, double times, std::uint64_t seed, Micros length) {
+void change_traffic(scenario::RecordedScenario& world, double times, std::uint64_t seed,
+                    Micros length) {
     const std::uint64_t drawn = base::seed_for(seed, "traffic");
     std::uint64_t next = 1;
     for (const auto& [forwarder, list] : world.traffic) {
@@ -224,12 +227,13 @@
                 // Ids of copies follow from the first one's, so that the same luck falls to them
                 // every time.
                 out.back().id = next * static_cast<std::uint64_t>(n) + one.id;
-                out.back().came = std::clamp(
-                    one.came + Micros(std::llround(luck.between(-5e5, 5e5))), 0us, length - 1us);
+                out.back().arrived_at =
+                    std::clamp(one.arrived_at + Micros(std::llround(luck.between(-5e5, 5e5))), 0us,
+                               length - 1us);
             }
         }
         std::stable_sort(out.begin(), out.end(),
-                         [](const auto& a, const auto& b) { return a.came < b.came; });
+                         [](const auto& a, const auto& b) { return a.arrived_at < b.arrived_at; });
         list = std::move(out);
     }
 }
@@ -277,8 +281,8 @@
     return out;
 }
 
-scenario::DayScript make_script(const RecordedDay& day, const Trial& trial,
-                                std::vector<ConfigError>& mistakes) {
+scenario::ScenarioScript make_script(const RecordedDay& day, const Trial& trial,
+                                     std::vector<ConfigError>& mistakes) {
     auto out = scenario::parse_script(day.header.made_by(), day.script, trial.settings, mistakes);
     if (!mistakes.empty()) {
         return out;
@@ -286,12 +290,13 @@
     out.name = day.header.made_by();
     out.seed = day.header.seed();
     out.length = day.length;
-    out.startup = trial.startup.value_or(out.startup);
-    out.workers += trial.more_workers;
-    out.rate *= trial.traffic;
-    const auto& columns = out.governor.settings.load_metric_names;
-    const bool told = std::any_of(day.world.moves.begin(), day.world.moves.end(),
-                                  [](const auto& m) { return m.what.worker.reports_load; });
+    out.startup_table_size = trial.startup.value_or(out.startup_table_size);
+    out.server_count += trial.more_workers;
+    out.invocations_per_second *= trial.traffic;
+    const auto& columns = out.instance_config.settings.load_metric_names;
+    const bool told =
+        std::any_of(day.world.actions.begin(), day.world.actions.end(),
+                    [](const auto& m) { return m.action.server_settings.reports_load; });
     if (!columns.empty() && !told) {
         mistakes.push_back({trial.name, 0, "[reports] load_columns",
                             "asks for what no worker of the recorded day reported"});
--- a/src/replay/trial.h
+++ b/src/replay/trial.h
@@ -37,12 +37,12 @@
 std::optional<std::pair<std::string, std::string>> read_set(const std::string& text);
 
 // The day's script under the trial's settings, checked against the day once more.
-scenario::DayScript make_script(const RecordedDay& day, const Trial& trial,
-                                std::vector<config::ConfigError>& mistakes);
+scenario::ScenarioScript make_script(const RecordedDay& day, const Trial& trial,
+                                     std::vector<config::ConfigError>& mistakes);
 
 struct Playable {
-    scenario::DayScript script;
-    scenario::GivenWorld world;
+    scenario::ScenarioScript script;
+    scenario::RecordedScenario world;
 };
 
 // That script, and the recorded world with the ready-made changes.
--- a/src/scenario/auditor.cpp
+++ b/src/scenario/auditor.cpp
@@ -22,7 +22,7 @@
 }
 }  // namespace
 
-std::string in_seconds(Micros t) {
+std::string format_seconds(Micros t) {
     std::ostringstream out;
     out.precision(3);
     out << std::fixed << static_cast<double>(t.count()) / 1e6 << " s";
@@ -36,7 +36,8 @@
     tick_.after(kLook, [this] { look(); });
 }
 
-void Auditor::broken(std::string rule, Micros when, std::string parties, std::string what) {
+void Auditor::report_violation(std::string rule, Micros when, std::string parties,
+                               std::string what) {
     ++counts_[rule];
     if (!told_.emplace(rule, parties).second || breaks_.size() >= kBreaksKept) {
         return;
@@ -44,17 +45,17 @@
     breaks_.push_back({std::move(rule), when, std::move(parties), std::move(what)});
 }
 
-std::int64_t Auditor::broken(const std::string& rule) const {
+std::int64_t Auditor::violation_count(const std::string& rule) const {
     const auto it = counts_.find(rule);
     return it == counts_.end() ? 0 : it->second;
 }
 
-std::int64_t Auditor::checked(const std::string& rule) const {
+std::int64_t Auditor::check_count(const std::string& rule) const {
     const auto it = checks_.find(rule);
     return it == checks_.end() ? 0 : it->second;
 }
 
-void Auditor::stretch(double factor) {
+void Auditor::scale_time_limits(double factor) {
     stretches_.emplace_back(clock_.now(), std::max(1.0, factor));
 }
 
@@ -105,18 +106,20 @@
                          stretch_since(since)));
         margins_.bare = std::max(margins_.bare, part(now - since, most));
         if (now - since > most) {
-            broken("bare", now, name + " of " + sight.governor,
-                   "no server to pick for operation " + std::to_string(operation) + " for " +
-                       in_seconds(now - since));
+            report_violation("bare", now, name + " of " + sight.governor,
+                             "no server to pick for operation " + std::to_string(operation) +
+                                 " for " + format_seconds(now - since));
         }
     }
 }
 
-void Auditor::pickable(Micros, const std::string& forwarder, int operation, bool any) {
+void Auditor::on_endpoint_availability(Micros, const std::string& forwarder, int operation,
+                                       bool any) {
     forwarders_[forwarder].any[operation] = any;
 }
 
-void Auditor::joined(Micros now, const std::string& forwarder, const std::string& governor) {
+void Auditor::on_proxy_connected(Micros now, const std::string& forwarder,
+                                 const std::string& governor) {
     ForwarderSight& sight = forwarders_[forwarder];
     sight.governor = governor;
     sight.joined = now;
@@ -125,19 +128,20 @@
     sight.bare_since.clear();
 }
 
-void Auditor::left(Micros, const std::string& forwarder, const std::string&) {
+void Auditor::on_proxy_disconnected(Micros, const std::string& forwarder, const std::string&) {
     ForwarderSight& sight = forwarders_[forwarder];
     sight.governor.clear();
     sight.bare_since.clear();
 }
 
-void Auditor::forwarder_down(Micros, const std::string& forwarder) {
+void Auditor::on_proxy_stopped(Micros, const std::string& forwarder) {
     forwarders_.erase(forwarder);
 }
 
 // ---- the list, and drains
 
-void Auditor::list_told(Micros now, const std::string& name, const xds_server::ServerList& list) {
+void Auditor::on_server_list_sent(Micros now, const std::string& name,
+                                  const xds_server::ServerList& list) {
     GovernorSight& sight = governors_[name];
     // What the settings let a governor refuse has not told it anything: an empty list after a full
     // one, and one older than what the same registry gave before.
@@ -180,16 +184,17 @@
     }
 }
 
-void Auditor::try_sent(Micros now, const std::string& name, const std::string& server,
-                       std::uint64_t invocation, int operation, int number,
-                       testbed::TryEnd before) {
+void Auditor::on_attempt_sent(Micros now, const std::string& name, const std::string& server,
+                              std::uint64_t invocation, int operation, int number,
+                              testbed::AttemptOutcome before) {
     const auto& op = config_.settings.operations[static_cast<std::size_t>(operation)];
     if (op.effect == Effect::SideEffecting && number > 1) {
         ++checks_["effect"];
-        if (before != testbed::TryEnd::NeverSent && before != testbed::TryEnd::Refused) {
-            broken("effect", now, name + " to " + server,
-                   op.name + " " + std::to_string(invocation) +
-                       " sent again after a try that may have run");
+        if (before != testbed::AttemptOutcome::NeverSent &&
+            before != testbed::AttemptOutcome::Refused) {
+            report_violation("effect", now, name + " to " + server,
+                             op.name + " " + std::to_string(invocation) +
+                                 " sent again after a try that may have run");
         }
     }
     const auto it = forwarders_.find(name);
@@ -207,16 +212,16 @@
                                     stretch_since(since)));
     margins_.drain = std::max(margins_.drain, part(now - since, grace));
     if (now - since > grace) {
-        broken("drain", now, name + " to " + server,
-               "sent " + in_seconds(now - since) + " after " + it->second.governor +
-                   " was told that it drains or is gone");
+        report_violation("drain", now, name + " to " + server,
+                         "sent " + format_seconds(now - since) + " after " + it->second.governor +
+                             " was told that it drains or is gone");
     }
 }
 
 // ---- effects
 
-void Auditor::took_effect(Micros now, const std::string& server, std::uint64_t invocation,
-                          int operation) {
+void Auditor::on_execution_started(Micros now, const std::string& server, std::uint64_t invocation,
+                                   int operation) {
     const auto& op = config_.settings.operations[static_cast<std::size_t>(operation)];
     if (op.effect != Effect::SideEffecting) {
         return;
@@ -224,27 +229,28 @@
     ++checks_["effect"];
     const auto [it, first] = effects_.try_emplace(invocation, now, server);
     if (!first) {
-        broken("effect", now, it->second.second + " and " + server,
-               op.name + " " + std::to_string(invocation) + " took effect twice");
+        report_violation("effect", now, it->second.second + " and " + server,
+                         op.name + " " + std::to_string(invocation) + " took effect twice");
     }
 }
 
 // ---- cold servers
 
-void Auditor::server_up(Micros now, const std::string& server, bool) {
+void Auditor::on_server_started(Micros now, const std::string& server, bool) {
     started_[server] = now;
 }
 
-void Auditor::server_fell(Micros now, const std::string& server, const std::vector<Push>& pushes) {
+void Auditor::on_server_collapsed(Micros now, const std::string& server,
+                                  const std::vector<ReceivedWork>& pushes) {
     ++checks_["cold"];
     double knowing = 0;
     double all = 0;
     std::map<std::string, double> by;
     std::string who;
-    for (const Push& push : pushes) {
+    for (const ReceivedWork& push : pushes) {
         all += push.work;
-        by[push.forwarder] += push.work;
-        const auto it = forwarders_.find(push.forwarder);
+        by[push.proxy] += push.work;
+        const auto it = forwarders_.find(push.proxy);
         if (it == forwarders_.end() || it->second.governor.empty()) {
             continue;
         }
@@ -255,8 +261,7 @@
         }
         const Micros grace(std::llround(static_cast<double>(config_.settings.drain_grace.count()) *
                                         stretch_since(listed->second.told)));
-        if (it->second.last_order < listed->second.told &&
-            push.when < listed->second.told + grace) {
+        if (it->second.last_order < listed->second.told && push.at < listed->second.told + grace) {
             continue;
         }
         knowing += push.work;
@@ -265,22 +270,22 @@
         }
     }
     if (all > 0 && knowing * 3 >= all * 2) {
-        broken("cold", now, server,
-               "pushed over " + in_seconds(now - started_[server]) +
-                   " after its start by forwarders of " + who + ": " +
-                   std::to_string(pushes.size()) + " tries, " +
-                   in_seconds(Micros(std::llround(all))) + " of work within " +
-                   in_seconds(config_.settings.overload_collapse_time) + ", most of it by " +
-                   std::max_element(by.begin(), by.end(), [](const auto& a, const auto& b) {
-                       return a.second < b.second;
-                   })->first);
+        report_violation(
+            "cold", now, server,
+            "pushed over " + format_seconds(now - started_[server]) +
+                " after its start by forwarders of " + who + ": " + std::to_string(pushes.size()) +
+                " tries, " + format_seconds(Micros(std::llround(all))) + " of work within " +
+                format_seconds(config_.settings.overload_collapse_time) + ", most of it by " +
+                std::max_element(by.begin(), by.end(), [](const auto& a, const auto& b) {
+                    return a.second < b.second;
+                })->first);
     }
 }
 
 // ---- the queue
 
-void Auditor::response_read(Micros now, const std::string& forwarder, const std::string&,
-                            const std::string& orders, std::size_t, const std::string&) {
+void Auditor::on_response(Micros now, const std::string& forwarder, const std::string&,
+                          const std::string& orders, std::size_t, const std::string&) {
     ForwarderSight& sight = forwarders_[forwarder];
     const auto read = xds::parse_release_text(orders);
     for (const auto& order : read.updates) {
@@ -305,13 +310,13 @@
     margins_.messages =
         std::max(margins_.messages, static_cast<double>(sight.messages.size()) / told.max_messages);
     if (static_cast<int>(sight.messages.size()) > told.max_messages) {
-        broken("queue", now, origin + " to " + forwarder,
-               std::to_string(sight.messages.size()) + " messages within " +
-                   in_seconds(told.message_window));
+        report_violation("queue", now, origin + " to " + forwarder,
+                         std::to_string(sight.messages.size()) + " messages within " +
+                             format_seconds(told.message_window));
     }
 }
 
-void Auditor::close() {
+void Auditor::finish() {
     look();
     tick_.stop();
     for (const auto& [origin, moves] : queues_) {
@@ -325,8 +330,9 @@
             ++checks_["queue"];
             margins_.lines = std::max(margins_.lines, waiting / config_.settings.max_queued_lines);
             if (waiting > config_.settings.max_queued_lines) {
-                broken("queue", at, origin,
-                       std::to_string(std::llround(waiting)) + " lines waited in its channel");
+                report_violation(
+                    "queue", at, origin,
+                    std::to_string(std::llround(waiting)) + " lines waited in its channel");
             }
         }
     }
--- a/src/scenario/auditor.h
+++ b/src/scenario/auditor.h
@@ -27,28 +27,28 @@
 namespace badgergrade::scenario {
 
 // The five rules, by name.
-inline constexpr const char* kRules[] = {"bare", "effect", "drain", "cold", "queue"};
+inline constexpr const char* kAuditRules[] = {"bare", "effect", "drain", "cold", "queue"};
 
 // "24.906 s".
-std::string in_seconds(base::Micros t);
+std::string format_seconds(base::Micros t);
 
-struct RuleBreak {
+struct RuleViolation {
     std::string rule;
-    Micros when{};
-    std::string parties, what;
+    Micros at{};
+    std::string parties, description;
 };
 
 class Auditor final : public testbed::Observer {
 public:
     Auditor(base::Clock& clock, const config::GovernorConfig& config);
 
-    const std::vector<RuleBreak>& breaks() const { return breaks_; }
+    const std::vector<RuleViolation>& violations() const { return breaks_; }
 
-    std::int64_t broken(const std::string& rule) const;
+    std::int64_t violation_count(const std::string& rule) const;
     // Times in the rules grow by this factor from now on (a slow channel), and back.
-    void stretch(double factor);
+    void scale_time_limits(double factor);
     // What is still open at the end of a day.
-    void close();
+    void finish();
 
     // How near the day came to each limit: 1 is the limit itself.
     struct Margins {
@@ -57,24 +57,27 @@
 
     Margins margins() const { return margins_; }
 
-    std::int64_t checked(const std::string& rule) const;
-
-    void forwarder_down(Micros, const std::string& forwarder) override;
-    void joined(Micros, const std::string& forwarder, const std::string& governor) override;
-    void left(Micros, const std::string& forwarder, const std::string& governor) override;
-    void response_read(Micros, const std::string& forwarder, const std::string& governor,
-                       const std::string& orders, std::size_t bytes,
-                       const std::string& why) override;
-    void pickable(Micros, const std::string& forwarder, int operation, bool any) override;
-    void try_sent(Micros, const std::string& forwarder, const std::string& server,
-                  std::uint64_t invocation, int operation, int number,
-                  testbed::TryEnd before) override;
-    void server_up(Micros, const std::string& server, bool cold) override;
-    void server_fell(Micros, const std::string& server, const std::vector<Push>& pushes) override;
-    void took_effect(Micros, const std::string& server, std::uint64_t invocation,
-                     int operation) override;
-    void list_told(Micros, const std::string& governor,
-                   const xds_server::ServerList& list) override;
+    std::int64_t check_count(const std::string& rule) const;
+
+    void on_proxy_stopped(Micros, const std::string& forwarder) override;
+    void on_proxy_connected(Micros, const std::string& forwarder,
+                            const std::string& governor) override;
+    void on_proxy_disconnected(Micros, const std::string& forwarder,
+                               const std::string& governor) override;
+    void on_response(Micros, const std::string& forwarder, const std::string& governor,
+                     const std::string& orders, std::size_t bytes, const std::string& why) override;
+    void on_endpoint_availability(Micros, const std::string& forwarder, int operation,
+                                  bool any) override;
+    void on_attempt_sent(Micros, const std::string& forwarder, const std::string& server,
+                         std::uint64_t invocation, int operation, int number,
+                         testbed::AttemptOutcome before) override;
+    void on_server_started(Micros, const std::string& server, bool cold) override;
+    void on_server_collapsed(Micros, const std::string& server,
+                             const std::vector<ReceivedWork>& pushes) override;
+    void on_execution_started(Micros, const std::string& server, std::uint64_t invocation,
+                              int operation) override;
+    void on_server_list_sent(Micros, const std::string& governor,
+                             const xds_server::ServerList& list) override;
 
 private:
     struct ForwarderSight {
@@ -104,7 +107,7 @@
         double lines = 0;
     };
 
-    void broken(std::string rule, Micros when, std::string parties, std::string what);
+    void report_violation(std::string rule, Micros when, std::string parties, std::string what);
     bool warm_server_listed(const GovernorSight& sight, Micros now) const;
     void look();
     void look_at(const std::string& forwarder, ForwarderSight& sight, Micros now);
@@ -124,7 +127,7 @@
     std::map<std::string, Micros> started_;
     std::set<std::pair<std::string, std::string>> told_;
     std::vector<std::pair<Micros, double>> stretches_;
-    std::vector<RuleBreak> breaks_;
+    std::vector<RuleViolation> breaks_;
     std::map<std::string, std::int64_t> counts_, checks_;
     Margins margins_;
 };
--- a/src/scenario/figures.cpp
+++ b/src/scenario/metrics.cpp
@@ -1,4 +1,4 @@
-#include "scenario/figures.h"
+#include "scenario/metrics.h"
 
 #include <algorithm>
 #include <cmath>
@@ -23,9 +23,9 @@
     return rounded(static_cast<double>(t.count()) / 1000);
 }
 
-Service& operator+=(Service& a, const Service& b) {
-    a.asked += b.asked;
-    a.within += b.within;
+ServiceTotals& operator+=(ServiceTotals& a, const ServiceTotals& b) {
+    a.billed_value += b.billed_value;
+    a.value_within_objective += b.value_within_objective;
     a.invocations += b.invocations;
     a.succeeded += b.succeeded;
     a.rate_limited += b.rate_limited;
@@ -35,26 +35,26 @@
     return a;
 }
 
-ordered_json to_json(const Service& s) {
-    return {{"service", rounded(s.part())},   {"invocations", s.invocations},
-            {"succeeded", s.succeeded},       {"late", s.late},
-            {"rate_limited", s.rate_limited}, {"errored", s.errored},
+ordered_json to_json(const ServiceTotals& s) {
+    return {{"service", rounded(s.fraction())}, {"invocations", s.invocations},
+            {"succeeded", s.succeeded},         {"late", s.late},
+            {"rate_limited", s.rate_limited},   {"errored", s.errored},
             {"timed_out", s.timed_out}};
 }
 
-const char* name_of(testbed::TryEnd end) {
+const char* name_of(testbed::AttemptOutcome end) {
     switch (end) {
-        case testbed::TryEnd::Answered:
+        case testbed::AttemptOutcome::Answered:
             return "answered";
-        case testbed::TryEnd::Refused:
+        case testbed::AttemptOutcome::Refused:
             return "refused";
-        case testbed::TryEnd::NeverSent:
+        case testbed::AttemptOutcome::NeverSent:
             return "never_sent";
-        case testbed::TryEnd::Broken:
+        case testbed::AttemptOutcome::Broken:
             return "broken";
-        case testbed::TryEnd::TimedOut:
+        case testbed::AttemptOutcome::TimedOut:
             return "timed_out";
-        case testbed::TryEnd::Errored:
+        case testbed::AttemptOutcome::Errored:
             return "errored";
     }
     return "";
@@ -74,8 +74,8 @@
     return values[at];
 }
 
-Figures::Figures(const DayScript& script, Micros begin, Micros length,
-                 std::map<std::string, std::string> zone_of_forwarder)
+ScenarioMetrics::ScenarioMetrics(const ScenarioScript& script, Micros begin, Micros length,
+                                 std::map<std::string, std::string> zone_of_forwarder)
     : script_(script),
       begin_(begin),
       zones_(std::move(zone_of_forwarder)),
@@ -83,71 +83,73 @@
       by_second_(
           static_cast<std::size_t>(std::max<std::int64_t>(0, length.count()) / 1000000 + 1)) {}
 
-void Figures::invocation_came(Micros now, const testbed::Invocation& what) {
+void ScenarioMetrics::on_invocation_arrived(Micros now, const testbed::Invocation& what) {
     if (now >= begin_) {
         open_[what.id] = what;
     }
 }
 
-void Figures::client_try(Micros, const testbed::Invocation&) {
+void ScenarioMetrics::on_client_attempt(Micros, const testbed::Invocation&) {
     ++client_tries_;
 }
 
-void Figures::invocation_ended(Micros now, const testbed::Invocation& what,
-                               testbed::Result result) {
+void ScenarioMetrics::on_invocation_finished(Micros now, const testbed::Invocation& what,
+                                             testbed::InvocationResult result) {
     if (open_.erase(what.id) > 0) {
-        add(what, result, now - what.came);
+        add(what, result, now - what.arrived_at);
     }
 }
 
-void Figures::add(const testbed::Invocation& what, testbed::Result result, Micros took) {
-    const auto& op = script_.governor.settings.operations[static_cast<std::size_t>(what.operation)];
-    Service one;
+void ScenarioMetrics::add(const testbed::Invocation& what, testbed::InvocationResult result,
+                          Micros took) {
+    const auto& op =
+        script_.instance_config.settings.operations[static_cast<std::size_t>(what.operation)];
+    ServiceTotals one;
     one.invocations = 1;
-    one.asked = op.priority_weight;
+    one.billed_value = op.priority_weight;
     switch (result) {
-        case testbed::Result::Succeeded:
+        case testbed::InvocationResult::Succeeded:
             one.succeeded = 1;
             if (took <= op.latency_objective) {
-                one.within = op.priority_weight;
+                one.value_within_objective = op.priority_weight;
             } else {
                 one.late = 1;
             }
             answered_.push_back(took);
             break;
-        case testbed::Result::RateLimited:
+        case testbed::InvocationResult::RateLimited:
             one.rate_limited = 1;
             break;
-        case testbed::Result::Errored:
+        case testbed::InvocationResult::Errored:
             one.errored = 1;
             break;
-        case testbed::Result::TimedOut:
+        case testbed::InvocationResult::TimedOut:
             one.timed_out = 1;
             break;
     }
     whole_ += one;
     by_operation_[static_cast<std::size_t>(what.operation)] += one;
-    by_zone_[zones_[what.forwarder]] += one;
-    const auto second =
-        static_cast<std::size_t>(std::max<std::int64_t>(0, (what.came - begin_).count() / 1000000));
+    by_zone_[zones_[what.proxy]] += one;
+    const auto second = static_cast<std::size_t>(
+        std::max<std::int64_t>(0, (what.arrived_at - begin_).count() / 1000000));
     by_second_[std::min(second, by_second_.size() - 1)] += one;
 }
 
-void Figures::close() {
+void ScenarioMetrics::finish() {
     for (const auto& [id, what] : std::exchange(open_, {})) {
-        add(what, testbed::Result::TimedOut, 0us);
+        add(what, testbed::InvocationResult::TimedOut, 0us);
     }
 }
 
-Service Figures::worst_window() const {
-    Service worst;
+ServiceTotals ScenarioMetrics::worst_window() const {
+    ServiceTotals worst;
     bool any = false;
     for (std::size_t at = 0; at + kWindow <= by_second_.size(); ++at) {
-        Service sum;
+        ServiceTotals sum;
         for (std::size_t k = at; k < at + kWindow; ++k) {
             sum += by_second_[k];
         }
-        if (sum.asked > 0 && (!any || sum.part() < worst.part())) {
+        if (sum.billed_value > 0 && (!any || sum.fraction() < worst.fraction())) {
             worst = sum;
             any = true;
         }
@@ -157,16 +159,19 @@
 
 // ---- orders
 
-void Figures::joined(Micros now, const std::string& forwarder, const std::string& governor) {
+void ScenarioMetrics::on_proxy_connected(Micros now, const std::string& forwarder,
+                                         const std::string& governor) {
     forwarders_[forwarder] = {governor, now};
 }
 
-void Figures::left(Micros, const std::string& forwarder, const std::string&) {
+void ScenarioMetrics::on_proxy_disconnected(Micros, const std::string& forwarder,
+                                            const std::string&) {
     forwarders_[forwarder].governor.clear();
 }
 
-void Figures::response_read(Micros now, const std::string& forwarder, const std::string& governor,
-                            const std::string& orders, std::size_t bytes, const std::string& why) {
+void ScenarioMetrics::on_response(Micros now, const std::string& forwarder,
+                                  const std::string& governor, const std::string& orders,
+                                  std::size_t bytes, const std::string& why) {
     GovernorCounts& counts = governors_[governor];
     ++counts.responses;
     counts.bytes += static_cast<std::int64_t>(bytes);
@@ -189,8 +194,8 @@
     sight.applied = std::max(sight.applied, newest);
 }
 
-void Figures::list_told(Micros now, const std::string& governor,
-                        const xds_server::ServerList& list) {
+void ScenarioMetrics::on_server_list_sent(Micros now, const std::string& governor,
+                                          const xds_server::ServerList& list) {
     GovernorCounts& counts = governors_[governor];
     ++counts.lists;
     std::string ready;
@@ -210,30 +215,31 @@
 
 // ---- tries
 
-void Figures::try_sent(Micros, const std::string&, const std::string&, std::uint64_t, int,
-                       int number, testbed::TryEnd) {
+void ScenarioMetrics::on_attempt_sent(Micros, const std::string&, const std::string&, std::uint64_t,
+                                      int, int number, testbed::AttemptOutcome) {
     ++tries_;
     further_ += number > 1;
 }
 
-void Figures::try_ended(Micros, const std::string&, const std::string&, std::uint64_t,
-                        testbed::TryEnd end) {
+void ScenarioMetrics::on_attempt_finished(Micros, const std::string&, const std::string&,
+                                          std::uint64_t, testbed::AttemptOutcome end) {
     ++ends_[name_of(end)];
 }
 
-void Figures::server_up(Micros, const std::string&, bool) {
+void ScenarioMetrics::on_server_started(Micros, const std::string&, bool) {
     ++starts_;
 }
 
-void Figures::server_fell(Micros, const std::string&, const std::vector<Push>&) {
+void ScenarioMetrics::on_server_collapsed(Micros, const std::string&,
+                                          const std::vector<ReceivedWork>&) {
     ++falls_;
 }
 
-void Figures::took_effect(Micros, const std::string& server, std::uint64_t invocation,
-                          int operation) {
+void ScenarioMetrics::on_execution_started(Micros, const std::string& server,
+                                           std::uint64_t invocation, int operation) {
     ++effects_;
     ++effects_by_server_[server];
-    if (script_.governor.settings.operations[static_cast<std::size_t>(operation)].effect !=
+    if (script_.instance_config.settings.operations[static_cast<std::size_t>(operation)].effect !=
         Effect::SideEffecting) {
         return;
     }
@@ -242,18 +248,18 @@
     }
 }
 
-ordered_json Figures::json() const {
+ordered_json ScenarioMetrics::json() const {
     ordered_json out;
     out["whole_day"] = to_json(whole_);
-    out["worst_10_s"] = rounded(worst_window().part());
+    out["worst_10_s"] = rounded(worst_window().fraction());
     for (std::size_t k = 0; k < by_operation_.size(); ++k) {
         out["by_operation"][script_.operations[k].name] = to_json(by_operation_[k]);
     }
     for (const auto& [zone, service] : by_zone_) {
         out["by_zone"][zone] = to_json(service);
     }
-    for (const Service& second : by_second_) {
-        out["by_second"].push_back(rounded(second.part()));
+    for (const ServiceTotals& second : by_second_) {
+        out["by_second"].push_back(rounded(second.fraction()));
     }
     out["answer_ms"] = {{"p50", ms(quantile(answered_, 0.5))},
                         {"p99", ms(quantile(answered_, 0.99))}};
--- a/src/scenario/weather.cpp
+++ b/src/scenario/network_conditions.cpp
@@ -1,4 +1,4 @@
-#include "scenario/weather.h"
+#include "scenario/network_conditions.h"
 
 #include <cmath>
 
@@ -13,26 +13,27 @@
 constexpr Micros kMoment = 20ms;
 }  // namespace
 
-DayWeather::DayWeather(const base::Clock& clock, const DayScript& script, std::uint64_t seed)
-    : same_(script.same_way),
-      cross_(script.cross_way),
-      orders_(script.orders_way_us),
+NetworkConditions::NetworkConditions(const base::Clock& clock, const ScenarioScript& script,
+                                     std::uint64_t seed)
+    : same_(script.same_zone_delay),
+      cross_(script.cross_zone_delay),
+      orders_(script.update_delay_us),
       clock_(clock),
       luck_(base::seed_for(seed, "weather")) {}
 
-const std::string& DayWeather::zone(const std::string& host) const {
+const std::string& NetworkConditions::zone(const std::string& host) const {
     static const std::string kNone;
     const auto it = zones_.find(host);
     return it == zones_.end() ? kNone : it->second;
 }
 
-base::CounterRandom DayWeather::luck(const char* what, const std::string& from,
-                                     const std::string& to) const {
+base::CounterRandom NetworkConditions::luck(const char* what, const std::string& from,
+                                            const std::string& to) const {
     return {base::seed_for(luck_, what + ("/" + from) + "/" + to),
             static_cast<std::uint64_t>(clock_.now() / kMoment)};
 }
 
-void DayWeather::cut(const std::string& zone, bool on) {
+void NetworkConditions::set_partitioned(const std::string& zone, bool on) {
     if (on) {
         cut_.insert(zone);
     } else {
@@ -40,7 +41,7 @@
     }
 }
 
-bool DayWeather::cut(const std::string& from, const std::string& to) {
+bool NetworkConditions::cut(const std::string& from, const std::string& to) {
     if (cut_.empty()) {
         return false;
     }
@@ -52,7 +53,7 @@
     return cut_.contains(a) || cut_.contains(b);
 }
 
-Micros DayWeather::delay(const std::string& from, const std::string& to) {
+Micros NetworkConditions::delay(const std::string& from, const std::string& to) {
     const std::string& a = zone(from);
     const std::string& b = zone(to);
     if (a.empty() || b.empty()) {
@@ -61,11 +62,12 @@
     Micros out = a == b ? same_ : cross_;
     if (a != b) {
         for (const auto& [zone, slow] : slow_) {
-            if (slow.wait <= 0us || (zone != a && zone != b)) {
+            if (slow.delay <= 0us || (zone != a && zone != b)) {
                 continue;
             }
-            out += slow.wait;
-            if (slow.lost > 0 && luck("lost", from, to).part() < slow.lost) {
+            out += slow.delay;
+            if (slow.retransmitted_fraction > 0 &&
+                luck("lost", from, to).part() < slow.retransmitted_fraction) {
                 out += kSentAgain;
             }
         }
--- a/src/scenario/weather.h
+++ b/src/scenario/network_conditions.h
@@ -15,24 +15,24 @@
 
 namespace badgergrade::scenario {
 
-class DayWeather final : public net::Weather {
+class NetworkConditions final : public net::Weather {
 public:
-    DayWeather(const base::Clock& clock, const DayScript& script, std::uint64_t seed);
+    NetworkConditions(const base::Clock& clock, const ScenarioScript& script, std::uint64_t seed);
 
-    void place(const std::string& host, const std::string& zone) { zones_[host] = zone; }
+    void set_zone(const std::string& host, const std::string& zone) { zones_[host] = zone; }
 
-    void call_governor(const std::string& host) { governors_.insert(host); }
+    void add_instance(const std::string& host) { governors_.insert(host); }
 
-    void call_forwarder(const std::string& host) { forwarders_.insert(host); }
+    void add_proxy(const std::string& host) { forwarders_.insert(host); }
 
-    void cut(const std::string& zone, bool on);
+    void set_partitioned(const std::string& zone, bool on);
 
-    struct Slow {
-        Micros wait{};
-        double lost = 0;  // part of what is sent that has to be sent again
+    struct ZoneDelay {
+        Micros delay{};
+        double retransmitted_fraction = 0;  // part of what is sent that has to be sent again
     };
 
-    void slow(const std::string& zone, Slow slow) { slow_[zone] = slow; }
+    void set_zone_delay(const std::string& zone, ZoneDelay slow) { slow_[zone] = slow; }
 
     Micros delay(const std::string& from, const std::string& to) override;
     bool cut(const std::string& from, const std::string& to) override;
@@ -48,7 +48,7 @@
     std::uint64_t luck_;
     std::map<std::string, std::string> zones_;
     std::set<std::string> governors_, forwarders_, cut_;
-    std::map<std::string, Slow> slow_;
+    std::map<std::string, ZoneDelay> slow_;
 };
 
 }  // namespace badgergrade::scenario
--- a/src/scenario/runner.cpp
+++ b/src/scenario/runner.cpp
@@ -22,28 +22,28 @@
 ordered_json rules_json(const Auditor& auditor, Micros begin) {
     ordered_json out;
     const auto margins = auditor.margins();
-    for (const char* rule : kRules) {
-        out[rule] = {{"kept", auditor.broken(rule) == 0},
-                     {"broken", auditor.broken(rule)},
-                     {"checked", auditor.checked(rule)}};
+    for (const char* rule : kAuditRules) {
+        out[rule] = {{"kept", auditor.violation_count(rule) == 0},
+                     {"broken", auditor.violation_count(rule)},
+                     {"checked", auditor.check_count(rule)}};
     }
     out["nearest"] = {{"bare", rounded(margins.bare)},
                       {"drain", rounded(margins.drain)},
                       {"lines", rounded(margins.lines)},
                       {"messages", rounded(margins.messages)}};
     out["breaks"] = ordered_json::array();
-    for (const RuleBreak& b : auditor.breaks()) {
+    for (const RuleViolation& b : auditor.violations()) {
         out["breaks"].push_back({{"rule", b.rule},
-                                 {"at_s", static_cast<double>((b.when - begin).count()) / 1e6},
+                                 {"at_s", static_cast<double>((b.at - begin).count()) / 1e6},
                                  {"parties", b.parties},
-                                 {"what", b.what}});
+                                 {"what", b.description}});
     }
     return out;
 }
 
 }  // namespace
 
-DayRun run_day(const DayScript& script, const DayOptions& options) {
+ScenarioRun run_scenario(const ScenarioScript& script, const ScenarioOptions& options) {
     const bool is_virtual = options.clock == ClockKind::Virtual;
     std::unique_ptr<net::Loop> loop =
         is_virtual ? std::make_unique<net::Loop>(std::chrono::seconds(kBegin))
@@ -51,52 +51,53 @@
     loop->keeps_ledger = true;
     log::Log log =
         is_virtual
-            ? log::Log(loop->clock(), options.log, options.log_form,
+            ? log::Log(loop->clock(), options.log_level, options.log_form,
                        [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); })
-            : log::Log(loop->clock(), options.log, options.log_form);
+            : log::Log(loop->clock(), options.log_level, options.log_form);
     const base::Clock& clock = loop->clock();
     const std::int64_t cpu_before = base::process_cpu_us();
     base::RealClock real(loop->io());
     const Micros real_before = real.now();
 
-    Auditor auditor(loop->clock(), script.governor);
-    Figures figures(script, clock.now() + options.count_from, script.length - options.count_from,
-                    World::forwarder_zones(script, options.given));
+    Auditor auditor(loop->clock(), script.instance_config);
+    ScenarioMetrics figures(script, clock.now() + options.measure_from,
+                            script.length - options.measure_from,
+                            SimulatedFleet::proxy_zones(script, options.recorded));
     std::vector<testbed::Observer*> watchers{&auditor, &figures};
-    watchers.insert(watchers.end(), options.watchers.begin(), options.watchers.end());
-    if (options.prepare) {
-        for (auto* watcher : options.prepare(clock.now())) {
+    watchers.insert(watchers.end(), options.observers.begin(), options.observers.end());
+    if (options.make_observers) {
+        for (auto* watcher : options.make_observers(clock.now())) {
             watchers.push_back(watcher);
         }
     }
-    DayRun run;
+    ScenarioRun run;
     {
-        World world(*loop, script, log, watchers, options.given);
-        world.on_slow_channel = [&](double slower) {
-            auditor.stretch(slower);
+        SimulatedFleet world(*loop, script, log, watchers, options.recorded);
+        world.on_channels_slowed = [&](double slower) {
+            auditor.scale_time_limits(slower);
         };
-        if (options.before) {
-            options.before(world);
+        if (options.before_start) {
+            options.before_start(world);
         }
         world.start();
         Micros tail = 0us;
-        for (const Operation& op : script.governor.settings.operations) {
+        for (const Operation& op : script.instance_config.settings.operations) {
             tail = std::max(tail, op.integration_timeout);
         }
         loop->run_until(world.begin() + script.length + tail + 500ms);
-        auditor.close();
-        figures.close();
+        auditor.finish();
+        figures.finish();
         run.result["day"] = script.name;
         run.result["seed"] = script.seed;
         run.result["seconds"] = static_cast<double>(script.length.count()) / 1e6;
-        run.result["fleet"] = {{"workers", script.workers},
-                               {"forwarders", script.forwarders},
-                               {"governors", script.governors},
-                               {"rate", script.rate}};
+        run.result["fleet"] = {{"workers", script.server_count},
+                               {"forwarders", script.proxy_count},
+                               {"governors", script.instance_count},
+                               {"rate", script.invocations_per_second}};
         run.result["figures"] = figures.json();
         run.result["rules"] = rules_json(auditor, world.begin());
-        run.breaks = auditor.breaks();
-        const auto governors = world.governor_figures();
+        run.violations = auditor.violations();
+        const auto governors = world.instance_metrics();
         for (std::size_t k = 0; k < governors.size(); ++k) {
             run.machine["governors"]["governor-" + std::to_string(k)] = {
                 {"handler_cpu_ms", static_cast<double>(governors[k].handler_cpu_us) / 1000},
@@ -110,7 +111,7 @@
     return run;
 }
 
-std::string to_text(const DayScript& script, const DayRun& run) {
+std::string to_text(const ScenarioScript& script, const ScenarioRun& run) {
     std::ostringstream out;
     out << std::fixed;
     const auto& f = run.result["figures"];
@@ -122,9 +123,9 @@
             << s["rate_limited"] << " rate-limited, " << s["errored"] << " errored, "
             << s["timed_out"] << " timed out\n";
     };
-    out << script.name << ": " << script.workers << " workers, " << script.forwarders
-        << " forwarders, " << script.governors
-        << (script.governors == 1 ? " governor, " : " governors, ") << "seed " << script.seed
+    out << script.name << ": " << script.server_count << " workers, " << script.proxy_count
+        << " forwarders, " << script.instance_count
+        << (script.instance_count == 1 ? " governor, " : " governors, ") << "seed " << script.seed
         << ", " << run.machine["clock"].get<std::string>() << " clock\n";
     out << "service (billed value answered within the latency objective, by part of that asked "
            "for)\n";
@@ -154,16 +155,16 @@
     out << "servers: " << f["servers"]["starts"] << " starts, " << f["servers"]["pushed_over"]
         << " pushed over\n";
     out << "rules:";
-    for (const char* rule : kRules) {
+    for (const char* rule : kAuditRules) {
         const auto& r = run.result["rules"][rule];
         out << " " << rule << (r["kept"].get<bool>() ? " kept" : " BROKEN") << " (" << r["checked"]
             << " looked at)";
     }
     out << "\n";
-    for (const RuleBreak& b : run.breaks) {
-        const std::int64_t milliseconds = b.when.count() / 1000 - kBegin * 1000;
+    for (const RuleViolation& b : run.violations) {
+        const std::int64_t milliseconds = b.at.count() / 1000 - kBegin * 1000;
         out << "  BROKEN " << b.rule << " at " << static_cast<double>(milliseconds) / 1000
-            << " s: " << b.parties << ": " << b.what << "\n";
+            << " s: " << b.parties << ": " << b.description << "\n";
     }
     out.precision(2);
     out << "took " << run.machine["real_seconds"].get<double>() << " s, "
--- a/src/scenario/script.cpp
+++ b/src/scenario/script.cpp
@@ -17,7 +17,7 @@
 
 // What each trouble takes: whom it strikes, and which of the words it needs.
 struct Shape {
-    Kind kind;
+    FaultKind kind;
     const char* name;
     const char* whom;   // workers, forwarders, zone, governor, none
     const char* needs;  // words that must stand there
@@ -25,34 +25,34 @@
 };
 
 constexpr Shape kTroubles[] = {
-    {Kind::Crash, "crash", "workers", "", "for unlisted"},
-    {Kind::Hang, "hang", "workers", "for", ""},
-    {Kind::FastErrors, "fast-errors", "workers", "by for", ""},
-    {Kind::Slow, "slow", "workers", "by for", ""},
-    {Kind::Ageing, "ageing", "workers", "by for", "down"},
-    {Kind::Flapping, "flapping", "workers", "turn by for", "how unlisted"},
-    {Kind::ZoneCut, "zone-cut", "zone", "for", ""},
-    {Kind::ZoneLoss, "zone-loss", "zone", "for", "with-forwarders with-governors"},
-    {Kind::Burst, "burst", "none", "by for", ""},
-    {Kind::Shift, "shift", "zone", "by", "over"},
-    {Kind::SlowChannel, "slow-channel", "none", "by for", ""},
-    {Kind::StreamsBreak, "streams-break", "forwarders", "", ""},
-    {Kind::GovernorsUnreachable, "governors-unreachable", "forwarders", "for", ""},
-    {Kind::GovernorCrash, "governor-crash", "governor", "for", ""},
-    {Kind::Neighbour, "neighbour", "workers", "by for", "turn"},
-    {Kind::ConnSqueeze, "conn-squeeze", "workers", "by for", ""},
-    {Kind::GiveUp, "give-up", "none", "by for", ""},
-    {Kind::WrongList, "wrong-list", "none", "for by", ""},
-    {Kind::Grow, "grow", "workers", "", ""},
-    {Kind::AnswersLost, "answers-lost", "workers", "by for", ""},
-    {Kind::SlowLink, "slow-link", "zone", "wait for", "by"},
-    {Kind::CountersFalling, "counters-falling", "workers", "by for", ""},
-    {Kind::Drain, "drain", "workers", "", "for"},
-    {Kind::ForwarderCrash, "forwarder-crash", "forwarders", "for", ""},
-    {Kind::ForwarderStall, "forwarder-stall", "forwarders", "for", ""},
-    {Kind::RegistryHang, "registry-hang", "none", "for", ""},
-    {Kind::RegistryRestart, "registry-restart", "none", "", "how"},
-    {Kind::RegistryGarbage, "registry-garbage", "none", "for", ""},
+    {FaultKind::Crash, "crash", "workers", "", "for unlisted"},
+    {FaultKind::Hang, "hang", "workers", "for", ""},
+    {FaultKind::FastErrors, "fast-errors", "workers", "by for", ""},
+    {FaultKind::Slow, "slow", "workers", "by for", ""},
+    {FaultKind::GradualSlowdown, "ageing", "workers", "by for", "down"},
+    {FaultKind::Flapping, "flapping", "workers", "turn by for", "how unlisted"},
+    {FaultKind::ZoneCut, "zone-cut", "zone", "for", ""},
+    {FaultKind::ZoneLoss, "zone-loss", "zone", "for", "with-forwarders with-governors"},
+    {FaultKind::Burst, "burst", "none", "by for", ""},
+    {FaultKind::Shift, "shift", "zone", "by", "over"},
+    {FaultKind::SlowChannel, "slow-channel", "none", "by for", ""},
+    {FaultKind::StreamsBreak, "streams-break", "forwarders", "", ""},
+    {FaultKind::InstancesUnreachable, "governors-unreachable", "forwarders", "for", ""},
+    {FaultKind::InstanceCrash, "governor-crash", "governor", "for", ""},
+    {FaultKind::NoisyNeighbour, "neighbour", "workers", "by for", "turn"},
+    {FaultKind::ConnectionLimit, "conn-squeeze", "workers", "by for", ""},
+    {FaultKind::ShortAttemptTimeouts, "give-up", "none", "by for", ""},
+    {FaultKind::StaleList, "wrong-list", "none", "for by", ""},
+    {FaultKind::AddServers, "grow", "workers", "", ""},
+    {FaultKind::ResponsesLost, "answers-lost", "workers", "by for", ""},
+    {FaultKind::SlowLink, "slow-link", "zone", "wait for", "by"},
+    {FaultKind::LoadUnderreported, "counters-falling", "workers", "by for", ""},
+    {FaultKind::Drain, "drain", "workers", "", "for"},
+    {FaultKind::ProxyCrash, "forwarder-crash", "forwarders", "for", ""},
+    {FaultKind::ProxyStall, "forwarder-stall", "forwarders", "for", ""},
+    {FaultKind::RegistryHang, "registry-hang", "none", "for", ""},
+    {FaultKind::RegistryRestart, "registry-restart", "none", "", "how"},
+    {FaultKind::RegistryGarbage, "registry-garbage", "none", "for", ""},
 };
 
 struct Wrong : std::runtime_error {
@@ -189,9 +189,9 @@
         } else if (key == "speed") {
             out.speed = in.range("speed");
         } else if (key == "queue") {
-            out.queue_per_core = in.range("queue");
+            out.max_queued_per_core = in.range("queue");
         } else if (key == "connections") {
-            out.connections = in.range("connections");
+            out.max_connections = in.range("connections");
         } else {
             throw Wrong("'" + key + "' is none of: share, cores, speed, queue, connections");
         }
@@ -205,15 +205,15 @@
 OperationLoad read_operation(Words& in) {
     OperationLoad out;
     out.name = in.word("a name");
-    out.work = 100ms;
+    out.mean_work = 100ms;
     while (!in.empty()) {
         const std::string key = in.word("a word");
         if (key == "share") {
             out.share = in.part("share");
         } else if (key == "work") {
-            out.work = in.time("work");
+            out.mean_work = in.time("work");
         } else if (key == "cv") {
-            out.cv = in.number("cv");
+            out.work_cv = in.number("cv");
         } else {
             throw Wrong("'" + key + "' is none of: share, work, cv");
         }
@@ -221,34 +221,34 @@
     return out;
 }
 
-void read_whom(Words& in, const Shape& shape, Trouble& out) {
+void read_whom(Words& in, const Shape& shape, Fault& out) {
     const std::string whom = shape.whom;
     if (whom == "none") {
         return;
     }
     if (whom == "zone" || whom == "governor") {
-        out.one = in.word(whom == "zone" ? "a zone" : "a governor's number");
+        out.target_name = in.word(whom == "zone" ? "a zone" : "a governor's number");
         return;
     }
     if (in.skip(whom.c_str())) {
         const std::string text = in.peek();
         if (!text.empty() && text.back() == '%') {
-            out.part = in.part("a part");
+            out.target_fraction = in.part("a part");
         } else {
-            out.count = in.whole("a number", 1, 100000);
+            out.target_count = in.whole("a number", 1, 100000);
         }
-        if (out.part > 1) {
+        if (out.target_fraction > 1) {
             throw Wrong("a part is 100% at most");
         }
     } else {
-        out.one = in.word((whom + " and how many, or the name of one").c_str());
+        out.target_name = in.word((whom + " and how many, or the name of one").c_str());
     }
 }
 
-Trouble read_trouble(Words& in, int line) {
-    Trouble out;
+Fault read_trouble(Words& in, int line) {
+    Fault out;
     out.line = line;
-    out.at = in.time("a time");
+    out.begin = in.time("a time");
     out.name = in.word("a trouble");
     const auto shape = std::find_if(std::begin(kTroubles), std::end(kTroubles),
                                     [&](const Shape& s) { return out.name == s.name; });
@@ -272,25 +272,25 @@
         }
         seen += key + " ";
         if (key == "for") {
-            out.lasts = in.time("for");
+            out.duration = in.time("for");
         } else if (key == "by") {
-            out.by = in.part("by");
+            out.magnitude = in.part("by");
         } else if (key == "turn") {
-            out.turn = in.time("turn");
+            out.period = in.time("turn");
         } else if (key == "over") {
-            out.over = in.time("over");
+            out.ramp_time = in.time("over");
         } else if (key == "down") {
-            out.down = in.time("down");
+            out.downtime = in.time("down");
         } else if (key == "wait") {
-            out.wait = in.time("wait");
+            out.delay = in.time("wait");
         } else if (key == "how") {
-            out.how = in.word("how");
+            out.mode = in.word("how");
         } else if (key == "unlisted") {
             out.unlisted = true;
         } else if (key == "with-forwarders") {
-            out.with_forwarders = true;
+            out.with_proxies = true;
         } else if (key == "with-governors") {
-            out.with_governors = true;
+            out.with_instances = true;
         }
     }
     std::istringstream needs(shape->needs);
@@ -302,7 +302,7 @@
     return out;
 }
 
-void check(DayScript& day, const std::string& name, std::vector<ConfigError>& mistakes) {
+void check(ScenarioScript& day, const std::string& name, std::vector<ConfigError>& mistakes) {
     const auto wrong = [&](int line, const std::string& text) {
         mistakes.push_back({name, line, "", text});
     };
@@ -312,23 +312,23 @@
     if (day.length > 24h) {
         wrong(0, "a day is 24 h at most");
     }
-    if (day.workers <= 0) {
+    if (day.server_count <= 0) {
         wrong(0, "no workers; for example: workers 24");
     }
-    if (day.forwarders <= 0) {
+    if (day.proxy_count <= 0) {
         wrong(0, "no forwarders; for example: forwarders 20");
     }
-    if (day.rate <= 0) {
+    if (day.invocations_per_second <= 0) {
         wrong(0, "no rate; for example: rate 130");
     }
-    if (day.rate * static_cast<double>(day.length.count()) / 1e6 > 2e6) {
+    if (day.invocations_per_second * static_cast<double>(day.length.count()) / 1e6 > 2e6) {
         wrong(0, "more than 2 million invocations; shorten the day or lower the rate");
     }
-    if (day.kinds.empty()) {
-        day.kinds.push_back({"plain", 1, 2, {1, 1}, {10, 10}, {200, 200}});
+    if (day.machine_kinds.empty()) {
+        day.machine_kinds.push_back({"plain", 1, 2, {1, 1}, {10, 10}, {200, 200}});
     }
     std::vector<OperationLoad> ordered;
-    for (const Operation& op : day.governor.settings.operations) {
+    for (const Operation& op : day.instance_config.settings.operations) {
         const auto at = std::find_if(day.operations.begin(), day.operations.end(),
                                      [&](const auto& o) { return o.name == op.name; });
         if (at == day.operations.end()) {
@@ -344,24 +344,28 @@
         }
     }
     day.operations = std::move(ordered);
-    for (const Trouble& trouble : day.troubles) {
-        if (trouble.at > day.length) {
+    for (const Fault& trouble : day.faults) {
+        if (trouble.begin > day.length) {
             wrong(trouble.line, trouble.name + " begins after the day's end");
         }
-        const auto& zones = day.governor.zones;
-        const bool zone_wanted = trouble.kind == Kind::ZoneCut || trouble.kind == Kind::ZoneLoss ||
-                                 trouble.kind == Kind::SlowLink ||
-                                 (trouble.kind == Kind::Shift && trouble.one != "mix");
-        if (zone_wanted && std::find(zones.begin(), zones.end(), trouble.one) == zones.end()) {
-            wrong(trouble.line, "'" + trouble.one + "' is none of the zones");
+        const auto& zones = day.instance_config.zones;
+        const bool zone_wanted = trouble.kind == FaultKind::ZoneCut ||
+                                 trouble.kind == FaultKind::ZoneLoss ||
+                                 trouble.kind == FaultKind::SlowLink ||
+                                 (trouble.kind == FaultKind::Shift && trouble.target_name != "mix");
+        if (zone_wanted &&
+            std::find(zones.begin(), zones.end(), trouble.target_name) == zones.end()) {
+            wrong(trouble.line, "'" + trouble.target_name + "' is none of the zones");
         }
-        if (trouble.kind == Kind::GovernorCrash) {
+        if (trouble.kind == FaultKind::InstanceCrash) {
             int which = -1;
             const auto [end, bad] =
-                std::from_chars(trouble.one.data(), trouble.one.data() + trouble.one.size(), which);
-            if (bad != std::errc{} || end != trouble.one.data() + trouble.one.size() || which < 0 ||
-                which >= day.governors) {
-                wrong(trouble.line, "there is no governor '" + trouble.one + "'");
+                std::from_chars(trouble.target_name.data(),
+                                trouble.target_name.data() + trouble.target_name.size(), which);
+            if (bad != std::errc{} ||
+                end != trouble.target_name.data() + trouble.target_name.size() || which < 0 ||
+                which >= day.instance_count) {
+                wrong(trouble.line, "there is no governor '" + trouble.target_name + "'");
             }
         }
     }
@@ -369,7 +373,7 @@
 
 }  // namespace
 
-std::string settings_of(const std::string& text) {
+std::string settings_file_name(const std::string& text) {
     std::istringstream in(text);
     for (std::string line; std::getline(in, line);) {
         Words words(line);
@@ -380,20 +384,20 @@
     return {};
 }
 
-DayScript parse_script(const std::string& name, const std::string& text,
-                       const config::IniFile& settings, std::vector<ConfigError>& mistakes) {
-    DayScript day;
+ScenarioScript parse_script(const std::string& name, const std::string& text,
+                            const config::IniFile& settings, std::vector<ConfigError>& mistakes) {
+    ScenarioScript day;
     day.name = std::filesystem::path(name).stem().string();
     day.text = text;
     day.settings = settings;
-    day.client_wait = 100ms;
-    day.key_kept = 5s;
-    day.same_way = 200us;
-    day.cross_way = 600us;
-    day.list_gone_us = {1e6, 3e6};
-    day.list_new_us = {3e5, 2e6};
-    day.orders_way_us = {2e4, 2e4};
-    day.redial_us = {6e5, 2e6};
+    day.client_retry_backoff = 100ms;
+    day.cache_ttl = 5s;
+    day.same_zone_delay = 200us;
+    day.cross_zone_delay = 600us;
+    day.unlist_delay_us = {1e6, 3e6};
+    day.list_delay_us = {3e5, 2e6};
+    day.update_delay_us = {2e4, 2e4};
+    day.reconnect_delay_us = {6e5, 2e6};
     int number = 0;
     using Reader = std::function<void(Words&)>;
     const std::map<std::string, Reader> readers{
@@ -411,23 +415,23 @@
          }},
         {"workers",
          [&](Words& in) {
-             day.workers = in.whole("workers", 1, 20000);
+             day.server_count = in.whole("workers", 1, 20000);
          }},
         {"forwarders",
          [&](Words& in) {
-             day.forwarders = in.whole("forwarders", 1, 20000);
+             day.proxy_count = in.whole("forwarders", 1, 20000);
          }},
         {"governors",
          [&](Words& in) {
-             day.governors = in.whole("governors", 1, 16);
+             day.instance_count = in.whole("governors", 1, 16);
          }},
         {"rate",
          [&](Words& in) {
-             day.rate = in.number("rate");
+             day.invocations_per_second = in.number("rate");
          }},
         {"kind",
          [&](Words& in) {
-             day.kinds.push_back(read_kind(in));
+             day.machine_kinds.push_back(read_kind(in));
          }},
         {"operation",
          [&](Words& in) {
@@ -436,11 +440,11 @@
          }},
         {"startup",
          [&](Words& in) {
-             day.startup = in.whole("startup", 1, 1000);
+             day.startup_table_size = in.whole("startup", 1, 1000);
          }},
         {"redial",
          [&](Words& in) {
-             day.redial_us = in.times("redial");
+             day.reconnect_delay_us = in.times("redial");
          }},
         {"set",
          [&](Words& in) {
@@ -454,15 +458,15 @@
          }},
         {"keys",
          [&](Words& in) {
-             day.keys = in.whole("keys", 1, 10000000);
+             day.key_count = in.whole("keys", 1, 10000000);
              while (!in.empty()) {
                  const std::string key = in.word("a word");
                  if (key == "zipf") {
-                     day.key_zipf = in.number("zipf");
+                     day.key_zipf_exponent = in.number("zipf");
                  } else if (key == "gain") {
-                     day.key_gain = in.part("gain");
+                     day.cache_saving_fraction = in.part("gain");
                  } else if (key == "kept") {
-                     day.key_kept = in.time("kept");
+                     day.cache_ttl = in.time("kept");
                  } else {
                      throw Wrong("'" + key + "' is none of: zipf, gain, kept");
                  }
@@ -475,9 +479,9 @@
                  if (key == "retries") {
                      day.client_retries = in.whole("retries", 0, 10);
                  } else if (key == "wait") {
-                     day.client_wait = in.time("wait");
+                     day.client_retry_backoff = in.time("wait");
                  } else if (key == "try-share") {
-                     day.client_try_share = in.part("try-share");
+                     day.client_attempt_timeout_fraction = in.part("try-share");
                  } else {
                      throw Wrong("'" + key + "' is none of: retries, wait, try-share");
                  }
@@ -488,9 +492,9 @@
              while (!in.empty()) {
                  const std::string key = in.word("a word");
                  if (key == "gone") {
-                     day.list_gone_us = in.times("gone");
+                     day.unlist_delay_us = in.times("gone");
                  } else if (key == "new") {
-                     day.list_new_us = in.times("new");
+                     day.list_delay_us = in.times("new");
                  } else {
                      throw Wrong("'" + key + "' is none of: gone, new");
                  }
@@ -501,11 +505,11 @@
              while (!in.empty()) {
                  const std::string key = in.word("a word");
                  if (key == "same") {
-                     day.same_way = in.time("same");
+                     day.same_zone_delay = in.time("same");
                  } else if (key == "cross") {
-                     day.cross_way = in.time("cross");
+                     day.cross_zone_delay = in.time("cross");
                  } else if (key == "orders") {
-                     day.orders_way_us = in.times("orders");
+                     day.update_delay_us = in.times("orders");
                  } else {
                      throw Wrong("'" + key + "' is none of: same, cross, orders");
                  }
@@ -522,7 +526,7 @@
         try {
             const std::string word = in.word("a word");
             if (word == "at") {
-                day.troubles.push_back(read_trouble(in, number));
+                day.faults.push_back(read_trouble(in, number));
             } else if (const auto reader = readers.find(word); reader != readers.end()) {
                 reader->second(in);
                 if (!in.empty()) {
@@ -541,27 +545,27 @@
             mistakes.push_back({name, number, "", wrong.what()});
         }
     }
-    std::stable_sort(day.troubles.begin(), day.troubles.end(),
-                     [](const auto& a, const auto& b) { return a.at < b.at; });
+    std::stable_sort(day.faults.begin(), day.faults.end(),
+                     [](const auto& a, const auto& b) { return a.begin < b.begin; });
     // The fleet's figures are those of the day.
-    day.settings.set("forwarders", "count", std::to_string(std::max(1, day.forwarders)));
-    day.settings.set("governor", "governors", std::to_string(day.governors));
+    day.settings.set("forwarders", "count", std::to_string(std::max(1, day.proxy_count)));
+    day.settings.set("governor", "governors", std::to_string(day.instance_count));
     day.settings.set("governor", "ordinal", "0");
-    day.governor = config::read_governor(day.settings, mistakes);
+    day.instance_config = config::read_governor(day.settings, mistakes);
     if (mistakes.empty()) {
         check(day, name, mistakes);
     }
     return day;
 }
 
-DayScript load_script(const std::string& path, std::vector<ConfigError>& mistakes) {
+ScenarioScript load_script(const std::string& path, std::vector<ConfigError>& mistakes) {
     std::ifstream in(path, std::ios::binary);
     if (!in) {
         throw std::runtime_error(path + ": can't be read");
     }
     std::ostringstream text;
     text << in.rdbuf();
-    const std::string settings = settings_of(text.str());
+    const std::string settings = settings_file_name(text.str());
     if (settings.empty()) {
         mistakes.push_back({path, 0, "", "names no settings; for example: settings governor.ini"});
         return {};
--- a/src/scenario/script.h
+++ b/src/scenario/script.h
@@ -36,22 +36,22 @@
     std::string name;
     double share = 1;
     int cores = 2;
-    Range speed{1, 1}, queue_per_core{10, 10}, connections{200, 200};
+    Range speed{1, 1}, max_queued_per_core{10, 10}, max_connections{200, 200};
 };
 
 struct OperationLoad {
     std::string name;
-    double share = 1, cv = 0.5;
-    Micros work{};
+    double share = 1, work_cv = 0.5;
+    Micros mean_work{};
     int line = 0;
 };
 
-enum class Kind {
+enum class FaultKind {
     Crash,
     Hang,
     FastErrors,
     Slow,
-    Ageing,
+    GradualSlowdown,
     Flapping,
     ZoneCut,
     ZoneLoss,
@@ -59,67 +59,68 @@
     Shift,
     SlowChannel,
     StreamsBreak,
-    GovernorsUnreachable,
-    GovernorCrash,
-    Neighbour,
-    ConnSqueeze,
-    GiveUp,
-    WrongList,
-    Grow,
-    AnswersLost,
+    InstancesUnreachable,
+    InstanceCrash,
+    NoisyNeighbour,
+    ConnectionLimit,
+    ShortAttemptTimeouts,
+    StaleList,
+    AddServers,
+    ResponsesLost,
     SlowLink,
-    CountersFalling,
+    LoadUnderreported,
     Drain,
-    ForwarderCrash,
-    ForwarderStall,
+    ProxyCrash,
+    ProxyStall,
     RegistryHang,
     RegistryRestart,
     RegistryGarbage,
 };
 
-struct Trouble {
-    Kind kind = Kind::Crash;
+struct Fault {
+    FaultKind kind = FaultKind::Crash;
     std::string name;  // as written
     int line = 0;
-    Micros at{}, lasts{};  // lasts 0: for good
+    Micros begin{}, duration{};  // lasts 0: for good
     // Whom: a part of them, a number of them, or one by name (a zone, a worker, a forwarder, a
     // governor).
-    double part = 0;
-    int count = 0;
-    std::string one;
-    double by = 0;  // size: times slower, part, limit ...
-    Micros turn{}, over{}, down{}, wait{};
-    std::string how;
-    bool unlisted = false, with_forwarders = false, with_governors = false;
+    double target_fraction = 0;
+    int target_count = 0;
+    std::string target_name;
+    double magnitude = 0;  // size: times slower, part, limit ...
+    Micros period{}, ramp_time{}, downtime{}, delay{};
+    std::string mode;
+    bool unlisted = false, with_proxies = false, with_instances = false;
 };
 
-struct DayScript {
+struct ScenarioScript {
     std::string name, text;  // the script as read
     std::uint64_t seed = 1;
     Micros length{};
     config::IniFile settings;
-    config::GovernorConfig governor;
-    int workers = 0, forwarders = 0, governors = 1;
-    double rate = 0;
-    std::vector<MachineKind> kinds;
+    config::GovernorConfig instance_config;
+    int server_count = 0, proxy_count = 0, instance_count = 1;
+    double invocations_per_second = 0;
+    std::vector<MachineKind> machine_kinds;
     std::vector<OperationLoad> operations;  // in the order of the settings
-    int keys = 1000;
-    double key_zipf = 0.8, key_gain = 0;
-    Micros key_kept{};
+    int key_count = 1000;
+    double key_zipf_exponent = 0.8, cache_saving_fraction = 0;
+    Micros cache_ttl{};
     int client_retries = 1;
-    Micros client_wait{};
-    double client_try_share = 1;
-    Range list_gone_us{}, list_new_us{}, orders_way_us{}, redial_us{};
-    Micros same_way{}, cross_way{};
-    int startup = 10;
-    std::vector<Trouble> troubles;
+    Micros client_retry_backoff{};
+    double client_attempt_timeout_fraction = 1;
+    Range unlist_delay_us{}, list_delay_us{}, update_delay_us{}, reconnect_delay_us{};
+    Micros same_zone_delay{}, cross_zone_delay{};
+    int startup_table_size = 10;
+    std::vector<Fault> faults;
 };
 
 // Reads a script; settings are loaded from beside it. Mistakes carry file and line.
-DayScript load_script(const std::string& path, std::vector<config::ConfigError>& mistakes);
-DayScript parse_script(const std::string& name, const std::string& text,
-                       const config::IniFile& settings, std::vector<config::ConfigError>& mistakes);
+ScenarioScript load_script(const std::string& path, std::vector<config::ConfigError>& mistakes);
+ScenarioScript parse_script(const std::string& name, const std::string& text,
+                            const config::IniFile& settings,
+                            std::vector<config::ConfigError>& mistakes);
 // The settings file that a script names; empty where it names none.
-std::string settings_of(const std::string& text);
+std::string settings_file_name(const std::string& text);
 
 }  // namespace badgergrade::scenario
--- a/src/scenario/traffic.cpp
+++ b/src/scenario/traffic.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 // How far a shift has come at this time: 0 before, `by` at its end and after.
-double shifted(const Trouble& t, Micros at) {
-    if (at < t.at) {
+double shifted(const Fault& t, Micros at) {
+    if (at < t.begin) {
         return 0;
     }
-    if (t.over <= Micros{0}) {
-        return t.by;
+    if (t.ramp_time <= Micros{0}) {
+        return t.magnitude;
     }
-    return t.by * std::min(1.0, static_cast<double>((at - t.at).count()) /
-                                    static_cast<double>(t.over.count()));
+    return t.magnitude * std::min(1.0, static_cast<double>((at - t.begin).count()) /
+                                           static_cast<double>(t.ramp_time.count()));
 }
 
 // Ranks drawn by Zipf's law: key k with weight 1 / k^s.
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-std::string numbered(const char* what, std::size_t n) {
+std::string numbered_name(const char* what, std::size_t n) {
     std::string digits = std::to_string(n);
     if (digits.size() < 3) {
         digits.insert(0, 3 - digits.size(), '0');
@@ -50,78 +50,78 @@
     return std::string(what) + "-" + digits;
 }
 
-std::vector<ForwarderPlan> plan_forwarders(const DayScript& script) {
+std::vector<ProxyPlan> plan_proxies(const ScenarioScript& script) {
     base::SequentialRandom chance(script.seed, "forwarders");
-    std::vector<ForwarderPlan> out;
+    std::vector<ProxyPlan> out;
     double sum = 0;
-    for (int k = 0; k < script.forwarders; ++k) {
-        ForwarderPlan plan;
-        plan.id = numbered("forwarder", static_cast<std::size_t>(k));
-        plan.zone =
-            script.governor.zones[static_cast<std::size_t>(k) % script.governor.zones.size()];
+    for (int k = 0; k < script.proxy_count; ++k) {
+        ProxyPlan plan;
+        plan.id = numbered_name("forwarder", static_cast<std::size_t>(k));
+        plan.zone = script.instance_config
+                        .zones[static_cast<std::size_t>(k) % script.instance_config.zones.size()];
         // Most carry little, some far more.
-        plan.weight = chance.lognormal(0.6);
-        sum += plan.weight;
+        plan.traffic_weight = chance.lognormal(0.6);
+        sum += plan.traffic_weight;
         out.push_back(std::move(plan));
     }
     for (auto& plan : out) {
-        plan.rate = script.rate * plan.weight / sum;
+        plan.invocations_per_second = script.invocations_per_second * plan.traffic_weight / sum;
     }
     return out;
 }
 
-std::map<std::string, std::vector<testbed::Invocation>> draw_traffic(
-    const DayScript& script, const std::vector<ForwarderPlan>& forwarders, Micros begin) {
-    const Keys keys(script.keys, script.key_zipf);
+std::map<std::string, std::vector<testbed::Invocation>> generate_traffic(
+    const ScenarioScript& script, const std::vector<ProxyPlan>& forwarders, Micros begin) {
+    const Keys keys(script.key_count, script.key_zipf_exponent);
     double shares = 0;
     double most = 1;
     std::size_t heaviest = 0;
     for (std::size_t k = 0; k < script.operations.size(); ++k) {
         shares += script.operations[k].share;
-        if (script.operations[k].work > script.operations[heaviest].work) {
+        if (script.operations[k].mean_work > script.operations[heaviest].mean_work) {
             heaviest = k;
         }
     }
-    for (const Trouble& t : script.troubles) {
-        if (t.kind == Kind::Burst) {
-            most *= std::max(1.0, t.by);
+    for (const Fault& t : script.faults) {
+        if (t.kind == FaultKind::Burst) {
+            most *= std::max(1.0, t.magnitude);
         }
         // All of the traffic that moves may end at one zone's forwarders.
-        if (t.kind == Kind::Shift) {
-            most *= 1 + t.by * static_cast<double>(script.governor.zones.size());
+        if (t.kind == FaultKind::Shift) {
+            most *= 1 + t.magnitude * static_cast<double>(script.instance_config.zones.size());
         }
     }
     std::map<std::string, std::vector<testbed::Invocation>> out;
-    for (const ForwarderPlan& plan : forwarders) {
+    for (const ProxyPlan& plan : forwarders) {
         base::SequentialRandom chance(script.seed, "traffic/" + plan.id);
         auto& list = out[plan.id];
         double zone_rate = 0;
         for (const auto& other : forwarders) {
             if (other.zone == plan.zone) {
-                zone_rate += other.rate;
+                zone_rate += other.invocations_per_second;
             }
         }
         const auto factor = [&](Micros at) {
             double f = 1;
-            for (const Trouble& t : script.troubles) {
-                if (t.kind == Kind::Burst && at >= t.at && at < t.at + t.lasts) {
-                    f *= t.by;
+            for (const Fault& t : script.faults) {
+                if (t.kind == FaultKind::Burst && at >= t.begin && at < t.begin + t.duration) {
+                    f *= t.magnitude;
                 }
-                if (t.kind != Kind::Shift || t.one == "mix") {
+                if (t.kind != FaultKind::Shift || t.target_name == "mix") {
                     continue;
                 }
                 const double moved = shifted(t, at);
                 // What leaves the other zones comes to this one's forwarders by their usual parts.
-                f *= t.one == plan.zone && zone_rate > 0
-                         ? 1 + moved * (script.rate - zone_rate) / zone_rate
+                f *= t.target_name == plan.zone && zone_rate > 0
+                         ? 1 + moved * (script.invocations_per_second - zone_rate) / zone_rate
                          : 1 - moved;
             }
             return f;
         };
         double at = 0;
         const double length = static_cast<double>(script.length.count()) / 1e6;
-        while (plan.rate > 0) {
-            at += chance.exponential(1 / (plan.rate * most));
+        while (plan.invocations_per_second > 0) {
+            at += chance.exponential(1 / (plan.invocations_per_second * most));
             if (at >= length) {
                 break;
             }
@@ -130,24 +130,25 @@
                 continue;
             }
             testbed::Invocation one;
-            one.forwarder = plan.id;
+            one.proxy = plan.id;
             double draw = chance.part() * shares;
             while (one.operation + 1 < static_cast<int>(script.operations.size()) &&
                    (draw -= script.operations[static_cast<std::size_t>(one.operation)].share) >=
                        0) {
                 ++one.operation;
             }
-            for (const Trouble& t : script.troubles) {
-                if (t.kind == Kind::Shift && t.one == "mix" && chance.part() < shifted(t, when)) {
+            for (const Fault& t : script.faults) {
+                if (t.kind == FaultKind::Shift && t.target_name == "mix" &&
+                    chance.part() < shifted(t, when)) {
                     one.operation = static_cast<int>(heaviest);
                 }
             }
             const OperationLoad& load = script.operations[static_cast<std::size_t>(one.operation)];
-            one.work = Micros(std::max<std::int64_t>(
-                1,
-                std::llround(static_cast<double>(load.work.count()) * chance.lognormal(load.cv))));
+            one.work = Micros(
+                std::max<std::int64_t>(1, std::llround(static_cast<double>(load.mean_work.count()) *
+                                                       chance.lognormal(load.work_cv))));
             one.key = keys.draw(chance.part());
-            one.came = begin + when;
+            one.arrived_at = begin + when;
             list.push_back(std::move(one));
         }
     }
@@ -159,7 +160,7 @@
         }
     }
     std::stable_sort(all.begin(), all.end(),
-                     [](const auto* a, const auto* b) { return a->came < b->came; });
+                     [](const auto* a, const auto* b) { return a->arrived_at < b->arrived_at; });
     for (std::size_t k = 0; k < all.size(); ++k) {
         all[k]->id = k + 1;
     }
--- a/src/scenario/traffic.h
+++ b/src/scenario/traffic.h
@@ -11,17 +11,17 @@
 
 namespace badgergrade::scenario {
 
-struct ForwarderPlan {
+struct ProxyPlan {
     std::string id, zone;
-    double weight = 1;  // its part of the traffic, against the others
-    double rate = 0;    // invocations a second, usual
+    double traffic_weight = 1;          // its part of the traffic, against the others
+    double invocations_per_second = 0;  // invocations a second, usual
 };
 
 // "worker", 7 -> "worker-007".
-std::string numbered(const char* what, std::size_t n);
-std::vector<ForwarderPlan> plan_forwarders(const DayScript& script);
+std::string numbered_name(const char* what, std::size_t n);
+std::vector<ProxyPlan> plan_proxies(const ScenarioScript& script);
 // By forwarder, in the order of time; times count from `begin`.
-std::map<std::string, std::vector<testbed::Invocation>> draw_traffic(
-    const DayScript& script, const std::vector<ForwarderPlan>& forwarders, Micros begin);
+std::map<std::string, std::vector<testbed::Invocation>> generate_traffic(
+    const ScenarioScript& script, const std::vector<ProxyPlan>& forwarders, Micros begin);
 
 }  // namespace badgergrade::scenario
--- a/src/testbed/client.h
+++ b/src/testbed/fake_client.h
@@ -13,27 +13,28 @@
 
 namespace badgergrade::testbed {
 
-struct ClientSettings {
-    int retries = 1;
-    Micros wait{};         // before a retry, doubled each time
-    double try_share = 1;  // a try is given up after this part of the integration timeout
+struct FakeClientSettings {
+    int max_retries = 1;
+    Micros retry_backoff{};  // before a retry, doubled each time
+    double attempt_timeout_fraction =
+        1;  // a try is given up after this part of the integration timeout
     std::vector<Operation> operations;
 
     // While a window lasts, tries are given up after its part instead.
-    struct GivesUp {
+    struct AttemptTimeoutOverride {
         Micros from{}, to{};
-        double share = 1;
+        double attempt_timeout_fraction = 1;
     };
 
-    std::vector<GivesUp> gives_up;
+    std::vector<AttemptTimeoutOverride> attempt_timeout_overrides;
 };
 
-class Client {
+class FakeClient {
 public:
-    Client(net::Loop& loop, base::ActorId actor, std::string id, ClientSettings settings,
-           net::Address forwarder, std::vector<Invocation> schedule, Observer* observer);
+    FakeClient(net::Loop& loop, base::ActorId actor, std::string id, FakeClientSettings settings,
+               net::Address forwarder, std::vector<Invocation> schedule, Observer* observer);
 
-    std::size_t open() const { return open_.size(); }
+    std::size_t pending_count() const { return open_.size(); }
 
 private:
     struct Open {
@@ -46,12 +47,12 @@
     void next();
     void send(std::uint64_t id);
     void came(std::uint64_t id, net::HttpOutcome outcome);
-    void end(std::uint64_t id, Result result);
+    void end(std::uint64_t id, InvocationResult result);
 
     net::Loop& loop_;
     base::ActorId actor_;
     std::string id_;
-    ClientSettings settings_;
+    FakeClientSettings settings_;
     std::vector<Invocation> schedule_;
     Observer* observer_;
     net::HttpPool pool_;
--- a/src/testbed/forwarder.cpp
+++ b/src/testbed/fake_proxy.cpp
@@ -1,4 +1,4 @@
-#include "testbed/forwarder.h"
+#include "testbed/fake_proxy.h"
 
 #include <algorithm>
 #include <charconv>
@@ -13,7 +13,7 @@
 constexpr std::uint64_t kShareLuck = 0x5348415245;  // sets this draw apart from the picks
 }
 
-Forwarder::Forwarder(net::Loop& loop, base::ActorId actor, ForwarderSettings settings,
+FakeProxy::FakeProxy(net::Loop& loop, base::ActorId actor, FakeProxySettings settings,
                      std::uint64_t seed, Observer* observer,
                      std::map<net::Address, std::string> const* server_names)
     : loop_(loop),
@@ -27,28 +27,29 @@
       redial_(loop.clock(), actor),
       report_(loop.clock(), actor),
       go_back_(loop.clock(), actor) {
-    startup_.pick_policy = settings_.pick;
-    startup_.ejection_failures = settings_.ejects_after;
-    startup_.ejection_time = settings_.eject_time;
-    startup_.lines = settings_.startup;
+    startup_.pick_policy = settings_.pick_policy;
+    startup_.ejection_failures = settings_.ejection_failures;
+    startup_.ejection_time = settings_.ejection_time;
+    startup_.lines = settings_.startup_table;
     server_ = std::make_unique<net::HttpServer>(loop, actor, settings_.id, settings_.listen,
                                                 net::HttpLimits{}, 10000);
     server_->on_request = [this](net::HttpExchangePtr exchange) {
         take(exchange);
     };
     if (observer_) {
-        observer_->forwarder_up(loop.clock().now(), settings_.id);
+        observer_->on_proxy_started(loop.clock().now(), settings_.id);
     }
     tell_pickable();
     redial_.after(Micros(static_cast<std::int64_t>(chance_.between(0, 50e3))), [this] { dial(); });
 }
 
-Forwarder::~Forwarder() {
+FakeProxy::~FakeProxy() {
     if (observer_) {
-        observer_->forwarder_down(loop_.clock().now(), settings_.id);
+        observer_->on_proxy_stopped(loop_.clock().now(), settings_.id);
     }
     if (call_ && observer_) {
-        observer_->left(loop_.clock().now(), settings_.id, settings_.governor_names[governor_]);
+        observer_->on_proxy_disconnected(loop_.clock().now(), settings_.id,
+                                         settings_.instance_names[governor_]);
     }
     for (const auto& call : {call_, reports_}) {
         if (call) {
@@ -65,47 +66,47 @@
     }
 }
 
-envoy::config::core::v3::Node Forwarder::node() const {
+envoy::config::core::v3::Node FakeProxy::node() const {
     envoy::config::core::v3::Node out;
     out.set_id(settings_.id);
     out.set_user_agent_name("badgergrade-forwarder");
     out.mutable_locality()->set_zone(settings_.zone);
     auto& fields = *out.mutable_metadata()->mutable_fields();
-    fields["rate"].set_number_value(settings_.rate);
+    fields["rate"].set_number_value(settings_.invocations_per_second);
     fields["fresh"].set_bool_value(fresh_);
     return out;
 }
 
 // ---- its governor
 
-void Forwarder::dial() {
-    if (isolated_ || settings_.governors.empty()) {
+void FakeProxy::dial() {
+    if (isolated_ || settings_.instance_addresses.empty()) {
         return redial();
     }
     dial_ = std::make_unique<net::Dial>(
-        loop_, actor_, settings_.id, settings_.governors[governor_], settings_.dial_timeout,
-        [this](net::StreamPtr stream, const std::string&) {
+        loop_, actor_, settings_.id, settings_.instance_addresses[governor_],
+        settings_.dial_timeout, [this](net::StreamPtr stream, const std::string&) {
             if (stream && !isolated_) {
-                return connected(std::move(stream), governor_);
+                return on_connected(std::move(stream), governor_);
             }
             if (stream) {
                 stream->close(true);
             }
-            governor_ = (governor_ + 1) % settings_.governors.size();
+            governor_ = (governor_ + 1) % settings_.instance_addresses.size();
             redial();
         });
 }
 
-void Forwarder::redial() {
-    const double wait = chance_.between(static_cast<double>(settings_.redial_least.count()),
-                                        static_cast<double>(settings_.redial_most.count()));
+void FakeProxy::redial() {
+    const double wait = chance_.between(static_cast<double>(settings_.min_reconnect_delay.count()),
+                                        static_cast<double>(settings_.max_reconnect_delay.count()));
     redial_.after(Micros(std::llround(wait)), [this] { dial(); });
 }
 
-void Forwarder::connected(net::StreamPtr stream, std::size_t governor) {
+void FakeProxy::on_connected(net::StreamPtr stream, std::size_t governor) {
     stream_ = stream;
     net::GrpcLimits limits;
-    limits.keepalive = settings_.keepalive;
+    limits.keepalive = settings_.keepalive_interval;
     connection_ = std::make_shared<net::GrpcConnection>(
         loop_, actor_, net::Http2Session::Role::Client, stream, limits);
     connection_->on_closed = [this](std::string why) {
@@ -154,21 +155,22 @@
             [this] { report(); });
     };
     if (observer_) {
-        observer_->joined(loop_.clock().now(), settings_.id, settings_.governor_names[governor]);
+        observer_->on_proxy_connected(loop_.clock().now(), settings_.id,
+                                      settings_.instance_names[governor]);
     }
     if (stalled_) {
         stream_->pause_reading();
     }
-    if (governor != 0 && settings_.go_back > 0us) {
-        go_back_.after(settings_.go_back, [this] {
+    if (governor != 0 && settings_.failback_delay > 0us) {
+        go_back_.after(settings_.failback_delay, [this] {
             governor_ = 0;
             break_stream();
         });
     }
 }
 
-void Forwarder::stream_over(const std::string&) {
-    const auto governor = settings_.governor_names[governor_];
+void FakeProxy::stream_over(const std::string&) {
+    const auto governor = settings_.instance_names[governor_];
     const bool was = call_ != nullptr;
     for (const auto& call : {call_, reports_}) {
         if (call) {
@@ -183,12 +185,12 @@
     report_.stop();
     go_back_.stop();
     if (was && observer_) {
-        observer_->left(loop_.clock().now(), settings_.id, governor);
+        observer_->on_proxy_disconnected(loop_.clock().now(), settings_.id, governor);
     }
     redial();
 }
 
-void Forwarder::break_stream() {
+void FakeProxy::break_stream() {
     if (!connection_) {
         return;
     }
@@ -196,14 +198,14 @@
     connection->abort("broken off");
 }
 
-void Forwarder::isolate(bool on) {
+void FakeProxy::set_isolated(bool on) {
     isolated_ = on;
     if (on) {
         break_stream();
     }
 }
 
-void Forwarder::stall(bool on) {
+void FakeProxy::set_stalled(bool on) {
     stalled_ = on;
     if (!stream_) {
         return;
@@ -215,18 +217,18 @@
     }
 }
 
-void Forwarder::on_response(std::string_view bytes) {
+void FakeProxy::on_response(std::string_view bytes) {
     xds::AdsClient::Response response;
     const Micros now = loop_.clock().now();
     if (!response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         return break_stream();
     }
     const auto outcome = ads_.on_response(response);
-    const auto& governor = settings_.governor_names[governor_];
+    const auto& governor = settings_.instance_names[governor_];
     if (observer_) {
-        observer_->response_read(now, settings_.id, governor, response.control_plane().identifier(),
-                                 bytes.size(),
-                                 outcome.rejected ? outcome.rejected->text : std::string{});
+        observer_->on_response(now, settings_.id, governor, response.control_plane().identifier(),
+                               bytes.size(),
+                               outcome.rejected ? outcome.rejected->text : std::string{});
     }
     if (outcome.tables_changed) {
         fresh_ = false;
@@ -259,7 +261,7 @@
     call->uncork();
 }
 
-void Forwarder::report() {
+void FakeProxy::report() {
     if (!reports_) {
         return;
     }
@@ -277,21 +279,22 @@
 
 // ---- its invocations
 
-std::string Forwarder::name_of(const net::Address& address) const {
+std::string FakeProxy::name_of(const net::Address& address) const {
     const auto it = server_names_->find(address);
     return it == server_names_->end() ? net::to_text(address) : it->second;
 }
 
-net::HttpPool& Forwarder::pool(const net::Address& to) {
+net::HttpPool& FakeProxy::pool(const net::Address& to) {
     auto& known = pools_[to];
     if (!known) {
-        known = std::make_unique<net::HttpPool>(
-            loop_, actor_, settings_.id, to, settings_.connect_timeout, settings_.connection_idle);
+        known = std::make_unique<net::HttpPool>(loop_, actor_, settings_.id, to,
+                                                settings_.connect_timeout,
+                                                settings_.connection_idle_timeout);
     }
     return *known;
 }
 
-const xds::ClientTable* Forwarder::table_for(const Work& work) const {
+const xds::ClientTable* FakeProxy::table_for(const Work& work) const {
     if (work.cluster.empty()) {
         return &startup_;
     }
@@ -299,7 +302,7 @@
     return it == ads_.tables().clusters.end() ? nullptr : &it->second;
 }
 
-bool Forwarder::let_in(const std::string& path, const xds::ClientRoute& route,
+bool FakeProxy::let_in(const std::string& path, const xds::ClientRoute& route,
                        std::uint64_t invocation) {
     if (route.admitted_fraction < 1 &&
         base::CounterRandom(luck_ ^ kShareLuck, invocation).part() >= route.admitted_fraction) {
@@ -324,7 +327,7 @@
     return true;
 }
 
-void Forwarder::take(const net::HttpExchangePtr& exchange) {
+void FakeProxy::take(const net::HttpExchangePtr& exchange) {
     const auto id = exchange->request.number("x-invocation");
     const auto timeout = exchange->request.number("x-timeout-us");
     net::HttpMessage no;
@@ -346,7 +349,7 @@
     work.operation = operation;
     work.began = loop_.clock().now();
     work.expires = work.began + Micros(*timeout);
-    work.again = settings_.again;
+    work.again = settings_.retry_mode;
     ++asked_[settings_.operations[static_cast<std::size_t>(operation)].name].requests;
     if (const auto route = ads_.tables().routes.find(path); route != ads_.tables().routes.end()) {
         work.cluster = route->second.cluster;
@@ -374,7 +377,7 @@
     attempt(key);
 }
 
-const xds::TableLine* Forwarder::pick(const xds::ClientTable& table,
+const xds::TableLine* FakeProxy::pick(const xds::ClientTable& table,
                                       const std::set<net::Address>& not_these,
                                       base::CounterRandom luck) {
     const Micros now = loop_.clock().now();
@@ -429,7 +432,7 @@
     return best;
 }
 
-void Forwarder::attempt(std::uint64_t id) {
+void FakeProxy::attempt(std::uint64_t id) {
     Work& work = works_.at(id);
     const Micros now = loop_.clock().now();
     const xds::ClientTable* table = table_for(work);
@@ -464,15 +467,15 @@
     request.headers.emplace_back("x-forwarder", settings_.id);
     request.keep_alive = true;
     if (observer_) {
-        observer_->try_sent(now, settings_.id, name_of(work.now), work.invocation, work.operation,
-                            work.tries, work.before);
+        observer_->on_attempt_sent(now, settings_.id, name_of(work.now), work.invocation,
+                                   work.operation, work.tries, work.before);
     }
     work.attempt = pool(work.now).send(
         std::move(request), limit,
         [this, id, now](net::HttpOutcome outcome) { attempted(id, std::move(outcome), now); });
 }
 
-void Forwarder::attempted(std::uint64_t id, net::HttpOutcome outcome, Micros sent) {
+void FakeProxy::attempted(std::uint64_t id, net::HttpOutcome outcome, Micros sent) {
     const auto it = works_.find(id);
     if (it == works_.end()) {
         return;
@@ -485,14 +488,14 @@
     auto& sums = met_[work.now];
     const auto proof = outcome.response.header("x-not-begun");
     const bool good = outcome.how == How::Answered && outcome.response.status == 200;
-    const TryEnd end = good                            ? TryEnd::Answered
-                       : outcome.how == How::NeverSent ? TryEnd::NeverSent
-                       : outcome.how == How::Broken    ? TryEnd::Broken
-                       : outcome.how == How::TimedOut  ? TryEnd::TimedOut
-                       : proof                         ? TryEnd::Refused
-                                                       : TryEnd::Errored;
+    const AttemptOutcome end = good                            ? AttemptOutcome::Answered
+                               : outcome.how == How::NeverSent ? AttemptOutcome::NeverSent
+                               : outcome.how == How::Broken    ? AttemptOutcome::Broken
+                               : outcome.how == How::TimedOut  ? AttemptOutcome::TimedOut
+                               : proof                         ? AttemptOutcome::Refused
+                                                               : AttemptOutcome::Errored;
     if (observer_) {
-        observer_->try_ended(now, settings_.id, name_of(work.now), work.invocation, end);
+        observer_->on_attempt_finished(now, settings_.id, name_of(work.now), work.invocation, end);
     }
     if (good) {
         ++sums.successes;
@@ -522,13 +525,13 @@
         standing.ejected_until = now + table->ejection_time;
     }
     // After proof that it never ran once more, whatever it is; after anything else only as ordered.
-    const bool proven = end == TryEnd::NeverSent || end == TryEnd::Refused;
+    const bool proven = end == AttemptOutcome::NeverSent || end == AttemptOutcome::Refused;
     const int after_any = work.again == RetryMode::Once    ? 1
                           : work.again == RetryMode::Twice ? 2
                                                            : 0;
     const int most =
         proven ? (work.again == RetryMode::Never ? 0 : std::max(1, after_any)) : after_any;
-    const bool may = repeats_all ? work.tries < 3 : work.tries <= most;
+    const bool may = retries_everything_for_test ? work.tries < 3 : work.tries <= most;
     if (may && work.expires - now > 10ms) {
         work.before = end;
         return attempt(id);
@@ -548,7 +551,7 @@
     finish(id, std::move(response));
 }
 
-void Forwarder::finish(std::uint64_t id, net::HttpMessage response) {
+void FakeProxy::finish(std::uint64_t id, net::HttpMessage response) {
     const auto it = works_.find(id);
     if (it == works_.end()) {
         return;
@@ -563,7 +566,7 @@
     exchange->answer(std::move(response));
 }
 
-void Forwarder::tell_pickable() {
+void FakeProxy::tell_pickable() {
     if (!observer_) {
         return;
     }
@@ -581,7 +584,8 @@
             });
         const auto [it, first] = pickable_.try_emplace(static_cast<int>(k), any);
         if (first || it->second != any) {
-            observer_->pickable(loop_.clock().now(), settings_.id, static_cast<int>(k), any);
+            observer_->on_endpoint_availability(loop_.clock().now(), settings_.id,
+                                                static_cast<int>(k), any);
         }
         it->second = any;
     }
--- a/src/testbed/forwarder.h
+++ b/src/testbed/fake_proxy.h
@@ -18,53 +18,53 @@
 
 namespace badgergrade::testbed {
 
-struct ForwarderSettings {
+struct FakeProxySettings {
     std::string id, zone;
-    net::Address listen;  // port 0: a free one
-    double rate = 1;      // invocations a second, as told on joining
+    net::Address listen;                // port 0: a free one
+    double invocations_per_second = 1;  // invocations a second, as told on joining
     std::vector<Operation> operations;
-    std::vector<net::Address> governors;  // the preferred one first
-    std::vector<std::string> governor_names;
-    std::vector<xds::TableLine> startup;       // its standing table
-    PickPolicy pick = PickPolicy::LeastOfTwo;  // for the start-up table
-    RetryMode again = RetryMode::OnlyUnprocessed;
-    int ejects_after = 5;
-    Micros eject_time{}, connect_timeout{}, connection_idle{}, dial_timeout{}, redial_least{},
-        redial_most{};
+    std::vector<net::Address> instance_addresses;  // the preferred one first
+    std::vector<std::string> instance_names;
+    std::vector<xds::TableLine> startup_table;        // its standing table
+    PickPolicy pick_policy = PickPolicy::LeastOfTwo;  // for the start-up table
+    RetryMode retry_mode = RetryMode::OnlyUnprocessed;
+    int ejection_failures = 5;
+    Micros ejection_time{}, connect_timeout{}, connection_idle_timeout{}, dial_timeout{},
+        min_reconnect_delay{}, max_reconnect_delay{};
     // Waits this long before it looks for its preferred governor again; 0: stays where it is.
-    Micros go_back{};
-    Micros keepalive{};
+    Micros failback_delay{};
+    Micros keepalive_interval{};
 };
 
-class Forwarder {
+class FakeProxy {
 public:
-    Forwarder(net::Loop& loop, base::ActorId actor, ForwarderSettings settings, std::uint64_t seed,
+    FakeProxy(net::Loop& loop, base::ActorId actor, FakeProxySettings settings, std::uint64_t seed,
               Observer* observer, std::map<net::Address, std::string> const* server_names);
-    ~Forwarder();
+    ~FakeProxy();
 
     net::Address address() const { return server_->address(); }
 
-    const ForwarderSettings& settings() const { return settings_; }
+    const FakeProxySettings& settings() const { return settings_; }
 
     const xds::ClientTables& tables() const { return ads_.tables(); }
 
-    bool joined() const { return call_ != nullptr; }
+    bool connected() const { return call_ != nullptr; }
 
     // Breaks the stream, as a cut on the way would; it dials again by itself.
     void break_stream();
     // Reaches no governor while this holds.
-    void isolate(bool on);
+    void set_isolated(bool on);
     // Stops reading from its governor (back pressure).
-    void stall(bool on);
+    void set_stalled(bool on);
 
     // Refuses what this finds wrong.
-    void doubt(std::function<std::string(const xds::AdsClient::Response&)> why) {
+    void set_response_check(std::function<std::string(const xds::AdsClient::Response&)> why) {
         ads_.response_check = std::move(why);
     }
 
     // Sends side-effecting invocations again after any failure: a forwarder that breaks the rules,
     // for tests alone.
-    bool repeats_all = false;
+    bool retries_everything_for_test = false;
 
 private:
     struct Work {
@@ -79,7 +79,7 @@
         RetryMode again = RetryMode::OnlyUnprocessed;
         Micros per_try{};
         std::string cluster;
-        TryEnd before = TryEnd::NeverSent;  // how the try before this one ended
+        AttemptOutcome before = AttemptOutcome::NeverSent;  // how the try before this one ended
     };
 
     struct Standing {
@@ -95,7 +95,7 @@
 
     void dial();
     void redial();
-    void connected(net::StreamPtr stream, std::size_t governor);
+    void on_connected(net::StreamPtr stream, std::size_t governor);
     void stream_over(const std::string& why);
     void on_response(std::string_view bytes);
     void report();
@@ -114,7 +114,7 @@
 
     net::Loop& loop_;
     base::ActorId actor_;
-    ForwarderSettings settings_;
+    FakeProxySettings settings_;
     Observer* observer_;
     const std::map<net::Address, std::string>* server_names_;
     base::SequentialRandom chance_;
--- a/src/testbed/registry.cpp
+++ b/src/testbed/fake_registry.cpp
@@ -1,4 +1,4 @@
-#include "testbed/registry.h"
+#include "testbed/fake_registry.h"
 
 #include <algorithm>
 #include <charconv>
@@ -17,8 +17,8 @@
 }
 }  // namespace
 
-Registry::Registry(net::Loop& loop, base::ActorId actor, std::string host, const net::Address& at,
-                   Observer* observer)
+FakeRegistry::FakeRegistry(net::Loop& loop, base::ActorId actor, std::string host,
+                           const net::Address& at, Observer* observer)
     : loop_(loop),
       actor_(actor),
       host_(std::move(host)),
@@ -26,37 +26,37 @@
     listen(at);
 }
 
-void Registry::listen(const net::Address& at) {
+void FakeRegistry::listen(const net::Address& at) {
     server_ = std::make_unique<net::HttpServer>(loop_, actor_, host_, at, net::HttpLimits{}, 10000);
     server_->on_request = [this](net::HttpExchangePtr exchange) {
         asked(exchange);
     };
 }
 
-void Registry::put(const Row& row) {
+void FakeRegistry::put(const Entry& row) {
     rows_[row.server.id] = row;
     changed();
 }
 
-void Registry::remove(const std::string& id) {
+void FakeRegistry::remove(const std::string& id) {
     if (rows_.erase(id) > 0) {
         changed();
     }
 }
 
-void Registry::changed() {
+void FakeRegistry::changed() {
     ++index_;
     answer_waiting();
 }
 
-void Registry::hang(bool on) {
+void FakeRegistry::set_hanging(bool on) {
     hung_ = on;
     if (!on) {
         answer_waiting();
     }
 }
 
-void Registry::restart(bool keep_rows) {
+void FakeRegistry::restart(bool keep_rows) {
     waiting_.clear();
     const net::Address at = server_->address();
     server_.reset();
@@ -68,7 +68,7 @@
     listen(at);
 }
 
-void Registry::asked(const net::HttpExchangePtr& exchange) {
+void FakeRegistry::asked(const net::HttpExchangePtr& exchange) {
     const net::HttpMessage& request = exchange->request;
     if (request.method != "GET" || request.target.rfind("/v1/servers", 0) != 0) {
         net::HttpMessage no;
@@ -94,7 +94,7 @@
     waiting_.push_back(std::move(waiting));
 }
 
-void Registry::answer_waiting() {
+void FakeRegistry::answer_waiting() {
     if (hung_) {
         return;
     }
@@ -112,7 +112,7 @@
     waiting_ = std::move(rest);
 }
 
-void Registry::answer(const net::HttpExchangePtr& exchange) {
+void FakeRegistry::answer(const net::HttpExchangePtr& exchange) {
     xds_server::ServerList told;
     told.header = {host_ + "/" + std::to_string(lives_), index_, 0};
     nlohmann::json json;
@@ -121,8 +121,8 @@
     json["servers"] = nlohmann::json::array();
     for (const auto& [id, row] : instead_ ? *instead_ : rows_) {
         xds_server::ListedServer listed = row.server;
-        listed.age = row.started > Micros{0}
-                         ? std::max(Micros{1000}, loop_.clock().now() - row.started)
+        listed.age = row.started_at > Micros{0}
+                         ? std::max(Micros{1000}, loop_.clock().now() - row.started_at)
                          : Micros{0};
         json["servers"].push_back(
             {{"id", id},
@@ -138,11 +138,11 @@
     net::HttpMessage response;
     response.status = 200;
     response.headers.emplace_back("content-type", "application/json");
-    response.body = garbage.empty() ? json.dump() : garbage;
+    response.body = malformed_response.empty() ? json.dump() : malformed_response;
     const std::string governor{exchange->request.header("x-governor").value_or("")};
     exchange->answer(std::move(response));
-    if (observer_ && garbage.empty()) {
-        observer_->list_told(loop_.clock().now(), governor, told);
+    if (observer_ && malformed_response.empty()) {
+        observer_->on_server_list_sent(loop_.clock().now(), governor, told);
     }
 }
 
--- a/src/testbed/registry.h
+++ b/src/testbed/fake_registry.h
@@ -13,39 +13,39 @@
 
 namespace badgergrade::testbed {
 
-class Registry {
+class FakeRegistry {
 public:
-    Registry(net::Loop& loop, base::ActorId actor, std::string host, const net::Address& at,
-             Observer* observer);
+    FakeRegistry(net::Loop& loop, base::ActorId actor, std::string host, const net::Address& at,
+                 Observer* observer);
 
     net::Address address() const { return server_->address(); }
 
-    struct Row {
+    struct Entry {
         xds_server::ListedServer server;  // `age` is not used
-        Micros started{};                 // 0: long ago
+        Micros started_at{};              // 0: long ago
     };
 
     // Lists or changes a server, or removes it; seen by the next answer.
-    void put(const Row& row);
+    void put(const Entry& row);
     void remove(const std::string& id);
 
-    const std::map<std::string, Row>& rows() const { return rows_; }
+    const std::map<std::string, Entry>& entries() const { return rows_; }
 
     // While hung it reads requests and answers none; restarted it is another registry that counts
     // from 1.
-    void hang(bool on);
+    void set_hanging(bool on);
     void restart(bool keep_rows);
     // Answers with fewer servers, older indexes or garbage, as a day wants; empty: none of it.
-    std::string garbage;
+    std::string malformed_response;
 
-    void go_back(std::uint64_t indexes) {
+    void rewind_index(std::uint64_t indexes) {
         index_ = index_ > indexes ? index_ - indexes : 1;
         answer_waiting();
     }
 
     // Shows these rows in place of its own, as a copy that fell behind would; nothing: its own
     // again.
-    void show_instead(std::optional<std::map<std::string, Row>> rows) {
+    void serve_instead(std::optional<std::map<std::string, Entry>> rows) {
         instead_ = std::move(rows);
         changed();
     }
@@ -68,8 +68,8 @@
     std::string host_;
     Observer* observer_;
     std::unique_ptr<net::HttpServer> server_;
-    std::map<std::string, Row> rows_;
-    std::optional<std::map<std::string, Row>> instead_;
+    std::map<std::string, Entry> rows_;
+    std::optional<std::map<std::string, Entry>> instead_;
     std::vector<Waiting> waiting_;
     std::uint64_t index_ = 1, lives_ = 1;
     bool hung_ = false;
--- a/src/testbed/worker.cpp
+++ b/src/testbed/fake_server.cpp
@@ -1,4 +1,4 @@
-#include "testbed/worker.h"
+#include "testbed/fake_server.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,8 +9,9 @@
 
 using namespace std::chrono_literals;
 
-Worker::Worker(net::Loop& loop, base::ActorId actor, WorkerSettings settings, std::uint64_t seed,
-               Observer* observer, bool cold, std::vector<std::string> operations)
+FakeServer::FakeServer(net::Loop& loop, base::ActorId actor, FakeServerSettings settings,
+                       std::uint64_t seed, Observer* observer, bool cold,
+                       std::vector<std::string> operations)
     : loop_(loop),
       actor_(actor),
       settings_(std::move(settings)),
@@ -26,16 +27,16 @@
     };
     server_->on_connection = [this](std::size_t) {
         debt_us_ += static_cast<double>(settings_.handshake_work.count());
-        server_->limit_connections(std::min(settings_.connections_most, trouble.connections_most));
+        server_->limit_connections(std::min(settings_.max_connections, fault.max_connections));
     };
     if (observer_) {
-        observer_->server_up(started_, settings_.id, cold_);
+        observer_->on_server_started(started_, settings_.id, cold_);
     }
 }
 
-Worker::~Worker() {
+FakeServer::~FakeServer() {
     if (observer_) {
-        observer_->server_down(loop_.clock().now(), settings_.id);
+        observer_->on_server_stopped(loop_.clock().now(), settings_.id);
     }
     running_timers_.clear();
     queue_.clear();
@@ -43,19 +44,20 @@
 }
 
 // What a cold server can do rises evenly to the whole.
-double Worker::capacity() const {
-    if (!cold_ || settings_.cold_time <= Micros{0}) {
+double FakeServer::capacity() const {
+    if (!cold_ || settings_.warm_up_time <= Micros{0}) {
         return 1;
     }
     const double age = static_cast<double>((loop_.clock().now() - started_).count()) /
-                       static_cast<double>(settings_.cold_time.count());
-    return std::min(1.0, settings_.cold_from + (1 - settings_.cold_from) * age);
+                       static_cast<double>(settings_.warm_up_time.count());
+    return std::min(
+        1.0, settings_.initial_capacity_fraction + (1 - settings_.initial_capacity_fraction) * age);
 }
 
-void Worker::asked(const net::HttpExchangePtr& exchange) {
-    server_->limit_connections(std::min(settings_.connections_most, trouble.connections_most));
+void FakeServer::asked(const net::HttpExchangePtr& exchange) {
+    server_->limit_connections(std::min(settings_.max_connections, fault.max_connections));
     const std::string& target = exchange->request.target;
-    if (trouble.hangs || fallen_) {
+    if (fault.hangs || fallen_) {
         return;  // read, and never answered
     }
     if (target.rfind("/invoke/", 0) == 0) {
@@ -65,7 +67,7 @@
         return answer(exchange, 200, nullptr);
     }
     if (target == "/probe/deep") {
-        if (probing_ >= settings_.probes_most) {
+        if (probing_ >= settings_.max_concurrent_probes) {
             return answer(exchange, 503, "1");
         }
         ++probing_;
@@ -76,7 +78,7 @@
     answer(exchange, 404, nullptr);
 }
 
-void Worker::invoke(const net::HttpExchangePtr& exchange) {
+void FakeServer::invoke(const net::HttpExchangePtr& exchange) {
     const net::HttpMessage& request = exchange->request;
     const auto id = request.number("x-invocation");
     const auto work = request.number("x-work-us");
@@ -92,10 +94,11 @@
     // Luck goes by the invocation, not by the order of events, so that two days under other
     // settings meet the same.
     const double luck = base::SequentialRandom(luck_, "errors/" + std::to_string(*id)).part();
-    if (luck < std::max(trouble.errors, settings_.error_rate)) {
+    if (luck < std::max(fault.error_fraction, settings_.error_fraction)) {
         return answer(exchange, 500, nullptr);
     }
-    if (queue_.size() >= settings_.queue_per_core * static_cast<std::size_t>(settings_.cores) &&
+    if (queue_.size() >=
+            settings_.max_queued_per_core * static_cast<std::size_t>(settings_.cores) &&
         running_ >= settings_.cores) {
         return answer(exchange, 503, "1");
     }
@@ -112,7 +115,7 @@
     run_next();
 }
 
-void Worker::answer(const net::HttpExchangePtr& exchange, int status, const char* not_begun) {
+void FakeServer::answer(const net::HttpExchangePtr& exchange, int status, const char* not_begun) {
     net::HttpMessage response;
     response.status = status;
     if (not_begun) {
@@ -124,7 +127,7 @@
     exchange->answer(std::move(response));
 }
 
-void Worker::run_next() {
+void FakeServer::run_next() {
     const auto now = loop_.clock().now();
     while (running_ < settings_.cores && !queue_.empty()) {
         Job job = std::move(queue_.front());
@@ -140,14 +143,15 @@
     }
 }
 
-void Worker::run(Job job) {
+void FakeServer::run(Job job) {
     const Micros now = loop_.clock().now();
     if (job.operation >= 0 && observer_) {
-        observer_->took_effect(now, settings_.id, job.invocation, job.operation);
+        observer_->on_execution_started(now, settings_.id, job.invocation, job.operation);
     }
     const double work = job.work_us * remembered(job.key) + std::exchange(debt_us_, 0.0);
-    const double pace = settings_.speed * capacity() * std::max(0.01, 1 - trouble.taken) /
-                        std::max(0.01, trouble.slower);
+    const double pace = settings_.speed * capacity() *
+                        std::max(0.01, 1 - fault.stolen_cpu_fraction) /
+                        std::max(0.01, fault.slowdown_factor);
     const Micros takes(std::max<std::int64_t>(1, std::llround(work / pace)));
     ++running_;
     busy_us_ += static_cast<double>(takes.count());
@@ -162,62 +166,62 @@
     running_timers_[id] = std::move(timer);
 }
 
-void Worker::finish(Job job) {
+void FakeServer::finish(Job job) {
     if (job.operation < 0 && job.invocation == 0 && probing_ > 0) {
         --probing_;
     }
-    if (trouble.hangs || fallen_ || !job.exchange->open()) {
+    if (fault.hangs || fallen_ || !job.exchange->open()) {
         return;
     }
     const double luck =
         base::SequentialRandom(luck_, "lost/" + std::to_string(job.invocation)).part();
-    if (luck < trouble.answers_lost) {
+    if (luck < fault.lost_response_fraction) {
         return job.exchange->break_off();
     }
     answer(job.exchange, 200, nullptr);
 }
 
 // Part of the work left where the key was met lately.
-double Worker::remembered(const std::string& key) {
-    if (settings_.key_gain <= 0 || key.empty()) {
+double FakeServer::remembered(const std::string& key) {
+    if (settings_.cache_saving_fraction <= 0 || key.empty()) {
         return 1;
     }
     const Micros now = loop_.clock().now();
     const auto it = keys_.find(key);
-    const bool known = it != keys_.end() && it->second + settings_.key_time >= now;
+    const bool known = it != keys_.end() && it->second + settings_.cache_ttl >= now;
     keys_[key] = now;
     key_order_.emplace_back(now, key);
-    while (keys_.size() > settings_.keys_most ||
-           (!key_order_.empty() && key_order_.front().first + settings_.key_time < now)) {
+    while (keys_.size() > settings_.max_cached_keys ||
+           (!key_order_.empty() && key_order_.front().first + settings_.cache_ttl < now)) {
         const auto [when, old] = key_order_.front();
         key_order_.pop_front();
         if (const auto o = keys_.find(old); o != keys_.end() && o->second == when) {
             keys_.erase(o);
         }
     }
-    return known ? 1 - settings_.key_gain : 1;
+    return known ? 1 - settings_.cache_saving_fraction : 1;
 }
 
 // A cold server that is sent more than the multiple of what it can do, over the fall time, falls
 // and stays down.
-void Worker::push(const std::string& forwarder, double work_us) {
-    if (!cold_ || settings_.fall_multiple <= 0 || settings_.fall_time <= Micros{0}) {
+void FakeServer::push(const std::string& forwarder, double work_us) {
+    if (!cold_ || settings_.collapse_factor <= 0 || settings_.collapse_window <= Micros{0}) {
         return;
     }
     const Micros now = loop_.clock().now();
-    if (now >= started_ + settings_.cold_time) {
+    if (now >= started_ + settings_.warm_up_time) {
         return;
     }
     pushes_.push_back({forwarder, now, work_us});
     pushed_us_ += work_us;
-    while (!pushes_.empty() && pushes_.front().when + settings_.fall_time < now) {
+    while (!pushes_.empty() && pushes_.front().at + settings_.collapse_window < now) {
         pushed_us_ -= pushes_.front().work;
         pushes_.pop_front();
     }
     const double can = capacity() * settings_.cores * settings_.speed *
-                       static_cast<double>(settings_.fall_time.count());
+                       static_cast<double>(settings_.collapse_window.count());
     // A little slack for chance: two invocations of this size are no rush.
-    if (pushed_us_ <= settings_.fall_multiple * can + 2 * work_us) {
+    if (pushed_us_ <= settings_.collapse_factor * can + 2 * work_us) {
         return;
     }
     fallen_ = true;
@@ -225,23 +229,24 @@
     running_ = 0;
     queue_.clear();
     if (observer_) {
-        observer_->server_fell(now, settings_.id, {pushes_.begin(), pushes_.end()});
+        observer_->on_server_collapsed(now, settings_.id, {pushes_.begin(), pushes_.end()});
     }
 }
 
-std::string Worker::load_report() {
+std::string FakeServer::load_report() {
     const Micros now = loop_.clock().now();
-    if (!report_.empty() && now < report_at_ + settings_.report_every) {
+    if (!report_.empty() && now < report_at_ + settings_.load_report_interval) {
         return report_;
     }
     const double span =
         std::max(1.0, static_cast<double>((now - busy_since_).count()) * settings_.cores);
-    const double cpu = std::min(1.0, busy_us_ / span) * trouble.counters;
+    const double cpu = std::min(1.0, busy_us_ / span) * fault.reported_load_fraction;
     const auto two = [](double v) {
         return std::to_string(static_cast<double>(std::llround(v * 100)) / 100.0).substr(0, 4);
     };
     report_ = "cpu=" + two(cpu) + ",active=" + std::to_string(running_) + ",waiting=" +
-              std::to_string(std::llround(static_cast<double>(queue_.size()) * trouble.counters));
+              std::to_string(
+                  std::llround(static_cast<double>(queue_.size()) * fault.reported_load_fraction));
     report_at_ = now;
     busy_us_ = 0;
     busy_since_ = now;
--- a/src/testbed/worker.h
+++ b/src/testbed/fake_server.h
@@ -18,54 +18,55 @@
 
 namespace badgergrade::testbed {
 
-struct WorkerSettings {
+struct FakeServerSettings {
     std::string id, zone;
     net::Address listen;  // port 0: a free one
     int cores = 2;
     double speed = 1;  // of a yardstick core
-    std::size_t queue_per_core = 10;
-    double cold_from = 0.2;
-    Micros cold_time{}, fall_time{};
-    double fall_multiple = 0;  // 0: never falls
-    std::size_t connections_most = 200;
+    std::size_t max_queued_per_core = 10;
+    double initial_capacity_fraction = 0.2;
+    Micros warm_up_time{}, collapse_window{};
+    double collapse_factor = 0;  // 0: never falls
+    std::size_t max_connections = 200;
     Micros handshake_work{};
-    double key_gain = 0;  // part of the work that a remembered key saves
-    Micros key_time{};
-    std::size_t keys_most = 1000;
+    double cache_saving_fraction = 0;  // part of the work that a remembered key saves
+    Micros cache_ttl{};
+    std::size_t max_cached_keys = 1000;
     bool reports_load = false;
-    Micros report_every{};
-    double error_rate = 0;
-    std::size_t probes_most = 3;
+    Micros load_report_interval{};
+    double error_fraction = 0;
+    std::size_t max_concurrent_probes = 3;
 };
 
 // What a day does to a worker. All of it can be changed while it runs.
-struct WorkerTrouble {
-    bool hangs = false;       // takes invocations, answers none
-    double errors = 0;        // part that fails at once
-    double slower = 1;        // this many times slower
-    double taken = 0;         // part of the machine that a neighbour takes
-    double answers_lost = 0;  // part of the answers that break off after the work
-    double counters = 1;      // load reports show this part of the truth
-    std::size_t connections_most = SIZE_MAX;
+struct ServerFault {
+    bool hangs = false;                 // takes invocations, answers none
+    double error_fraction = 0;          // part that fails at once
+    double slowdown_factor = 1;         // this many times slower
+    double stolen_cpu_fraction = 0;     // part of the machine that a neighbour takes
+    double lost_response_fraction = 0;  // part of the answers that break off after the work
+    double reported_load_fraction = 1;  // load reports show this part of the truth
+    std::size_t max_connections = SIZE_MAX;
 };
 
-class Worker {
+class FakeServer {
 public:
-    Worker(net::Loop& loop, base::ActorId actor, WorkerSettings settings, std::uint64_t seed,
-           Observer* observer, bool cold, std::vector<std::string> operations);
-    ~Worker();
+    FakeServer(net::Loop& loop, base::ActorId actor, FakeServerSettings settings,
+               std::uint64_t seed, Observer* observer, bool cold,
+               std::vector<std::string> operations);
+    ~FakeServer();
 
-    const WorkerSettings& settings() const { return settings_; }
+    const FakeServerSettings& settings() const { return settings_; }
 
     net::Address address() const { return server_->address(); }
 
-    Micros started() const { return started_; }
+    Micros started_at() const { return started_; }
 
     bool cold_start() const { return cold_; }
 
-    bool fallen() const { return fallen_; }
+    bool collapsed() const { return fallen_; }
 
-    WorkerTrouble trouble;
+    ServerFault fault;
 
 private:
     struct Job {
@@ -90,7 +91,7 @@
 
     net::Loop& loop_;
     base::ActorId actor_;
-    WorkerSettings settings_;
+    FakeServerSettings settings_;
     Observer* observer_;
     std::vector<std::string> operations_;
     std::uint64_t luck_;
@@ -102,7 +103,7 @@
     std::deque<Job> queue_;
     std::map<std::uint64_t, std::unique_ptr<base::Timer>> running_timers_;
     double debt_us_ = 0;
-    std::deque<Observer::Push> pushes_;
+    std::deque<Observer::ReceivedWork> pushes_;
     double pushed_us_ = 0;
     std::map<std::string, Micros> keys_;
     std::deque<std::pair<Micros, std::string>> key_order_;
--- a/tests/program/day_test.cpp
+++ b/tests/program/day_test.cpp
@@ -38,7 +38,7 @@
 list gone 0.5..1 s new 0.3..0.5 s
 )";
 
-scenario::DayScript script(const std::string& troubles) {
+scenario::ScenarioScript script(const std::string& troubles) {
     std::vector<config::ConfigError> mistakes;
     auto out = scenario::parse_script("test.day", kFleet + troubles, example_settings(), mistakes);
     for (const auto& mistake : mistakes) {
@@ -47,9 +47,9 @@
     return out;
 }
 
-std::set<std::string> rules_broken(const scenario::DayRun& run) {
+std::set<std::string> rules_broken(const scenario::ScenarioRun& run) {
     std::set<std::string> out;
-    for (const auto& one : run.breaks) {
+    for (const auto& one : run.violations) {
         out.insert(one.rule);
     }
     return out;
@@ -61,25 +61,25 @@
     auto day = script(
         "at 5 s crash workers 25% for 5 s\nat 8 s streams-break forwarders 50%\nat 10 s "
         "governor-crash 0 for 2 s\n");
-    const std::string first = scenario::run_day(day, {}).result.dump();
+    const std::string first = scenario::run_scenario(day, {}).result.dump();
     for (int n = 0; n < 3; ++n) {
-        EXPECT_EQ(scenario::run_day(day, {}).result.dump(), first);
+        EXPECT_EQ(scenario::run_scenario(day, {}).result.dump(), first);
     }
     day.seed = 4;
-    EXPECT_NE(scenario::run_day(day, {}).result.dump(), first);
+    EXPECT_NE(scenario::run_scenario(day, {}).result.dump(), first);
 }
 
 // Half of the servers crash and two hang. Each invocation must still end in exactly one result, and
 // no effect may happen twice.
 TEST(Day, EveryInvocationHasOneResult) {
-    const auto run = scenario::run_day(
+    const auto run = scenario::run_scenario(
         script("at 5 s crash workers 50% for 5 s\nat 7 s hang workers 2 for 5 s\n"), {});
     const auto& whole = run.result["figures"]["whole_day"];
     const auto sum = whole["succeeded"].get<int>() + whole["rate_limited"].get<int>() +
                      whole["errored"].get<int>() + whole["timed_out"].get<int>();
     EXPECT_EQ(sum, whole["invocations"].get<int>());
     EXPECT_GT(sum, 1000);
-    EXPECT_TRUE(run.breaks.empty());
+    EXPECT_TRUE(run.violations.empty());
     EXPECT_EQ(run.result["figures"]["effects"]["twice"].get<int>(), 0);
 }
 
@@ -88,12 +88,13 @@
 struct Broken {
     const char* rule;
     const char* troubles;
-    std::function<void(scenario::World&)> how;
+    std::function<void(scenario::SimulatedFleet&)> how;
 };
 
 // A governor that keeps servers in its tables which have gone.
-void deaf_to_removals(scenario::World& world) {
-    world.tamper = [](int, xds_server::XdsServer&, Micros, std::vector<Command>& actions) {
+void deaf_to_removals(scenario::SimulatedFleet& world) {
+    world.alter_commands_for_test = [](int, xds_server::XdsServer&, Micros,
+                                       std::vector<Command>& actions) {
         std::erase_if(actions, [](const Command& a) {
             const auto* line = std::get_if<command::SetWeight>(&a);
             return line && line->weight <= 0;
@@ -102,8 +103,9 @@
 }
 
 // A governor that clears what it binds and never fills it.
-void leaves_bare(scenario::World& world) {
-    world.tamper = [](int, xds_server::XdsServer&, Micros, std::vector<Command>& actions) {
+void leaves_bare(scenario::SimulatedFleet& world) {
+    world.alter_commands_for_test = [](int, xds_server::XdsServer&, Micros,
+                                       std::vector<Command>& actions) {
         std::erase_if(actions, [](const Command& a) {
             return std::holds_alternative<command::SetWeight>(a);
         });
@@ -112,8 +114,9 @@
 
 // A governor that points every table at a server as soon as it starts, whole weight, and at little
 // else.
-void rushes_cold(scenario::World& world) {
-    world.tamper = [](int, xds_server::XdsServer& service, Micros, std::vector<Command>& actions) {
+void rushes_cold(scenario::SimulatedFleet& world) {
+    world.alter_commands_for_test = [](int, xds_server::XdsServer& service, Micros,
+                                       std::vector<Command>& actions) {
         const auto cold = service.server_id("worker-000");
         for (Command& a : actions) {
             if (auto* line = std::get_if<command::SetWeight>(&a);
@@ -132,8 +135,9 @@
 }
 
 // A governor that writes everything again and again, whatever its channel bears.
-void floods(scenario::World& world) {
-    world.tamper = [](int, xds_server::XdsServer& service, Micros, std::vector<Command>& actions) {
+void floods(scenario::SimulatedFleet& world) {
+    world.alter_commands_for_test = [](int, xds_server::XdsServer& service, Micros,
+                                       std::vector<Command>& actions) {
         const auto one = service.server_id("worker-001");
         for (int n = 0; one && n < 600; ++n) {
             actions.emplace_back(command::SetWeight{{n % 5}, *one, 1.0 + n % 7});
@@ -141,9 +145,9 @@
     };
 }
 
-void repeats_orders(scenario::World& world) {
-    world.on_forwarder = [](testbed::Forwarder& forwarder) {
-        forwarder.repeats_all = true;
+void repeats_orders(scenario::SimulatedFleet& world) {
+    world.on_proxy_created = [](testbed::FakeProxy& forwarder) {
+        forwarder.retries_everything_for_test = true;
     };
 }
 
@@ -167,15 +171,15 @@
 TEST_P(Audit, CatchesWhatBreaksTheRule) {
     const Broken& what = broken(GetParam());
     const auto day = script(what.troubles);
-    EXPECT_TRUE(scenario::run_day(day, {}).breaks.empty())
+    EXPECT_TRUE(scenario::run_scenario(day, {}).violations.empty())
         << "broken without being broken on purpose";
-    scenario::DayOptions options;
-    options.before = what.how;
-    const auto run = scenario::run_day(day, options);
+    scenario::ScenarioOptions options;
+    options.before_start = what.how;
+    const auto run = scenario::run_scenario(day, options);
     EXPECT_TRUE(rules_broken(run).contains(what.rule)) << what.rule << " not caught";
-    ASSERT_FALSE(run.breaks.empty());
-    EXPECT_FALSE(run.breaks.front().parties.empty());
-    EXPECT_GT(run.breaks.front().when, 1000s);
+    ASSERT_FALSE(run.violations.empty());
+    EXPECT_FALSE(run.violations.front().parties.empty());
+    EXPECT_GT(run.violations.front().at, 1000s);
 }
 
 INSTANTIATE_TEST_SUITE_P(Rules, Audit, testing::Range(0, 5));
@@ -221,25 +225,25 @@
 // Retries count with the first try, and place-job is billed threefold: a day of known counts.
 TEST(Figures, BillAsTheUsersDo) {
     const auto day = script("");
-    scenario::Figures figures(day, 1000s, day.length, {{"f", "bang-na"}});
-    const auto play = [&](std::uint64_t id, int operation, int tries, testbed::Result result,
-                          Micros took) {
+    scenario::ScenarioMetrics figures(day, 1000s, day.length, {{"f", "bang-na"}});
+    const auto play = [&](std::uint64_t id, int operation, int tries,
+                          testbed::InvocationResult result, Micros took) {
         testbed::Invocation one;
         one.id = id;
         one.operation = operation;
-        one.forwarder = "f";
-        one.came = 1000s + 1s;
-        figures.invocation_came(one.came, one);
+        one.proxy = "f";
+        one.arrived_at = 1000s + 1s;
+        figures.on_invocation_arrived(one.arrived_at, one);
         for (int n = 0; n < tries; ++n) {
-            figures.client_try(one.came, one);
+            figures.on_client_attempt(one.arrived_at, one);
         }
-        figures.invocation_ended(one.came + took, one, result);
+        figures.on_invocation_finished(one.arrived_at + took, one, result);
     };
-    play(1, 0, 1, testbed::Result::Succeeded, 100ms);   // 1 of 1
-    play(2, 0, 3, testbed::Result::Succeeded, 900ms);   // late: 0 of 1
-    play(3, 1, 2, testbed::Result::Errored, 100ms);     // 0 of 1
-    play(4, 2, 1, testbed::Result::Succeeded, 1100ms);  // 3 of 3
-    play(5, 2, 2, testbed::Result::RateLimited, 10ms);  // 0 of 3
+    play(1, 0, 1, testbed::InvocationResult::Succeeded, 100ms);   // 1 of 1
+    play(2, 0, 3, testbed::InvocationResult::Succeeded, 900ms);   // late: 0 of 1
+    play(3, 1, 2, testbed::InvocationResult::Errored, 100ms);     // 0 of 1
+    play(4, 2, 1, testbed::InvocationResult::Succeeded, 1100ms);  // 3 of 3
+    play(5, 2, 2, testbed::InvocationResult::RateLimited, 10ms);  // 0 of 3
     const auto json = figures.json();
     EXPECT_DOUBLE_EQ(json["whole_day"]["service"].get<double>(), std::round(4.0 / 9 * 1e6) / 1e6);
     EXPECT_EQ(json["whole_day"]["invocations"].get<int>(), 5);
--- a/tests/program/governor_test.cpp
+++ b/tests/program/governor_test.cpp
@@ -407,7 +407,7 @@
     stage.start();
     stage.run(1s);
     const int updates = stage.logged("endpoints.updated");
-    stage.registry->go_back(3);
+    stage.registry->rewind_index(3);
     stage.run(3s);
     EXPECT_EQ(stage.logged("endpoints.updated"), updates);
     EXPECT_GE(stage.logged("endpoints.watch_failed"), 1);
@@ -420,15 +420,15 @@
     stage.list_four();
     stage.start();
     stage.run(1s);
-    stage.registry->hang(true);
+    stage.registry->set_hanging(true);
     stage.run(8s);
     EXPECT_GE(stage.logged("endpoints.watch_failed"), 1);
-    stage.registry->hang(false);
-    stage.registry->garbage = "{\"registry\": 7";
+    stage.registry->set_hanging(false);
+    stage.registry->malformed_response = "{\"registry\": 7";
     stage.list("e", "north", 9005);
     stage.run(4s);
     const int updates = stage.logged("endpoints.updated");
-    stage.registry->garbage.clear();
+    stage.registry->malformed_response.clear();
     stage.run(10s);
     EXPECT_EQ(stage.logged("endpoints.updated"), updates + 1);
 }
