--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -42,7 +42,7 @@
 at 8500 ms hang workers 1 for 1 s
 )";
 
-scenario::DayScript short_day(const std::string& more = {}) {
+scenario::ScenarioScript short_day(const std::string& more = {}) {
     std::vector<config::ConfigError> mistakes;
     const auto settings = config::IniFile::parse("test.ini", test::kSettings, mistakes);
     auto day = scenario::parse_script("short.day", kShortDay + more, settings, mistakes);
@@ -52,8 +52,8 @@
     return day;
 }
 
-scenario::DayRun record(const scenario::DayScript& script, const std::string& path,
-                        recording::WriterOptions how = {}) {
+scenario::ScenarioRun record(const scenario::ScenarioScript& script, const std::string& path,
+                             recording::WriterOptions how = {}) {
     how.when_full = recording::WhenFull::Wait;
     recording::WriterFigures figures;
     auto out = record_day(script, {}, path, how, figures);
@@ -85,7 +85,7 @@
     const auto day = load_recording(folder.file("day"));
     EXPECT_TRUE(day.damage.empty());
     EXPECT_EQ(day.length, 10s);
-    EXPECT_EQ(day.troubles.size(), script.troubles.size());
+    EXPECT_EQ(day.troubles.size(), script.faults.size());
     EXPECT_EQ(day.figures["whole_day"], lived.result["figures"]["whole_day"]);
     EXPECT_EQ(day.figures["by_operation"], lived.result["figures"]["by_operation"]);
     EXPECT_EQ(day.figures["by_zone"], lived.result["figures"]["by_zone"]);
@@ -194,7 +194,7 @@
     int came = 0;
     for (const auto& [forwarder, list] : day.world.traffic) {
         for (const auto& one : list) {
-            came += one.came >= 3s && one.came < 7s;
+            came += one.arrived_at >= 3s && one.arrived_at < 7s;
         }
     }
     PlayOptions span;
@@ -261,8 +261,8 @@
     const auto more =
         make_playable(day, trial(day, {{"replay.workers", "+2"}, {"replay.traffic", "1.5"}}), none);
     int workers = 0;
-    for (const auto& move : more.world.moves) {
-        workers += move.opening && move.what.kind == scenario::MoveKind::StartWorker;
+    for (const auto& move : more.world.actions) {
+        workers += move.initial && move.action.kind == scenario::FaultActionKind::StartServer;
     }
     EXPECT_EQ(workers, 8);
     std::size_t count = 0;
@@ -270,8 +270,9 @@
     std::set<std::uint64_t> ids;
     for (const auto& [forwarder, list] : more.world.traffic) {
         count += list.size();
-        EXPECT_TRUE(std::is_sorted(list.begin(), list.end(),
-                                   [](const auto& a, const auto& b) { return a.came < b.came; }));
+        EXPECT_TRUE(std::is_sorted(list.begin(), list.end(), [](const auto& a, const auto& b) {
+            return a.arrived_at < b.arrived_at;
+        }));
         for (const auto& one : list) {
             ids.insert(one.id);
         }
@@ -297,7 +298,7 @@
         : script(short_day()),
           writer(recording::file_sink(path), header_of(script, 0us)) {
         auto& move = *writer.add(0us).mutable_move();
-        move.set_kind(static_cast<std::uint32_t>(scenario::MoveKind::AddForwarder));
+        move.set_kind(static_cast<std::uint32_t>(scenario::FaultActionKind::AddProxy));
         move.set_opening(true);
         move.set_who(writer.name("forwarder-000"));
         move.set_text("north");
@@ -312,14 +313,15 @@
         to.set_work_us(1000);
     }
 
-    void ended(std::int64_t id, testbed::Result result, std::uint32_t client_tries, Micros at) {
+    void ended(std::int64_t id, testbed::InvocationResult result, std::uint32_t client_tries,
+               Micros at) {
         auto& to = *writer.add(at).mutable_ended();
         to.set_id_less(writer.last_id() - id);
         to.set_result(static_cast<std::uint32_t>(result));
         to.set_client_tries(client_tries);
     }
 
-    scenario::DayScript script;
+    scenario::ScenarioScript script;
     recording::Writer writer;
 };
 
@@ -328,7 +330,7 @@
 TEST(Replay, RetriesCountWithTheirFirstTryAndPlaceJobsThreefold) {
     const Folder folder;
 
-    using enum testbed::Result;
+    using enum testbed::InvocationResult;
     {
         // look: billed 1, objective 500 ms; order: billed 3, objective 1 s.
         HandMade day(folder.file("hand"));
@@ -380,7 +382,7 @@
         << day.damage[0].what;
     std::vector<Micros> came;
     for (const auto& one : day.world.traffic.at("forwarder-000")) {
-        came.push_back(one.came);
+        came.push_back(one.arrived_at);
     }
     EXPECT_EQ(came, (std::vector<Micros>{1s, 4s, 4s, 5s}));
 }
@@ -429,12 +431,13 @@
 
 // ---- days put together from what governors heard
 
-scenario::DayRun record_governors(const scenario::DayScript& script, GovernorFiles& files) {
-    scenario::DayOptions options;
-    options.before = [&](scenario::World& world) {
-        world.governor_watcher = &files;
+scenario::ScenarioRun record_governors(const scenario::ScenarioScript& script,
+                                       GovernorFiles& files) {
+    scenario::ScenarioOptions options;
+    options.before_start = [&](scenario::SimulatedFleet& world) {
+        world.instance_observer = &files;
     };
-    auto out = scenario::run_day(script, options);
+    auto out = scenario::run_scenario(script, options);
     files.close();
     return out;
 }
@@ -463,10 +466,11 @@
     int starts = 0;
     int stops = 0;
     int governor_stops = 0;
-    for (const auto& move : day.world.moves) {
-        starts += move.what.kind == scenario::MoveKind::StartWorker && move.what.on;
-        stops += move.what.kind == scenario::MoveKind::StopWorker;
-        governor_stops += move.what.kind == scenario::MoveKind::StopGovernor && !move.opening;
+    for (const auto& move : day.world.actions) {
+        starts += move.action.kind == scenario::FaultActionKind::StartServer && move.action.enabled;
+        stops += move.action.kind == scenario::FaultActionKind::StopServer;
+        governor_stops +=
+            move.action.kind == scenario::FaultActionKind::StopInstance && !move.initial;
     }
     EXPECT_EQ(starts, 5);  // two that crashed and the lost site's three
     EXPECT_EQ(stops, 5);
@@ -512,7 +516,7 @@
     record(script, folder.file("day"));
     EXPECT_THROW(merge_recordings({folder.file("day")}, folder.file("out")),
                  std::runtime_error);  // a whole day already
-    auto config = script.governor;
+    auto config = script.instance_config;
     {
         recording::Writer empty(
             recording::file_sink(folder.file("empty")),
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -12,7 +12,7 @@
 
 #include "config/governor_config.h"
 #include "net/grpc.h"
-#include "testbed/registry.h"
+#include "testbed/fake_registry.h"
 #include "xds/ads_client.h"
 #include "xds_server/xds_server.h"
 
@@ -70,14 +70,14 @@
         log =
             std::make_unique<log::Log>(loop->clock(), log::Level::Debug, log::Form::Json,
                                        [this](const std::string& line) { lines.push_back(line); });
-        registry = std::make_unique<testbed::Registry>(*loop, base::ActorId{3}, "registry",
-                                                       net::Address{}, nullptr);
+        registry = std::make_unique<testbed::FakeRegistry>(*loop, base::ActorId{3}, "registry",
+                                                           net::Address{}, nullptr);
         config.registry_address = net::to_text(registry->address());
     }
 
     void list(const std::string& id, const std::string& zone, int port,
               ServerState state = ServerState::Ready) {
-        testbed::Registry::Row row;
+        testbed::FakeRegistry::Entry row;
         row.server.id = id;
         row.server.zone = zone;
         row.server.incarnation = "1";
@@ -113,7 +113,7 @@
     config::GovernorConfig config;
     std::vector<std::string> lines;
     std::unique_ptr<log::Log> log;
-    std::unique_ptr<testbed::Registry> registry;
+    std::unique_ptr<testbed::FakeRegistry> registry;
     std::unique_ptr<xds_server::XdsServer> service;
 };
 
