--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -238,11 +238,12 @@
 
 void read_sources(const WireFields& fields, Settings& settings) {
     if (fields.has("weights")) {
-        settings.listed_weights = parse_choice<ListedWeights>("weights", fields.text("weights"),
-                                                              {{"none", ListedWeights::None},
-                                                               {"nominal", ListedWeights::Nominal},
-                                                               {"rough", ListedWeights::Rough},
-                                                               {"live", ListedWeights::Live}});
+        settings.listed_weights =
+            parse_choice<ListedWeights>("weights", fields.text("weights"),
+                                        {{"none", ListedWeights::None},
+                                         {"nominal", ListedWeights::Nominal},
+                                         {"rough", ListedWeights::Approximate},
+                                         {"live", ListedWeights::Live}});
     }
     settings.endpoints_on_request =
         fields.has("discovery") && fields.text("discovery") == "on_request";
@@ -260,11 +261,11 @@
                                          {"rate", AdmissionMode::Rate}});
     }
     if (fields.has("extra.lb_method")) {
-        settings.pick_policy =
-            parse_choice<PickPolicy>("extra.lb_method", fields.text("extra.lb_method"),
-                                     {{"weighted", PickPolicy::WeightedRandom},
-                                      {"round", PickPolicy::RoundRobin},
-                                      {"two", PickPolicy::LeastOfTwo}});
+        settings.load_balancing_policy =
+            parse_choice<LoadBalancingPolicy>("extra.lb_method", fields.text("extra.lb_method"),
+                                              {{"weighted", LoadBalancingPolicy::WeightedRandom},
+                                               {"round", LoadBalancingPolicy::RoundRobin},
+                                               {"two", LoadBalancingPolicy::LeastRequest}});
     }
     settings.default_retry_mode =
         static_cast<RetryMode>(fields.integer("extra.default_retry", 0, 3, 1));
@@ -274,12 +275,12 @@
 void read_shards(const WireFields& fields, Settings& settings) {
     settings.shard_count = static_cast<int>(fields.number("extra.key_ranges", 0));
     settings.exclusive_shards = fields.boolean("extra.exclusive", false);
-    settings.shard_settle_time = fields.time("extra.settle", Micros{0});
+    settings.shard_handover_delay = fields.time("extra.settle", Micros{0});
 }
 
 void read_channel(const WireFields& fields, Settings& settings) {
     settings.channel_lines_per_second = fields.number("extra.channel_rate", 0);
-    settings.message_head_lines = fields.number("extra.per_message", 0);
+    settings.message_header_lines = fields.number("extra.per_message", 0);
     settings.max_queued_lines = fields.number("extra.pending_max", 0);
     settings.max_messages = static_cast<int>(fields.number("extra.reloads_max", 0));
     settings.message_window = fields.time("extra.update_window", Micros{0});
@@ -303,7 +304,7 @@
     settings.slow_start_window = fields.time("rules.cold", Micros{0});
     settings.drain_grace = fields.time("rules.stop_sending_within", Micros{0});
     settings.connection_idle_timeout = fields.time("bounds.conn_idle", Micros{0});
-    settings.vanished_may_stay = fields.boolean("rules.dropped_stay_open", false);
+    settings.keep_unlisted_servers = fields.boolean("rules.dropped_stay_open", false);
     settings.overload_collapse_factor = fields.number("rules.tip_multiple", 0);
     settings.overload_collapse_time = fields.time("rules.tip_after", Micros{0});
 }
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -79,7 +79,7 @@
     const auto config = load_governor(ini);
     settings.operations = config.settings.operations;
     settings.again = config.settings.default_retry_mode;
-    settings.pick = config.settings.pick_policy;
+    settings.pick = config.settings.load_balancing_policy;
     settings.ejects_after = config.settings.proxy_ejection_failures;
     settings.eject_time = config.ejection_time;
     settings.connection_idle = config.settings.connection_idle_timeout;
--- a/src/config/governor_config.cpp
+++ b/src/config/governor_config.cpp
@@ -61,7 +61,7 @@
 
 void read_channel(IniReader& in, Settings& settings) {
     settings.channel_lines_per_second = in.number("channel", "lines_per_second", 14000, {1, 1e9});
-    settings.message_head_lines = in.number("channel", "head_lines", 3, {0, 1e4});
+    settings.message_header_lines = in.number("channel", "head_lines", 3, {0, 1e4});
     settings.max_queued_lines = in.number("channel", "lines_waiting_most", 14000, {1, 1e9});
     settings.max_messages = in.integer("channel", "messages_most", 0, {0, 1e6});
     settings.message_window = in.time("channel", "messages_window", 10s, 1ms, 1h);
@@ -82,8 +82,8 @@
 void read_proxies(IniReader& in, Settings& settings, GovernorConfig& config) {
     in.require("forwarders", "count", "24");
     settings.proxy_count = in.integer("forwarders", "count", 1, {1, 65535});
-    settings.pick_policy =
-        static_cast<PickPolicy>(in.choice("forwarders", "pick", 2, {"weighted", "round", "two"}));
+    settings.load_balancing_policy = static_cast<LoadBalancingPolicy>(
+        in.choice("forwarders", "pick", 2, {"weighted", "round", "two"}));
     settings.admission_mode =
         static_cast<AdmissionMode>(in.choice("forwarders", "levels", 0, {"none", "share", "rate"}));
     settings.default_retry_mode = static_cast<RetryMode>(
@@ -93,7 +93,7 @@
     config.ejection_time = in.time("forwarders", "eject_time", 4s, 100ms, 1h);
     settings.max_time_without_server = in.time("forwarders", "bare_most", 5s, 0s, 1h);
     settings.connection_idle_timeout = in.time("forwarders", "connection_idle", 15s, 100ms, 1h);
-    settings.shard_settle_time = in.time("forwarders", "settle", 4s, 0s, 1h);
+    settings.shard_handover_delay = in.time("forwarders", "settle", 4s, 0s, 1h);
     // An attempt that may have run must not be repeated where that has an effect.
     if (settings.default_retry_mode >= RetryMode::Once) {
         for (const Operation& operation : settings.operations) {
@@ -115,7 +115,7 @@
     settings.overload_collapse_factor = in.number("servers", "fall_multiple", 3, {0, 1e4});
     settings.overload_collapse_time = in.time("servers", "fall_time", 1500ms, 0s, 1h);
     settings.drain_grace = in.time("servers", "drain_grace", 3s, 100ms, 1h);
-    settings.vanished_may_stay = in.boolean("servers", "gone_may_stay", false);
+    settings.keep_unlisted_servers = in.boolean("servers", "gone_may_stay", false);
 }
 
 /// Where messages to a proxy are limited, removals of servers wait for one another. With too few
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -13,7 +13,7 @@
     : random_(static_cast<std::ranlux24_base::result_type>(seed ^ seed >> 32)),
       equal_weights_(settings.listed_weights == ListedWeights::None ||
                      settings.listed_weights == ListedWeights::Live),
-      vanished_may_stay_(settings.vanished_may_stay && settings.shard_count == 0) {}
+      keep_unlisted_servers_(settings.keep_unlisted_servers && settings.shard_count == 0) {}
 
 void EndpointList::apply(Micros now, const event::EndpointListUpdate& update, FleetState& fleet,
                          OutlierDetector& outliers) {
@@ -41,13 +41,13 @@
         server.weight = equal_weights_ || !(endpoint.weight > 0) ? 1.0 : endpoint.weight;
         server.started_at = endpoint.started_at;
         server.start_heard_at = same_start ? server.start_heard_at : now;
-        server.vanished = false;
+        server.unlisted = false;
     }
 }
 
 void EndpointList::remove(Server& server) const {
-    server.vanished = vanished_may_stay_ && server.state == ServerState::Ready;
-    if (!server.vanished) {
+    server.unlisted = keep_unlisted_servers_ && server.state == ServerState::Ready;
+    if (!server.unlisted) {
         server.state = ServerState::Gone;
     }
 }
@@ -55,7 +55,7 @@
 void EndpointList::remove_unresponsive(Micros now, FleetState& fleet,
                                        const OutlierDetector& outliers) const {
     for (auto& [id, server] : fleet.servers) {
-        if (!server.vanished) {
+        if (!server.unlisted) {
             continue;
         }
         const AttemptStats kept = outliers.server_stats(now, id, kReportBuckets);
@@ -64,7 +64,7 @@
         if (answers && newest.failed_fraction() < kFailingFraction) {
             continue;
         }
-        server.vanished = false;
+        server.unlisted = false;
         server.state = ServerState::Gone;
     }
 }
--- a/src/policy/endpoint_list.h
+++ b/src/policy/endpoint_list.h
@@ -35,7 +35,7 @@
 
     std::ranlux24_base random_;
     bool equal_weights_;
-    bool vanished_may_stay_;
+    bool keep_unlisted_servers_;
 };
 
 }  // namespace badgergrade::policy
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -21,7 +21,7 @@
 /// design's figure).
 constexpr int kHoldDownRounds = 3;
 /// Decisions are taken at least this often.
-constexpr Micros kDecisionTick{250'000};
+constexpr Micros kDecisionInterval{250'000};
 /// A server on probation, and one that has just started, carries this part of its weight (the
 /// design's figure).
 constexpr double kReducedWeightFraction = 0.25;
@@ -45,7 +45,7 @@
     /// When this instance heard of that start.
     Micros start_heard_at{};
     /// Missing from the endpoint list without a stated drain, and still in use.
-    bool vanished = false;
+    bool unlisted = false;
     /// A uniform draw in [0, 1) that chooses the server's subset.
     double subset_hash = 0;
 };
--- a/src/policy/interim_tables.cpp
+++ b/src/policy/interim_tables.cpp
@@ -50,7 +50,7 @@
 }  // namespace
 
 InterimTables::InterimTables(const Settings& settings)
-    : head_lines_(settings.message_head_lines),
+    : head_lines_(settings.message_header_lines),
       max_waiting_lines_(lines_in_grace(settings, kWaitingGraceFraction)) {}
 
 double InterimTables::assignment_lines(const Assignment& assignment,
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -267,7 +267,7 @@
         state.state = EjectionState::Healthy;
         changes.push_back({zone.zone, server.server, false, stats, zone.usual_latency_seconds});
     } else if (state.state == EjectionState::Healthy && stats.attempts >= kTrustedAttempts) {
-        state.ejection_time = std::max(kFirstEjectionTime, state.ejection_time - kDecisionTick);
+        state.ejection_time = std::max(kFirstEjectionTime, state.ejection_time - kDecisionInterval);
     }
 }
 
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -100,8 +100,8 @@
 
     /// Takes the decisions of this moment, in the order of zones and servers.
     /// `everywhere`: fleet_stats() of this moment. Call it once a decision: the ejection time of
-    /// healthy servers falls by kDecisionTick with each call. A server that is not ready is left
-    /// out, and its ejection or probation goes on until it is ready again.
+    /// healthy servers falls by kDecisionInterval with each call. A server that is not ready is
+    /// left out, and its ejection or probation goes on until it is ready again.
     std::vector<EjectionChange> evaluate(Micros now, const FleetState& fleet,
                                          const AttemptStats& everywhere);
 
--- a/src/policy/planner.cpp
+++ b/src/policy/planner.cpp
@@ -177,7 +177,7 @@
             decide_tables(now);
         }
         if (!std::exchange(tick_scheduled_, true)) {
-            commands_.emplace_back(command::SetTimer{kTickToken, kDecisionTick});
+            commands_.emplace_back(command::SetTimer{kTickToken, kDecisionInterval});
         }
         return std::exchange(commands_, {});
     }
--- a/src/policy/send_budget.cpp
+++ b/src/policy/send_budget.cpp
@@ -27,8 +27,8 @@
 
 /// Enough to keep the channel busy until an acknowledgement comes back.
 double target_queued_lines(const Settings& settings) {
-    const double round_trip_lines =
-        settings.channel_lines_per_second * to_seconds(settings.max_network_delay + kDecisionTick);
+    const double round_trip_lines = settings.channel_lines_per_second *
+                                    to_seconds(settings.max_network_delay + kDecisionInterval);
     return std::max(lines_in_grace(settings, kTargetQueueGraceFraction), round_trip_lines);
 }
 
@@ -52,7 +52,7 @@
 
 SendBudget::SendBudget(const Settings& settings, Micros now)
     : lines_per_second_(std::max(1.0, settings.channel_lines_per_second)),
-      head_lines_(settings.message_head_lines),
+      head_lines_(settings.message_header_lines),
       max_queued_lines_(settings.max_queued_lines > 0 ? settings.max_queued_lines
                                                       : kUnlimitedLines),
       target_queued_lines_(target_queued_lines(settings)),
@@ -67,7 +67,7 @@
     double seconds_at_full_pace = to_seconds(elapsed) * kGuaranteedPaceFraction;
     if (is_silent(now)) {
         // Time in which this process did not run is no silence of the proxies.
-        seconds_at_full_pace += to_seconds(std::min(elapsed, 2 * kDecisionTick)) *
+        seconds_at_full_pace += to_seconds(std::min(elapsed, 2 * kDecisionInterval)) *
                                 (kUnconfirmedPaceFraction - kGuaranteedPaceFraction);
     }
     queued_lines_ = std::max(0.0, queued_lines_ - seconds_at_full_pace * lines_per_second_);
--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -31,18 +31,18 @@
 };
 
 /// How a proxy picks a server from its table.
-enum class PickPolicy {
+enum class LoadBalancingPolicy {
     WeightedRandom,
     RoundRobin,
-    LeastOfTwo,  ///< two drawn by weight; the one with fewer open invocations is taken
+    LeastRequest,  ///< two drawn by weight; the one with fewer open invocations is taken
 };
 
 /// What the weights in the endpoint list mean.
 enum class ListedWeights {
-    None,     ///< there are none
-    Nominal,  ///< capacity as configured
-    Rough,    ///< capacity, not exact
-    Live,     ///< follow the load at this moment; never used as capacity
+    None,         ///< there are none
+    Nominal,      ///< capacity as configured
+    Approximate,  ///< capacity, not exact
+    Live,         ///< follow the load at this moment; never used as capacity
 };
 
 /// What a proxy may retry. The numbers are those of the platform's protocol.
@@ -88,7 +88,7 @@
     /// The columns of the load metrics in reports, in order. "cpu" is the utilization, 0 to 1.
     std::vector<std::string> load_metric_names;
     AdmissionMode admission_mode = AdmissionMode::None;
-    PickPolicy pick_policy = PickPolicy::WeightedRandom;
+    LoadBalancingPolicy load_balancing_policy = LoadBalancingPolicy::WeightedRandom;
     /// What proxies retry where no admission setting says otherwise.
     RetryMode default_retry_mode = RetryMode::OnlyUnprocessed;
     /// Proxies in the whole deployment; a single instance may be connected to a part of them.
@@ -98,11 +98,11 @@
     /// A shard has one owner at a time.
     bool exclusive_shards = false;
     /// How long writes of a shard's former owner may still take effect.
-    Micros shard_settle_time{};
+    Micros shard_handover_delay{};
     /// Lines per second that the configuration channel carries, all proxies together.
     double channel_lines_per_second = 0;
     /// Lines that the head of one message costs on the channel.
-    double message_head_lines = 0;
+    double message_header_lines = 0;
     /// Lines that may wait in the channel; beyond it the deployment's queue rule is broken.
     double max_queued_lines = 0;
     /// Messages to one proxy within message_window.
@@ -127,7 +127,7 @@
     Micros drain_grace{};
     /// Only a stated drain obliges proxies to stop sending; a server that merely vanished from the
     /// endpoint list may stay in use.
-    bool vanished_may_stay = false;
+    bool keep_unlisted_servers = false;
     /// Idle connections from proxies to servers are closed after this time.
     Micros connection_idle_timeout{};
     /// A warming server that gets more than this multiple of its capacity for
--- a/src/policy/shard_assignment.cpp
+++ b/src/policy/shard_assignment.cpp
@@ -6,7 +6,7 @@
 
 ShardAssignment::ShardAssignment(const Settings& settings)
     : exclusive_(settings.exclusive_shards),
-      owner_wait_(settings.shard_settle_time + settings.max_network_delay) {}
+      owner_wait_(settings.shard_handover_delay + settings.max_network_delay) {}
 
 void ShardAssignment::on_assignment_changed(const event::ShardAssignmentChanged& change,
                                             FleetState& fleet) {
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -28,7 +28,9 @@
       collapse_time_(settings.overload_collapse_time),
       initial_capacity_fraction_(settings.initial_capacity_fraction),
       collapse_factor_(settings.overload_collapse_factor /
-                       (settings.pick_policy == PickPolicy::LeastOfTwo ? kLeastOfTwoFactor : 1)),
+                       (settings.load_balancing_policy == LoadBalancingPolicy::LeastRequest
+                            ? kLeastOfTwoFactor
+                            : 1)),
       objective_seconds_(to_seconds(shortest_objective)),
       expected_until_(now + kRecomputeInterval) {}
 
--- a/src/runtime/config_state.cpp
+++ b/src/runtime/config_state.cpp
@@ -5,7 +5,7 @@
 namespace badgergrade::runtime {
 
 ConfigState::ConfigState(const Settings& settings)
-    : head_lines_(settings.message_head_lines),
+    : head_lines_(settings.message_header_lines),
       unlimited_(settings.admission_mode == AdmissionMode::Rate
                      ? command::SetAdmission::kUnlimitedRate
                      : 1),
--- a/src/scenario/auditor.cpp
+++ b/src/scenario/auditor.cpp
@@ -174,7 +174,7 @@
         }
         server.ready = false;
         // Where only a stated drain binds, a server that merely vanished may stay.
-        if (!config_.settings.vanished_may_stay) {
+        if (!config_.settings.keep_unlisted_servers) {
             sight.gone.try_emplace(key, now);
         }
     }
--- a/src/scenario/world.cpp
+++ b/src/scenario/world.cpp
@@ -577,7 +577,7 @@
         s.governor_names.push_back(governors_[g].name);
     }
     s.startup = draw_startup(slot.plan.zone, chance);
-    s.pick = told.pick_policy;
+    s.pick = told.load_balancing_policy;
     s.again = told.default_retry_mode;
     s.ejects_after = told.proxy_ejection_failures;
     s.eject_time = script_.governor.ejection_time;
--- a/src/testbed/forwarder.cpp
+++ b/src/testbed/forwarder.cpp
@@ -409,10 +409,10 @@
         }
         return from.back();
     };
-    if (table.pick_policy == PickPolicy::WeightedRandom) {
+    if (table.pick_policy == LoadBalancingPolicy::WeightedRandom) {
         return draw();
     }
-    if (table.pick_policy == PickPolicy::LeastOfTwo) {
+    if (table.pick_policy == LoadBalancingPolicy::LeastRequest) {
         const auto* a = draw();
         const auto* b = draw();
         return standings_[b->address].open < standings_[a->address].open ? b : a;
--- a/src/testbed/forwarder.h
+++ b/src/testbed/forwarder.h
@@ -25,8 +25,8 @@
     std::vector<Operation> operations;
     std::vector<net::Address> governors;  // the preferred one first
     std::vector<std::string> governor_names;
-    std::vector<xds::TableLine> startup;       // its standing table
-    PickPolicy pick = PickPolicy::LeastOfTwo;  // for the start-up table
+    std::vector<xds::TableLine> startup;                           // its standing table
+    LoadBalancingPolicy pick = LoadBalancingPolicy::LeastRequest;  // for the start-up table
     RetryMode again = RetryMode::OnlyUnprocessed;
     int ejects_after = 5;
     Micros eject_time{}, connect_timeout{}, connection_idle{}, dial_timeout{}, redial_least{},
--- a/src/xds/ads_client.cpp
+++ b/src/xds/ads_client.cpp
@@ -227,13 +227,13 @@
     listed.insert(cluster.name());
     switch (cluster.lb_policy()) {
         case cluster_v3::Cluster::ROUND_ROBIN:
-            table.pick_policy = PickPolicy::RoundRobin;
+            table.pick_policy = LoadBalancingPolicy::RoundRobin;
             break;
         case cluster_v3::Cluster::LEAST_REQUEST:
-            table.pick_policy = PickPolicy::LeastOfTwo;
+            table.pick_policy = LoadBalancingPolicy::LeastRequest;
             break;
         case cluster_v3::Cluster::RANDOM:
-            table.pick_policy = PickPolicy::WeightedRandom;
+            table.pick_policy = LoadBalancingPolicy::WeightedRandom;
             break;
         default:
             return invalid("cluster " + cluster.name() + ": a way of picking that is not known");
--- a/src/xds/ads_client.h
+++ b/src/xds/ads_client.h
@@ -34,7 +34,7 @@
 
 /// A cluster with its endpoint assignment.
 struct ClientTable {
-    PickPolicy pick_policy = PickPolicy::WeightedRandom;
+    LoadBalancingPolicy pick_policy = LoadBalancingPolicy::WeightedRandom;
     /// Consecutive failures after which the proxy itself ejects a server; 0: never.
     int ejection_failures = 0;
     Micros ejection_time{};
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -59,7 +59,7 @@
 
 SnapshotCache::SnapshotCache(const Settings& settings, Micros ejection_time)
     : operations_(settings.operations),
-      pick_policy_(settings.pick_policy),
+      pick_policy_(settings.load_balancing_policy),
       admission_mode_(settings.admission_mode),
       attempt_timeout_factor_(settings.attempt_timeout_factor),
       ejection_failures_(settings.proxy_ejection_failures),
@@ -226,13 +226,13 @@
     out.set_type(envoy::config::cluster::v3::Cluster::EDS);
     set_source_to_ads(out.mutable_eds_cluster_config()->mutable_eds_config());
     switch (pick_policy_) {
-        case PickPolicy::WeightedRandom:
+        case LoadBalancingPolicy::WeightedRandom:
             out.set_lb_policy(envoy::config::cluster::v3::Cluster::RANDOM);
             break;
-        case PickPolicy::RoundRobin:
+        case LoadBalancingPolicy::RoundRobin:
             out.set_lb_policy(envoy::config::cluster::v3::Cluster::ROUND_ROBIN);
             break;
-        case PickPolicy::LeastOfTwo:
+        case LoadBalancingPolicy::LeastRequest:
             out.set_lb_policy(envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
             out.mutable_least_request_lb_config()->mutable_choice_count()->set_value(2);
             break;
--- a/src/xds/snapshot_cache.h
+++ b/src/xds/snapshot_cache.h
@@ -128,7 +128,7 @@
     ResourcePtr make_resource(Type type, std::string name, std::string bytes) const;
 
     std::vector<Operation> operations_;
-    PickPolicy pick_policy_;
+    LoadBalancingPolicy pick_policy_;
     AdmissionMode admission_mode_;
     /// Timeout of one attempt, as a multiple of the operation's latency objective.
     double attempt_timeout_factor_;
--- a/tests/policy/drain_deadline_test.cpp
+++ b/tests/policy/drain_deadline_test.cpp
@@ -25,7 +25,7 @@
 Settings settings_of_a_full_instance(int zones) {
     Settings settings = basic_settings(zones);
     settings.channel_lines_per_second = 2230;
-    settings.message_head_lines = 3;
+    settings.message_header_lines = 3;
     settings.max_queued_lines = 11'200;
     settings.max_messages = 20;
     settings.message_window = 10 * kSecond;
@@ -56,7 +56,7 @@
             }
             connect_proxies(kStart + takeover);
             list_drains();
-            if ((now_ - kStart) % kDecisionTick < kStep) {
+            if ((now_ - kStart) % kDecisionInterval < kStep) {
                 planner_.on_event(now_, event::TimerFired{""});
             }
             channel_.send(now_, planner_.decide(now_));
--- a/tests/policy/endpoint_list_test.cpp
+++ b/tests/policy/endpoint_list_test.cpp
@@ -36,7 +36,7 @@
 // A list that falls back to an old state names most of a live fleet gone. Where only a stated drain
 // binds, servers that answer stay, and those that show failures leave.
 TEST_F(EndpointListTest, VanishedServersStayWhileTheyAnswer) {
-    settings.vanished_may_stay = true;
+    settings.keep_unlisted_servers = true;
     EndpointList list(settings, 1);
     apply(list, UpdateKind::Snapshot, {endpoint(1), endpoint(2)});
     outliers.on_load_report(kStart, load_report(0, 1, 10, 0, kSecond / 50));
@@ -50,7 +50,7 @@
 
 // A stated drain always binds.
 TEST_F(EndpointListTest, AStatedDrainBindsAtOnce) {
-    settings.vanished_may_stay = true;
+    settings.keep_unlisted_servers = true;
     EndpointList list(settings, 1);
     apply(list, UpdateKind::Snapshot, {endpoint(1)});
     apply(list, UpdateKind::Delta, {endpoint(1, ServerState::Draining)});
--- a/tests/policy/send_budget_test.cpp
+++ b/tests/policy/send_budget_test.cpp
@@ -12,7 +12,7 @@
     SendBudgetTest() {
         settings.channel_lines_per_second = 100;
         settings.max_queued_lines = 100;
-        settings.message_head_lines = 1;
+        settings.message_header_lines = 1;
         settings.message_window = 14 * kSecond;
         add_proxy(fleet, 1, 0, 1);
         add_proxy(fleet, 2, 0, 1);
@@ -129,7 +129,7 @@
 
 // A removal cut to single lines costs its message head with each of them.
 TEST_F(SendBudgetTest, APortionIsWorthItsMessageHead) {
-    settings.message_head_lines = 3;
+    settings.message_header_lines = 3;
     const SendBudget budget(settings, kStart);
     EXPECT_EQ(budget.smallest_portion(3, 5), 3U);
     EXPECT_EQ(budget.smallest_portion(20, 5), 8U);
--- a/tests/policy/shard_assignment_test.cpp
+++ b/tests/policy/shard_assignment_test.cpp
@@ -11,7 +11,7 @@
 protected:
     ShardAssignmentTest() {
         settings.exclusive_shards = true;
-        settings.shard_settle_time = 3 * kSecond;
+        settings.shard_handover_delay = 3 * kSecond;
         settings.max_network_delay = kSecond;
         add_server(fleet, 1, 0);
         add_server(fleet, 2, 0);
--- a/tests/policy/simulated_channel.h
+++ b/tests/policy/simulated_channel.h
@@ -20,7 +20,7 @@
     /// \param slowdown  the channel sends so many times slower than the settings say
     SimulatedChannel(const Settings& settings, double slowdown)
         : lines_per_second_(settings.channel_lines_per_second / slowdown),
-          head_lines_(settings.message_head_lines),
+          head_lines_(settings.message_header_lines),
           network_delay_(settings.mean_network_delay) {}
 
     void connect(ProxyId proxy, std::set<ServerId> held_servers) {
--- a/tests/program/core_test.cpp
+++ b/tests/program/core_test.cpp
@@ -109,7 +109,7 @@
     s.operations[0].effect = Effect::Idempotent;
     s.report_interval = 1s;
     s.max_reports_per_second = 10;
-    s.message_head_lines = 3;
+    s.message_header_lines = 3;
     s.channel_lines_per_second = 1000;
     return s;
 }
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -193,7 +193,7 @@
     void site(const Words& w) {
         static const std::map<std::string, double Settings::*> kReals = {
             {"rate", &Settings::channel_lines_per_second},
-            {"head", &Settings::message_head_lines},
+            {"head", &Settings::message_header_lines},
             {"lines", &Settings::max_queued_lines},
             {"from", &Settings::initial_capacity_fraction},
             {"fall", &Settings::overload_collapse_factor}};
@@ -207,11 +207,11 @@
             {"ask", &Settings::endpoints_on_request},
             {"exclusive", &Settings::exclusive_shards},
             {"probe", &Settings::health_checks_allowed},
-            {"stay", &Settings::vanished_may_stay}};
+            {"stay", &Settings::keep_unlisted_servers}};
         static const std::map<std::string, Micros Settings::*> kTimes = {
             {"cold", &Settings::slow_start_window},
             {"grace", &Settings::drain_grace},
-            {"settle", &Settings::shard_settle_time},
+            {"settle", &Settings::shard_handover_delay},
             {"window", &Settings::message_window},
             {"falltime", &Settings::overload_collapse_time},
             {"bare", &Settings::max_time_without_server},
