--- a/src/policy/demand_estimator.cpp
+++ b/src/policy/demand_estimator.cpp
@@ -25,31 +25,31 @@
 
 std::vector<double> measure_demand_shares(Micros now, const FleetState& fleet, int proxy_count) {
     std::vector<double> rates(static_cast<std::size_t>(fleet.zone_count), 0.0);
-    std::vector<double> heard(rates);
-    double heard_rate = 0;
-    double heard_count = 0;
+    std::vector<double> known_count(rates);
+    double known_rate = 0;
+    double total_known_count = 0;
     for (const auto& [id, proxy] : fleet.proxies) {
-        if (!fleet.knows(proxy.zone)) {
+        if (!fleet.has_zone(proxy.zone)) {
             continue;
         }
         const double rate = requested_rate(now, proxy);
         rates[index_of(proxy.zone)] += rate;
-        heard_rate += rate;
-        heard[index_of(proxy.zone)] += 1;
-        heard_count += 1;
+        known_rate += rate;
+        known_count[index_of(proxy.zone)] += 1;
+        total_known_count += 1;
     }
-    const double average_rate = heard_rate > 0 ? heard_rate / heard_count : 1;
-    const double unheard_count = std::max(0.0, proxy_count - heard_count);
+    const double average_rate = known_rate > 0 ? known_rate / total_known_count : 1;
+    const double unknown_count = std::max(0.0, proxy_count - total_known_count);
     const double even_count = static_cast<double>(proxy_count) / fleet.zone_count;
-    double missing_count = 0;
-    for (const double count : heard) {
-        missing_count += std::max(0.0, even_count - count);
+    double total_missing_count = 0;
+    for (const double count : known_count) {
+        total_missing_count += std::max(0.0, even_count - count);
     }
     double total = 0;
     for (std::size_t zone = 0; zone < rates.size(); ++zone) {
-        if (missing_count > 0) {
-            const double missing_here = std::max(0.0, even_count - heard[zone]);
-            rates[zone] += average_rate * unheard_count * missing_here / missing_count;
+        if (total_missing_count > 0) {
+            const double missing_count_here = std::max(0.0, even_count - known_count[zone]);
+            rates[zone] += average_rate * unknown_count * missing_count_here / total_missing_count;
         }
         total += rates[zone];
     }
@@ -65,17 +65,17 @@
                                      bool only_instance) {
     std::vector<Micros> last_connected(shares.size(), Micros::min());
     for (const auto& [id, proxy] : fleet.proxies) {
-        if (fleet.knows(proxy.zone)) {
+        if (fleet.has_zone(proxy.zone)) {
             Micros& last = last_connected[index_of(proxy.zone)];
             last = std::max(last, proxy.connected ? now : proxy.disconnected_at);
         }
     }
-    std::vector<double> own_servers(shares.size(), 0.0);
-    double all_servers = 0;
+    std::vector<double> own_capacity(shares.size(), 0.0);
+    double total_capacity = 0;
     for (const ServerCapacity& server : servers) {
-        if (fleet.knows(server.zone)) {
-            own_servers[index_of(server.zone)] += server.usable;
-            all_servers += server.usable;
+        if (fleet.has_zone(server.zone)) {
+            own_capacity[index_of(server.zone)] += server.usable;
+            total_capacity += server.usable;
         }
     }
     std::vector<double> demand(shares);
@@ -83,8 +83,8 @@
     for (std::size_t zone = 0; zone < demand.size(); ++zone) {
         const bool unreachable = only_instance && last_connected[zone] > Micros::min() &&
                                  last_connected[zone] <= now - kRecomputeInterval;
-        if (unreachable && all_servers > 0) {
-            demand[zone] = std::min(demand[zone], own_servers[zone] / all_servers);
+        if (unreachable && total_capacity > 0) {
+            demand[zone] = std::min(demand[zone], own_capacity[zone] / total_capacity);
         }
         total += demand[zone];
     }
@@ -100,7 +100,7 @@
       next_recompute_(now + kRecomputeInterval) {}
 
 bool DemandEstimator::update(Micros now, const FleetState& fleet) {
-    if (rounds_ == 0) {
+    if (recomputations_ == 0) {
         shares_ = measure(now, fleet);
     }
     if (now < next_recompute_) {
@@ -116,21 +116,21 @@
     for (const auto& [id, server] : fleet.servers) {
         ready += static_cast<double>(server.state == ServerState::Ready);
     }
-    double servers_off = 0;
+    double max_deviation = 0;
     for (std::size_t zone = 0; zone < measured.size(); ++zone) {
-        servers_off = std::max(servers_off, std::abs(measured[zone] - shares_[zone]) * ready);
+        max_deviation = std::max(max_deviation, std::abs(measured[zone] - shares_[zone]) * ready);
     }
-    rounds_off_ = servers_off >= 1 ? rounds_off_ + 1 : 0;
-    if (rounds_off_ >= kHoldDownRounds || rounds_ == 0) {
+    deviating_recomputations_ = max_deviation >= 1 ? deviating_recomputations_ + 1 : 0;
+    if (deviating_recomputations_ >= kHoldDownRecomputations || recomputations_ == 0) {
         adopt(measured);
     }
-    ++rounds_;
+    ++recomputations_;
     next_recompute_ = now + kRecomputeInterval;
 }
 
 void DemandEstimator::adopt(const std::vector<double>& shares) {
     shares_ = shares;
-    rounds_off_ = 0;
+    deviating_recomputations_ = 0;
 }
 
 }  // namespace badgergrade::policy
--- a/src/policy/demand_estimator.h
+++ b/src/policy/demand_estimator.h
@@ -51,16 +51,16 @@
         return measure_demand_shares(now, fleet, proxy_count_);
     }
 
-    bool before_first_round() const { return rounds_ == 0; }
+    bool before_first_recomputation() const { return recomputations_ == 0; }
 
 private:
     void recompute(Micros now, const FleetState& fleet);
 
     int proxy_count_;
     std::vector<double> shares_;
-    int rounds_ = 0;
+    int recomputations_ = 0;
     /// Recomputations in a row with a zone that is a whole server off.
-    int rounds_off_ = 0;
+    int deviating_recomputations_ = 0;
     Micros next_recompute_;
 };
 
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -19,7 +19,7 @@
                          OutlierDetector& outliers) {
     if (update.kind != UpdateKind::Delta) {
         for (auto& [id, server] : fleet.servers) {
-            remove(server);
+            mark_missing(server);
         }
     }
     for (const Endpoint& endpoint : update.endpoints) {
@@ -30,22 +30,22 @@
         }
         const bool same_start = server.started_at == endpoint.started_at;
         if (endpoint.state == ServerState::Ready && !same_start) {
-            outliers.forget(endpoint.server);
+            outliers.reset(endpoint.server);
         }
         if (endpoint.state == ServerState::Gone) {
-            remove(server);
+            mark_missing(server);
             continue;
         }
         server.zone = endpoint.zone;
         server.state = endpoint.state;
         server.weight = equal_weights_ || !(endpoint.weight > 0) ? 1.0 : endpoint.weight;
         server.started_at = endpoint.started_at;
-        server.start_heard_at = same_start ? server.start_heard_at : now;
+        server.start_reported_at = same_start ? server.start_reported_at : now;
         server.unlisted = false;
     }
 }
 
-void EndpointList::remove(Server& server) const {
+void EndpointList::mark_missing(Server& server) const {
     server.unlisted = keep_unlisted_servers_ && server.state == ServerState::Ready;
     if (!server.unlisted) {
         server.state = ServerState::Gone;
--- a/src/policy/endpoint_list.h
+++ b/src/policy/endpoint_list.h
@@ -31,7 +31,7 @@
     void remove_unresponsive(Micros now, FleetState& fleet, const OutlierDetector& outliers) const;
 
 private:
-    void remove(Server& server) const;
+    void mark_missing(Server& server) const;
 
     std::ranlux24_base random_;
     bool equal_weights_;
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -19,7 +19,7 @@
 constexpr Micros kAckTimeout{2'000'000};
 /// A change of mode or of shares must hold for this many recomputations, against flapping (the
 /// design's figure).
-constexpr int kHoldDownRounds = 3;
+constexpr int kHoldDownRecomputations = 3;
 /// Decisions are taken at least this often.
 constexpr Micros kDecisionInterval{250'000};
 /// A server on probation, and one that has just started, carries this part of its weight (the
@@ -43,7 +43,7 @@
     /// 0: long ago.
     Micros started_at{};
     /// When this instance heard of that start.
-    Micros start_heard_at{};
+    Micros start_reported_at{};
     /// Missing from the endpoint list without a stated drain, and still in use.
     bool unlisted = false;
     /// A uniform draw in [0, 1) that chooses the server's subset.
@@ -101,7 +101,7 @@
     std::map<ProxyId, Proxy> proxies;
     std::map<TableId, Table> tables;
 
-    bool knows(ZoneId zone) const { return zone.value >= 0 && zone.value < zone_count; }
+    bool has_zone(ZoneId zone) const { return zone.value >= 0 && zone.value < zone_count; }
 
     bool is_ready(ServerId id) const {
         const auto found = servers.find(id);
@@ -117,7 +117,7 @@
     TableId local_only_table(ZoneId zone) const { return {zone_count + 1 + zone.value}; }
 
     /// The table of the highest number that is not a subset.
-    TableId last_whole_table() const { return {2 * zone_count}; }
+    TableId last_base_table() const { return {2 * zone_count}; }
 
     TableId subset_table(ZoneId zone, int subset, bool local_only) const {
         const int index = zone.value * kMaxSubsets + subset;
--- a/src/policy/interim_tables.cpp
+++ b/src/policy/interim_tables.cpp
@@ -9,10 +9,10 @@
 namespace badgergrade::policy {
 namespace {
 
-/// Of the drain grace: how long the channel may be busy with whole tables of waiting proxies.
-constexpr double kWaitingGraceFraction = 0.25;
+/// Of the drain grace: how long the channel may be busy with base tables of pending proxies.
+constexpr double kPendingGraceFraction = 0.25;
 /// An interim table with fewer servers left is filled anew.
-constexpr std::size_t kMinServersLeft = 3;
+constexpr std::size_t kMinRemainingServers = 3;
 
 using Weights = std::map<ServerId, double>;
 
@@ -27,17 +27,18 @@
     return warm;
 }
 
-Weights part_of(const Weights& warm, std::size_t part, std::size_t count, const FleetState& fleet) {
+Weights part_weights(const Weights& warm, std::size_t part, std::size_t count,
+                     const FleetState& fleet) {
     Weights weights;
     for (const auto& [id, weight] : warm) {
         if (subset_of(fleet.servers.at(id).subset_hash, static_cast<int>(count)) == part) {
             weights[id] = weight;
         }
     }
-    return weights.size() < kMinServersLeft ? warm : weights;
+    return weights.size() < kMinRemainingServers ? warm : weights;
 }
 
-bool any_server_left(const FleetState& fleet) {
+bool any_server_unavailable(const FleetState& fleet) {
     return std::ranges::any_of(
         fleet.servers, [](const auto& entry) { return entry.second.state != ServerState::Ready; });
 }
@@ -50,12 +51,12 @@
 }  // namespace
 
 InterimTables::InterimTables(const Settings& settings)
-    : head_lines_(settings.message_header_lines),
-      max_waiting_lines_(lines_in_grace(settings, kWaitingGraceFraction)) {}
+    : header_lines_(settings.message_header_lines),
+      max_pending_lines_(lines_in_grace(settings, kPendingGraceFraction)) {}
 
 double InterimTables::assignment_lines(const Assignment& assignment,
                                        const FleetState& fleet) const {
-    double lines = head_lines_ + 1;
+    double lines = header_lines_ + 1;
     for (const auto& [operations, id] : assignment) {
         const auto table = fleet.tables.find(id);
         lines += 1 + (table == fleet.tables.end()
@@ -65,21 +66,21 @@
     return lines;
 }
 
-void InterimTables::update(Micros now, const std::vector<Assignment>& waiting, FleetState& fleet,
+void InterimTables::update(Micros now, const std::vector<Assignment>& pending, FleetState& fleet,
                            const SlowStart& slow_start) {
-    const double lines = std::accumulate(waiting.begin(), waiting.end(), 0.0,
+    const double lines = std::accumulate(pending.begin(), pending.end(), 0.0,
                                          [&](double total, const Assignment& assignment) {
                                              return total + assignment_lines(assignment, fleet);
                                          });
-    in_use_ = lines > max_waiting_lines_ && any_server_left(fleet);
-    if (in_use_) {
-        split_tables_of(now, waiting, fleet, slow_start);
+    active_ = lines > max_pending_lines_ && any_server_unavailable(fleet);
+    if (active_) {
+        split_pending_tables(now, pending, fleet, slow_start);
     }
     if (split_tables_.empty()) {
         return;
     }
     count_users(fleet);
-    if (!in_use_) {
+    if (!active_) {
         release_unused(fleet);
     }
     for (auto& [id, parts] : split_tables_) {
@@ -87,9 +88,9 @@
     }
 }
 
-void InterimTables::split_tables_of(Micros now, const std::vector<Assignment>& waiting,
-                                    FleetState& fleet, const SlowStart& slow_start) {
-    for (const Assignment& assignment : waiting) {
+void InterimTables::split_pending_tables(Micros now, const std::vector<Assignment>& pending,
+                                         FleetState& fleet, const SlowStart& slow_start) {
+    for (const Assignment& assignment : pending) {
         for (const auto& [operations, id] : assignment) {
             if (!split_tables_.contains(id)) {
                 split(now, id, fleet, slow_start);
@@ -111,7 +112,7 @@
 // The publisher removes what a table without users still names: that costs the channel nothing.
 void InterimTables::release_unused(FleetState& fleet) {
     std::erase_if(split_tables_, [&](const auto& entry) {
-        const Parts& parts = entry.second;
+        const Split& parts = entry.second;
         if (std::ranges::any_of(parts.users, [](int users) { return users > 0; })) {
             return false;
         }
@@ -123,10 +124,10 @@
 }
 
 // A table whose servers have all gone is left to the publisher, which keeps what is still ready.
-void InterimTables::update_parts(Micros now, TableId id, Parts& parts, FleetState& fleet,
+void InterimTables::update_parts(Micros now, TableId id, Split& parts, FleetState& fleet,
                                  const SlowStart& slow_start) {
-    const Table& whole = fleet.tables[id];
-    const Weights warm = warm_weights(now, whole, fleet, slow_start);
+    const Table& base = fleet.tables[id];
+    const Weights warm = warm_weights(now, base, fleet, slow_start);
     for (std::size_t part = 0; part < parts.tables.size(); ++part) {
         Table& table = fleet.tables[parts.tables[part]];
         Weights kept;
@@ -136,9 +137,10 @@
                 kept.insert(*found);
             }
         }
-        table.desired_weights =
-            kept.size() < kMinServersLeft ? part_of(warm, part, parts.tables.size(), fleet) : kept;
-        table.desired_limits = whole.desired_limits;
+        table.desired_weights = kept.size() < kMinRemainingServers
+                                    ? part_weights(warm, part, parts.tables.size(), fleet)
+                                    : kept;
+        table.desired_limits = base.desired_limits;
         parts.weight[part] = sum(table.desired_weights);
     }
 }
@@ -153,7 +155,7 @@
     if (warm.empty()) {
         return;
     }
-    Parts parts;
+    Split parts;
     for (std::size_t part = 0; part < std::max<std::size_t>(1, count); ++part) {
         parts.tables.push_back(fleet.interim_table(id, static_cast<int>(part)));
         parts.users.push_back(0);
@@ -166,7 +168,7 @@
 InterimTables::Assignment InterimTables::first_assignment(const Proxy& proxy,
                                                           const Assignment& desired) const {
     Assignment first = desired;
-    if (!in_use_) {
+    if (!active_) {
         return first;
     }
     for (auto& [operations, id] : first) {
@@ -174,7 +176,7 @@
         if (found == split_tables_.end()) {
             continue;
         }
-        const Parts& parts = found->second;
+        const Split& parts = found->second;
         if (const auto best = least_loaded(parts.rate, parts.weight, proxy.announced_rate, 0)) {
             id = parts.tables[*best];
         }
@@ -184,7 +186,7 @@
 
 void InterimTables::on_assigned(const Proxy& proxy) {
     for (const auto& [operations, id] : proxy.assigned_tables) {
-        for (auto& [whole, parts] : split_tables_) {
+        for (auto& [base, parts] : split_tables_) {
             const auto found = std::ranges::find(parts.tables, id);
             if (found == parts.tables.end()) {
                 continue;
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -16,23 +16,23 @@
 constexpr double kDegradedFailedFraction = 0.05;
 constexpr double kDegradedLatencyFactor = 0.5;
 /// Failures beside answers past this part of the objective are an overload of that server ...
-constexpr double kLoadedLatencyFactor = 0.75;
+constexpr double kOverloadedLatencyFactor = 0.75;
 /// ... unless nearly all attempts fail.
 constexpr double kNearlyAllFailed = 0.9;
 /// Past this failed fraction a server answers nothing.
-constexpr double kDeadFailedFraction = 0.98;
-/// A crawling server takes this many times as long as the median server.
-constexpr double kCrawlingFactor = 4;
+constexpr double kUnresponsiveFailedFraction = 0.98;
+/// A slow server takes this many times as long as the median server.
+constexpr double kSlowLatencyFactor = 4;
 /// Which part of a zone's servers may be ejected: failing ones, ones that fail nearly all, and
-/// crawling ones. At size the weakest of a loaded zone crawl too, and ejecting them tips it.
+/// slow ones. At size the weakest of a loaded zone crawl too, and ejecting them tips it.
 constexpr double kMaxEjectedFailing = 0.34;
 constexpr double kMaxEjectedNearlyAllFailed = 0.5;
-constexpr double kMaxEjectedCrawling = 0.1;
+constexpr double kMaxEjectedSlow = 0.1;
 /// The longest ejection: a mended server is not kept out for much longer than it was faulty.
 constexpr Micros kMaxEjectionTime{24'000'000};
 constexpr Micros kProbationTime{5'000'000};
 /// A healthy server with this many attempts earns a shorter next ejection.
-constexpr double kTrustedAttempts = 4 * kMinAttempts;
+constexpr double kMinAttemptsToShortenEjection = 4 * kMinAttempts;
 /// The overload score of a busy server whose answers are late without failing.
 constexpr double kLateOverloadScore = 0.3;
 /// Fewer servers say nothing of a zone.
@@ -42,14 +42,14 @@
     return state.state == EjectionState::Probation ? kMinProbationAttempts : kMinAttempts;
 }
 
-/// How many of a zone's `members` may be ejected together with such a server. One crawling server
+/// How many of a zone's `members` may be ejected together with such a server. One slow server
 /// may always be, however small the zone.
-double max_ejected(bool crawling, const AttemptStats& stats, int members) {
-    if (crawling) {
-        return std::max(1.0, kMaxEjectedCrawling * members);
+double max_ejected(bool slow, const AttemptStats& stats, int considered) {
+    if (slow) {
+        return std::max(1.0, kMaxEjectedSlow * considered);
     }
     const bool nearly_all_failed = stats.failed_fraction() >= kNearlyAllFailed;
-    return (nearly_all_failed ? kMaxEjectedNearlyAllFailed : kMaxEjectedFailing) * members;
+    return (nearly_all_failed ? kMaxEjectedNearlyAllFailed : kMaxEjectedFailing) * considered;
 }
 
 void eject(Micros now, OutlierState& state) {
@@ -94,7 +94,7 @@
     states_[{report.zone, report.server}].attempts.bucket(now, kBucketWidth) += stats;
 }
 
-void OutlierDetector::forget(ServerId server) {
+void OutlierDetector::reset(ServerId server) {
     for (ZoneId zone{0}; zone.value < zone_count_; ++zone.value) {
         states_.erase({zone, server});
     }
@@ -130,7 +130,7 @@
     return found != states_.end() && found->second.state == EjectionState::Probation;
 }
 
-int OutlierDetector::ejecting_zones(ServerId server) const {
+int OutlierDetector::ejecting_zone_count(ServerId server) const {
     int count = 0;
     for (ZoneId zone{0}; zone.value < zone_count_; ++zone.value) {
         count += static_cast<int>(is_ejected(zone, server));
@@ -139,17 +139,17 @@
 }
 
 std::vector<EjectionChange> OutlierDetector::evaluate(Micros now, const FleetState& fleet,
-                                                      const AttemptStats& everywhere) {
+                                                      const AttemptStats& fleet_total) {
     std::vector<EjectionChange> changes;
     for (ZoneId zone{0}; zone.value < zone_count_; ++zone.value) {
         ZoneObservation observed = observe(now, zone, fleet);
-        health_[index_of(zone)] = health_of(observed);
+        health_[index_of(zone)] = zone_health(observed);
         AttemptStats other_zones;
-        other_zones.attempts = everywhere.attempts - observed.total.attempts;
-        other_zones.failures = everywhere.failures - observed.total.failures;
-        observed.zone_dead = observed.dead * 4 >= observed.members * 3 &&
-                             other_zones.attempts > kMinAttempts &&
-                             other_zones.failed_fraction() < kFailingFraction;
+        other_zones.attempts = fleet_total.attempts - observed.total.attempts;
+        other_zones.failures = fleet_total.failures - observed.total.failures;
+        observed.zone_unresponsive = observed.unresponsive * 4 >= observed.considered * 3 &&
+                                     other_zones.attempts > kMinAttempts &&
+                                     other_zones.failed_fraction() < kFailingFraction;
         for (const ServerStats& server : observed.servers) {
             evaluate_server(now, server, observed, changes);
         }
@@ -173,7 +173,7 @@
         }
         const AttemptStats stats = state.attempts.sum(now, kBucketWidth, kDecisionBuckets);
         const bool healthy = state.state == EjectionState::Healthy;
-        observed.members += static_cast<int>(!healthy || stats.attempts > 0);
+        observed.considered += static_cast<int>(!healthy || stats.attempts > 0);
         observed.ejected += static_cast<int>(state.state == EjectionState::Ejected);
         observed.servers.push_back({server, stats});
         observed.total += stats;
@@ -184,13 +184,14 @@
         if (stats.mean_latency_seconds() > 0) {
             latencies.push_back(stats.mean_latency_seconds());
         }
-        observed.dead += static_cast<int>(stats.failed_fraction() >= kDeadFailedFraction);
+        observed.unresponsive +=
+            static_cast<int>(stats.failed_fraction() >= kUnresponsiveFailedFraction);
         if (healthy) {
-            overloads.push_back(overload_of(now, state));
+            overloads.push_back(overload_score_of(now, state));
         }
     }
-    observed.usual_failed_fraction = median(failed_fractions);
-    observed.usual_latency_seconds = median(latencies);
+    observed.median_failed_fraction = median(failed_fractions);
+    observed.median_latency_seconds = median(latencies);
     observed.overload_score = overloads.size() < kMinOverloadServers ? 0 : median(overloads);
     return observed;
 }
@@ -198,7 +199,7 @@
 // Failures beside idle CPUs are lost answers, refused connections or a lossy network, which
 // admitting less does not mend. The newest seconds decide, so that the score falls soon after the
 // overload does.
-double OutlierDetector::overload_of(Micros now, const OutlierState& state) const {
+double OutlierDetector::overload_score_of(Micros now, const OutlierState& state) const {
     const AttemptStats newest = state.attempts.sum(now, kBucketWidth, kDecisionBuckets - 1);
     if (!newest.busy()) {
         return 0;
@@ -207,7 +208,7 @@
     return std::max(newest.failed_fraction(), late ? kLateOverloadScore : 0);
 }
 
-ZoneHealth OutlierDetector::health_of(const ZoneObservation& zone) const {
+ZoneHealth OutlierDetector::zone_health(const ZoneObservation& zone) const {
     ZoneHealth health;
     health.overload_score = zone.overload_score;
     const bool degraded =
@@ -217,7 +218,7 @@
         health.condition = degraded ? ZoneCondition::Degraded : ZoneCondition::Healthy;
     }
     health.refusing_connections =
-        zone.usual_failed_fraction >= kFailingFraction && !zone.total.busy();
+        zone.median_failed_fraction >= kFailingFraction && !zone.total.busy();
     return health;
 }
 
@@ -225,22 +226,22 @@
                                  const ZoneObservation& zone) const {
     const double failed = stats.failed_fraction();
     const bool overloaded =
-        stats.mean_latency_seconds() > kLoadedLatencyFactor * objective_seconds_ &&
+        stats.mean_latency_seconds() > kOverloadedLatencyFactor * objective_seconds_ &&
         failed < kNearlyAllFailed;
     if (stats.attempts < min_attempts(state) || stats.failures < kMinFailures ||
         !(failed >= kFailingFraction) || overloaded) {
         return false;
     }
-    return failed >= kFailingFactor * zone.usual_failed_fraction ||
-           (zone.zone_dead && failed >= kDeadFailedFraction);
+    return failed >= kFailingFactor * zone.median_failed_fraction ||
+           (zone.zone_unresponsive && failed >= kUnresponsiveFailedFraction);
 }
 
-bool OutlierDetector::is_crawling(const OutlierState& state, const AttemptStats& stats,
-                                  const ZoneObservation& zone) const {
+bool OutlierDetector::is_slow(const OutlierState& state, const AttemptStats& stats,
+                              const ZoneObservation& zone) const {
     return stats.attempts - stats.failures >= min_attempts(state) &&
-           zone.usual_latency_seconds > 0 &&
+           zone.median_latency_seconds > 0 &&
            stats.mean_latency_seconds() >=
-               std::max(kCrawlingFactor * zone.usual_latency_seconds, objective_seconds_);
+               std::max(kSlowLatencyFactor * zone.median_latency_seconds, objective_seconds_);
 }
 
 void OutlierDetector::evaluate_server(Micros now, const ServerStats& server, ZoneObservation& zone,
@@ -254,19 +255,20 @@
         return;
     }
     const bool failing = is_failing(state, stats, zone);
-    const bool crawling = !failing && is_crawling(state, stats, zone);
-    if (failing || crawling) {
-        const double allowed = max_ejected(crawling, stats, zone.members);
-        if (!zone.zone_dead && zone.ejected + 1 > allowed) {
+    const bool slow = !failing && is_slow(state, stats, zone);
+    if (failing || slow) {
+        const double allowed = max_ejected(slow, stats, zone.considered);
+        if (!zone.zone_unresponsive && zone.ejected + 1 > allowed) {
             return;
         }
         eject(now, state);
         ++zone.ejected;
-        changes.push_back({zone.zone, server.server, true, stats, zone.usual_latency_seconds});
+        changes.push_back({zone.zone, server.server, true, stats, zone.median_latency_seconds});
     } else if (state.state == EjectionState::Probation && now >= state.until) {
         state.state = EjectionState::Healthy;
-        changes.push_back({zone.zone, server.server, false, stats, zone.usual_latency_seconds});
-    } else if (state.state == EjectionState::Healthy && stats.attempts >= kTrustedAttempts) {
+        changes.push_back({zone.zone, server.server, false, stats, zone.median_latency_seconds});
+    } else if (state.state == EjectionState::Healthy &&
+               stats.attempts >= kMinAttemptsToShortenEjection) {
         state.ejection_time = std::max(kFirstEjectionTime, state.ejection_time - kDecisionInterval);
     }
 }
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -10,7 +10,7 @@
 //     objective.
 // Failures beside long answers are an overload of that server: ejecting it tips the next one.
 // After the ejection time (6 s at first) the server is on probation for 5 s: it is in the zone's
-// tables again, at a quarter of its weight. Failing or crawling again ejects it for twice as long,
+// tables again, at a quarter of its weight. Failing or slow again ejects it for twice as long,
 // 24 s at most. The ejection time falls again while a healthy server gets attempts.
 //
 // The full table follows its own rule: it drops a server that half of the zones have ejected
@@ -78,7 +78,7 @@
     /// What the zone's proxies met at the server.
     AttemptStats stats;
     /// Mean latency of the zone's median server.
-    double usual_latency_seconds;
+    double median_latency_seconds;
 };
 
 class OutlierDetector {
@@ -91,7 +91,7 @@
     void on_load_report(Micros now, const event::ServerLoadReport& report);
     /// The server has started anew: what was met before does not count, and its ejections and
     /// probations in all zones end.
-    void forget(ServerId server);
+    void reset(ServerId server);
 
     /// Sum over all zones and ready servers.
     AttemptStats fleet_stats(Micros now, const FleetState& fleet) const;
@@ -99,16 +99,16 @@
     AttemptStats server_stats(Micros now, ServerId server, int newest_buckets) const;
 
     /// Takes the decisions of this moment, in the order of zones and servers.
-    /// `everywhere`: fleet_stats() of this moment. Call it once a decision: the ejection time of
+    /// `fleet_total`: fleet_stats() of this moment. Call it once a decision: the ejection time of
     /// healthy servers falls by kDecisionInterval with each call. A server that is not ready is
     /// left out, and its ejection or probation goes on until it is ready again.
     std::vector<EjectionChange> evaluate(Micros now, const FleetState& fleet,
-                                         const AttemptStats& everywhere);
+                                         const AttemptStats& fleet_total);
 
     bool is_ejected(ZoneId zone, ServerId server) const;
     bool is_on_probation(ZoneId zone, ServerId server) const;
     /// By how many zones the server is ejected.
-    int ejecting_zones(ServerId server) const;
+    int ejecting_zone_count(ServerId server) const;
 
     const ZoneHealth& health(ZoneId zone) const { return health_[index_of(zone)]; }
 
@@ -126,25 +126,25 @@
         std::vector<ServerStats> servers;
         AttemptStats total;
         /// Servers that were tried or are not in the state Healthy.
-        int members = 0;
+        int considered = 0;
         int ejected = 0;
         /// Servers that answer nothing.
-        int dead = 0;
+        int unresponsive = 0;
         /// Of the zone's median server.
-        double usual_failed_fraction = 0;
-        double usual_latency_seconds = 0;
+        double median_failed_fraction = 0;
+        double median_latency_seconds = 0;
         double overload_score = 0;
         /// Three quarters answer nothing while the other zones answer.
-        bool zone_dead = false;
+        bool zone_unresponsive = false;
     };
 
     ZoneObservation observe(Micros now, ZoneId zone, const FleetState& fleet) const;
-    double overload_of(Micros now, const OutlierState& state) const;
-    ZoneHealth health_of(const ZoneObservation& zone) const;
+    double overload_score_of(Micros now, const OutlierState& state) const;
+    ZoneHealth zone_health(const ZoneObservation& zone) const;
     bool is_failing(const OutlierState& state, const AttemptStats& stats,
                     const ZoneObservation& zone) const;
-    bool is_crawling(const OutlierState& state, const AttemptStats& stats,
-                     const ZoneObservation& zone) const;
+    bool is_slow(const OutlierState& state, const AttemptStats& stats,
+                 const ZoneObservation& zone) const;
     void evaluate_server(Micros now, const ServerStats& server, ZoneObservation& zone,
                          std::vector<EjectionChange>& changes);
 
--- a/src/policy/overload_control.cpp
+++ b/src/policy/overload_control.cpp
@@ -55,9 +55,9 @@
     double remaining = admitted_fraction * std::accumulate(rates.begin(), rates.end(), 0.0);
     std::sort(rates.begin(), rates.end());
     for (std::size_t k = 0; k < rates.size(); ++k) {
-        const double even_part = remaining / static_cast<double>(rates.size() - k);
-        if (even_part <= rates[k]) {
-            return std::max(kMinRate, std::round(even_part * kRateSteps) / kRateSteps);
+        const double equal_share = remaining / static_cast<double>(rates.size() - k);
+        if (equal_share <= rates[k]) {
+            return std::max(kMinRate, std::round(equal_share * kRateSteps) / kRateSteps);
         }
         remaining -= rates[k];
     }
@@ -67,21 +67,21 @@
 OverloadControl::OverloadControl(const Settings& settings)
     : admission_mode_(settings.admission_mode),
       shed_fractions_(static_cast<std::size_t>(settings.zone_count), 0.0) {
-    std::vector<double> worth;
+    std::vector<double> value_per_work;
     for (const Operation& operation : settings.operations) {
         const OperationId id{static_cast<int>(work_seconds_.size())};
         const double work = std::max(kMinWorkSeconds, to_seconds(operation.latency_objective));
         work_seconds_.push_back(work);
-        worth.push_back(operation.priority_weight / work);
+        value_per_work.push_back(operation.priority_weight / work);
         shed_order_.push_back(id);
     }
-    const auto worth_less = [&](OperationId a, OperationId b) {
-        return worth[index_of(a)] < worth[index_of(b)];
+    const auto has_lower_value = [&](OperationId a, OperationId b) {
+        return value_per_work[index_of(a)] < value_per_work[index_of(b)];
     };
-    std::stable_sort(shed_order_.begin(), shed_order_.end(), worth_less);
+    std::stable_sort(shed_order_.begin(), shed_order_.end(), has_lower_value);
 }
 
-bool OverloadControl::sheds() const {
+bool OverloadControl::is_shedding() const {
     return std::ranges::any_of(shed_fractions_, [](double fraction) { return fraction > 0; });
 }
 
@@ -121,9 +121,11 @@
         }
         // The warming server of a zone that was just lost would meet the whole zone's calls.
         const double wanted_weight = std::max(1e-9, demand_shares[index_of(zone)] * total_weight);
-        const double bearable = std::min(1.0, kWarmingHeadroom * zone_weight / wanted_weight);
+        const double local_only_fraction =
+            std::min(1.0, kWarmingHeadroom * zone_weight / wanted_weight);
         set_limits(fleet, demand,
-                   {fleet.local_only_table(zone), operations.local_only, shed_fraction, bearable});
+                   {fleet.local_only_table(zone), operations.local_only, shed_fraction,
+                    local_only_fraction});
     }
 }
 
@@ -132,7 +134,7 @@
     double total = 0;
     double count = 0;
     for (const auto& [id, proxy] : fleet.proxies) {
-        if (proxy.connected && fleet.knows(proxy.zone)) {
+        if (proxy.connected && fleet.has_zone(proxy.zone)) {
             total += shed_fractions_[index_of(proxy.zone)];
             count += 1;
         }
--- a/src/policy/overload_control.h
+++ b/src/policy/overload_control.h
@@ -8,7 +8,7 @@
 // An overload shows in a zone's median server, whatever its cause; single bad servers do not move
 // it. While the score is high the shed fraction of the zone rises every second, by less the higher
 // it is; under a low score it falls. What is shed is a part of the work asked for (rate x latency
-// objective). The operation that is worth least for its work is shed first.
+// objective). The operation that is value_per_work least for its work is shed first.
 //
 // The rates are those of the connected proxies' demand reports over the last 6.4 s
 // (kDemandBuckets). A zone's table has the shed fraction of that zone; the full table has the mean
@@ -49,7 +49,7 @@
                 const SlowStart& slow_start, const std::vector<double>& demand_shares);
 
     /// Whether any zone's shed fraction is above 0.
-    bool sheds() const;
+    bool is_shedding() const;
 
 private:
     struct Demand;
--- a/src/policy/planner.cpp
+++ b/src/policy/planner.cpp
@@ -49,7 +49,7 @@
     return static_cast<std::size_t>(std::ranges::find(names, "cpu") - names.begin());
 }
 
-std::string whole(double value) {
+std::string rounded(double value) {
     return std::to_string(std::lround(value));
 }
 
@@ -61,10 +61,10 @@
     }
     constexpr double kMillisecondsPerSecond = 1e3;
     const AttemptStats& stats = change.stats;
-    return server + " out of " + zone + ": errored " + whole(stats.failures) + " of " +
-           whole(stats.attempts) + " tries, answers take " +
-           whole(stats.mean_latency_seconds() * kMillisecondsPerSecond) + " ms, usual " +
-           whole(change.usual_latency_seconds * kMillisecondsPerSecond);
+    return server + " out of " + zone + ": errored " + rounded(stats.failures) + " of " +
+           rounded(stats.attempts) + " tries, answers take " +
+           rounded(stats.mean_latency_seconds() * kMillisecondsPerSecond) + " ms, usual " +
+           rounded(change.median_latency_seconds * kMillisecondsPerSecond);
 }
 
 std::string log_text(const SubsetCountChange& change) {
@@ -141,7 +141,7 @@
     }
 
     void on(Micros now, const event::ServerLoadReport& report) {
-        if (fleet_.servers.contains(report.server) && fleet_.knows(report.zone)) {
+        if (fleet_.servers.contains(report.server) && fleet_.has_zone(report.zone)) {
             outliers_.on_load_report(now, report);
         }
     }
@@ -187,7 +187,7 @@
 private:
     void decide_tables(Micros now) {
         if (demand_.update(now, fleet_)) {
-            tables_.on_round();
+            tables_.on_demand_recomputed();
         }
         endpoints_.remove_unresponsive(now, fleet_, outliers_);
         detect_outliers(now);
@@ -206,7 +206,7 @@
         for (const EjectionChange& change : outliers_.evaluate(now, fleet_, stats)) {
             log(log_text(change));
         }
-        slow_start_.update_expected_overload(now, stats, overload_.sheds(), fleet_);
+        slow_start_.update_expected_overload(now, stats, overload_.is_shedding(), fleet_);
     }
 
     void log(std::string text) { commands_.emplace_back(command::LogMessage{std::move(text)}); }
--- a/src/policy/publisher.cpp
+++ b/src/policy/publisher.cpp
@@ -43,17 +43,17 @@
 TableDifference table_difference(TableId id, const Table& table, const FleetState& fleet,
                                  const OutlierDetector& outliers) {
     TableDifference difference;
-    std::vector<Command> lost;
+    std::vector<Command> urgent;
     std::vector<Command> added;
-    std::vector<Command> moved;
-    bool keeps_a_server = false;
+    std::vector<Command> reassigned;
+    bool keeps_any_server = false;
     for (const auto& [server, weight] : table.published_weights) {
         if (table.desired_weights.contains(server)) {
-            keeps_a_server = true;
+            keeps_any_server = true;
         } else if (!fleet.is_ready(server)) {
-            lost.emplace_back(command::SetWeight{id, server, 0});
+            urgent.emplace_back(command::SetWeight{id, server, 0});
         } else {
-            (outliers.ejecting_zones(server) > 0 ? added : moved)
+            (outliers.ejecting_zone_count(server) > 0 ? added : reassigned)
                 .emplace_back(command::SetWeight{id, server, 0});
             difference.has_removals = true;
         }
@@ -64,20 +64,20 @@
         if (is_published && std::abs(published->second - weight) < kWeightTolerance) {
             continue;
         }
-        const bool too_heavy = is_published && weight < published->second;
-        (too_heavy ? lost : added).emplace_back(command::SetWeight{id, server, weight});
+        const bool weight_reduced = is_published && weight < published->second;
+        (weight_reduced ? urgent : added).emplace_back(command::SetWeight{id, server, weight});
     }
     add_changed_limits(id, table, added);
-    difference.urgent_count = lost.size();
+    difference.urgent_count = urgent.size();
     // A table that loses all it has gets newcomers before it is emptied.
-    if (!lost.empty() && !keeps_a_server) {
+    if (!urgent.empty() && !keeps_any_server) {
         difference.urgent_count += added.size();
     }
-    if (!keeps_a_server) {
-        lost.swap(added);
+    if (!keeps_any_server) {
+        urgent.swap(added);
     }
-    difference.lines = std::move(lost);
-    for (const auto* rest : {&added, &moved}) {
+    difference.lines = std::move(urgent);
+    for (const auto* rest : {&added, &reassigned}) {
         difference.lines.insert(difference.lines.end(), rest->begin(), rest->end());
     }
     return difference;
@@ -91,7 +91,7 @@
         return operations == fleet.operations.all ? 0 : operations;
     };
     std::map<OperationMask, TableId> desired;
-    const bool zone_known = fleet.knows(proxy.zone);
+    const bool zone_known = fleet.has_zone(proxy.zone);
     const auto zone_table = fleet.tables.find(FleetState::zone_table(proxy.zone));
     const bool use_full_table = full_table_mode || !zone_known ||
                                 zone_table == fleet.tables.end() ||
@@ -132,10 +132,10 @@
                            : Micros{0}) {}
 
 std::vector<Command> Publisher::publish(Micros now, bool full_table_mode) {
-    budget_.begin(now);
-    const auto waiting = waiting_assignments(full_table_mode);
-    assignments_wait_ = !waiting.empty();
-    interim_tables_.update(now, waiting, fleet_, slow_start_);
+    budget_.begin_batch(now);
+    const auto pending = pending_first_assignments(full_table_mode);
+    has_pending_assignments_ = !pending.empty();
+    interim_tables_.update(now, pending, fleet_, slow_start_);
     TableUsers users = users_of_tables();
     for (auto& [id, table] : fleet_.tables) {
         publish_table(now, id, table, users[id], Priority::Urgent);
@@ -146,7 +146,7 @@
     for (auto& [id, table] : fleet_.tables) {
         publish_table(now, id, table, users[id], Priority::Deferrable);
     }
-    if (budget_.commit(now, fleet_.proxies)) {
+    if (budget_.commit_batch(now, fleet_.proxies)) {
         commands_.emplace_back(command::RequestAck{{budget_.version()}, false});
     }
     return std::exchange(commands_, {});
@@ -166,7 +166,7 @@
 
 void Publisher::publish_table(Micros now, TableId id, Table& table,
                               const std::vector<ProxyId>& users, Priority priority) {
-    // The users of a table that is given up can't be assigned elsewhere yet: only lost servers
+    // The users of a table that is given up can't be assigned elsewhere yet: only urgent servers
     // leave it.
     if (table.desired_weights.empty() && !users.empty()) {
         for (const auto& [server, weight] : table.published_weights) {
@@ -192,7 +192,7 @@
     table.version = budget_.next_version();
 }
 
-// Removals go at once and newcomers with them, but only what is lost may use the reserve, merged
+// Removals go at once and newcomers with them, but only what is urgent may use the reserve, merged
 // so that messages last: ejections would use up what drains need. Nor do they go before the first
 // assignments: a proxy that waits for its tables may hold servers that drain.
 std::size_t Publisher::sendable_lines(Micros now, const Table& table,
@@ -207,12 +207,12 @@
     if (urgent && now - table.published_at >= urgent_interval_) {
         count = std::min(difference.urgent_count,
                          budget_.lines_available(now, fleet_.proxies, users, Priority::Urgent));
-        if (count < budget_.smallest_portion(difference.urgent_count, users.size())) {
+        if (count < budget_.min_partial_lines(difference.urgent_count, users.size())) {
             count = 0;
         }
     }
     const bool removes_servers = difference.urgent_count > 0 || difference.has_removals;
-    const bool send_all = urgent ? removes_servers && !assignments_wait_
+    const bool send_all = urgent ? removes_servers && !has_pending_assignments_
                                  : removes_servers || is_acknowledged(now, table, users);
     if (send_all) {
         const std::size_t available =
@@ -230,14 +230,15 @@
            });
 }
 
-std::vector<InterimTables::Assignment> Publisher::waiting_assignments(bool full_table_mode) const {
-    std::vector<InterimTables::Assignment> waiting;
+std::vector<InterimTables::Assignment> Publisher::pending_first_assignments(
+    bool full_table_mode) const {
+    std::vector<InterimTables::Assignment> pending;
     for (const auto& [id, proxy] : fleet_.proxies) {
         if (proxy.connected && proxy.assigned_tables.empty()) {
-            waiting.push_back(desired_tables(proxy, fleet_, full_table_mode, subsetting_));
+            pending.push_back(desired_tables(proxy, fleet_, full_table_mode, subsetting_));
         }
     }
-    return waiting;
+    return pending;
 }
 
 // A proxy without any table may hold lines that drain; one that changes tables can wait.
--- a/src/policy/publisher.h
+++ b/src/policy/publisher.h
@@ -4,14 +4,15 @@
 // Inputs: the tables and proxies, ejections, the mode, subsets, and the send budget. Outputs:
 // commands in the order in which they must be carried out.
 //
-// Order of a table's lines: servers that are lost, or too heavy; newcomers and admission limits;
-// last what moved to another table, so that a part of the difference leaves the table usable.
+// Order of a table's lines: servers that are urgent, or too heavy; newcomers and admission limits;
+// last what reassigned to another table, so that a part of the difference leaves the table usable.
 // Removals go at once; all else is merged until the table's users have acknowledged its last change
 // or the acknowledgement timeout has passed. Order of a batch: tables that nobody uses, so that an
-// assignment finds its table whole; then lost servers; first assignments; changes of assignments;
-// the rest. Where no proxy waits for its first assignment, what moved goes with the lost servers.
+// assignment finds its table whole; then urgent servers; first assignments; changes of assignments;
+// the rest. Where no proxy waits for its first assignment, what reassigned goes with the urgent
+// servers.
 //
-// A server that drains or is gone is a lost server: it is removed with the decision after the
+// A server that drains or is gone is a urgent server: it is removed with the decision after the
 // list named it so. Its removal is delayed, or cut to a portion worth its message head, while
 // - one user of the table has used up its message allowance: no user is sent the table's change;
 // - the estimated queue is over 95% of its limit;
@@ -45,7 +46,7 @@
 /// A table's difference, the most urgent lines first.
 struct TableDifference {
     std::vector<Command> lines;
-    /// The first lines that may use the reserve: servers that are lost or too heavy, and the
+    /// The first lines that may use the reserve: servers that are urgent or too heavy, and the
     /// newcomers of a table that would be empty otherwise.
     std::size_t urgent_count = 0;
     /// Holds removals of servers that are still ready: they don't wait for acknowledgements.
@@ -79,7 +80,7 @@
     std::size_t sendable_lines(Micros now, const Table& table, const TableDifference& difference,
                                const std::vector<ProxyId>& users, Priority priority) const;
     bool is_acknowledged(Micros now, const Table& table, const std::vector<ProxyId>& users) const;
-    std::vector<InterimTables::Assignment> waiting_assignments(bool full_table_mode) const;
+    std::vector<InterimTables::Assignment> pending_first_assignments(bool full_table_mode) const;
     void publish_assignments(Micros now, bool full_table_mode, Priority priority);
     void publish_assignment(Micros now, ProxyId id, Proxy& proxy, bool full_table_mode,
                             Priority priority);
@@ -95,7 +96,7 @@
     Micros urgent_interval_;
     std::vector<Command> commands_;
     /// A connected proxy has no tables of this instance yet.
-    bool assignments_wait_ = false;
+    bool has_pending_assignments_ = false;
 };
 
 }  // namespace badgergrade::policy
--- a/src/policy/send_budget.cpp
+++ b/src/policy/send_budget.cpp
@@ -52,34 +52,34 @@
 
 SendBudget::SendBudget(const Settings& settings, Micros now)
     : lines_per_second_(std::max(1.0, settings.channel_lines_per_second)),
-      head_lines_(settings.message_header_lines),
+      header_lines_(settings.message_header_lines),
       max_queued_lines_(settings.max_queued_lines > 0 ? settings.max_queued_lines
                                                       : kUnlimitedLines),
       target_queued_lines_(target_queued_lines(settings)),
       max_messages_(settings.max_messages),
       messages_bucket_width_(
           std::max(kMinMessageBucket, settings.message_window / kMessageBucketsInWindow)),
-      drained_at_(now),
+      queue_updated_at_(now),
       max_network_delay_(settings.max_network_delay) {}
 
-void SendBudget::begin(Micros now) {
-    const Micros elapsed = now - drained_at_;
+void SendBudget::begin_batch(Micros now) {
+    const Micros elapsed = now - queue_updated_at_;
     double seconds_at_full_pace = to_seconds(elapsed) * kGuaranteedPaceFraction;
-    if (is_silent(now)) {
+    if (acknowledgements_overdue(now)) {
         // Time in which this process did not run is no silence of the proxies.
         seconds_at_full_pace += to_seconds(std::min(elapsed, 2 * kDecisionInterval)) *
                                 (kUnconfirmedPaceFraction - kGuaranteedPaceFraction);
     }
     queued_lines_ = std::max(0.0, queued_lines_ - seconds_at_full_pace * lines_per_second_);
-    drained_at_ = now;
-    batch_.clear();
+    queue_updated_at_ = now;
+    batch_recipients_.clear();
     if (unacknowledged_lines_ <= 0) {
         acknowledgement_awaited_since_ = now;
     }
 }
 
 // At the guaranteed pace a message is acknowledged after its own time, there and back.
-bool SendBudget::is_silent(Micros now) const {
+bool SendBudget::acknowledgements_overdue(Micros now) const {
     const double message_seconds =
         largest_message_lines_ / (lines_per_second_ * kGuaranteedPaceFraction);
     const double longest_seconds =
@@ -93,12 +93,12 @@
 }
 
 // Lines that wait for a broken connection's lost ones to be passed are no sign of a long queue.
-bool SendBudget::must_wait(Micros now, Priority priority) const {
-    return priority != Priority::Urgent && any_acknowledged_ && !is_silent(now) &&
+bool SendBudget::exceeds_target_queue(Micros now, Priority priority) const {
+    return priority != Priority::Urgent && any_acknowledged_ && !acknowledgements_overdue(now) &&
            queued_lines_ >= target_queued_lines_ + lost_lines_;
 }
 
-bool SendBudget::may_message(Micros now, const Proxy& proxy, Priority priority) const {
+bool SendBudget::within_message_limit(Micros now, const Proxy& proxy, Priority priority) const {
     if (max_messages_ <= 0) {
         return true;
     }
@@ -111,41 +111,41 @@
 std::size_t SendBudget::lines_available(Micros now, const Proxies& proxies,
                                         const std::vector<ProxyId>& recipients,
                                         Priority priority) const {
-    if (must_wait(now, priority)) {
+    if (exceeds_target_queue(now, priority)) {
         return 0;
     }
-    double heads = 0;
+    double overhead_lines = 0;
     for (const ProxyId id : recipients) {
-        if (batch_.contains(id)) {
+        if (batch_recipients_.contains(id)) {
             continue;
         }
-        if (!may_message(now, proxies.at(id), priority)) {
+        if (!within_message_limit(now, proxies.at(id), priority)) {
             return 0;
         }
-        heads += head_lines_ + 1;
+        overhead_lines += header_lines_ + 1;
     }
     const double queue_fraction =
         priority == Priority::Deferrable ? kDeferrableQueueFraction : kUrgentQueueFraction;
-    const double available = max_queued_lines_ * queue_fraction - queued_lines_ - heads;
+    const double available = max_queued_lines_ * queue_fraction - queued_lines_ - overhead_lines;
     return static_cast<std::size_t>(
         std::max(0.0, available / static_cast<double>(recipients.size())));
 }
 
-std::size_t SendBudget::smallest_portion(std::size_t lines, std::size_t recipients) const {
-    const double message_overhead = head_lines_ + 1;
-    const double fit_in_empty_queue =
+std::size_t SendBudget::min_partial_lines(std::size_t lines, std::size_t recipients) const {
+    const double message_overhead = header_lines_ + 1;
+    const double empty_queue_lines =
         max_queued_lines_ * kUrgentQueueFraction / static_cast<double>(recipients) -
         message_overhead;
-    const double portion =
-        std::min(message_overhead * kMinLinesPerOverheadLine, fit_in_empty_queue);
-    return std::min(lines, static_cast<std::size_t>(std::max(1.0, portion)));
+    const double partial_lines =
+        std::min(message_overhead * kMinLinesPerOverheadLine, empty_queue_lines);
+    return std::min(lines, static_cast<std::size_t>(std::max(1.0, partial_lines)));
 }
 
 void SendBudget::reserve(Proxies& proxies, const std::vector<ProxyId>& recipients, double lines) {
     for (const ProxyId id : recipients) {
         std::deque<UnacknowledgedLines>& sent = proxies[id].unacknowledged;
-        const bool new_message = batch_.insert(id).second;
-        const double cost = lines + (new_message ? head_lines_ + 1 : 0);
+        const bool new_message = batch_recipients_.insert(id).second;
+        const double cost = lines + (new_message ? header_lines_ + 1 : 0);
         sent.push_back({next_version(), cost});
         queued_lines_ += cost;
         unacknowledged_lines_ += cost;
@@ -156,12 +156,12 @@
     }
 }
 
-bool SendBudget::commit(Micros now, Proxies& proxies) {
-    if (batch_.empty()) {
+bool SendBudget::commit_batch(Micros now, Proxies& proxies) {
+    if (batch_recipients_.empty()) {
         return false;
     }
     version_ = next_version();
-    for (const ProxyId id : batch_) {
+    for (const ProxyId id : batch_recipients_) {
         Proxy& proxy = proxies[id];
         proxy.messages.bucket(now, messages_bucket_width_) += 1;
         largest_message_lines_ = std::max(largest_message_lines_, last_message_lines(proxy));
@@ -185,22 +185,22 @@
     acknowledgement_awaited_since_ = now;
     any_acknowledged_ = true;
     if (const auto found = proxies.find(acknowledged.proxy); found != proxies.end()) {
-        settle(found->second, version, true);
+        remove_unacknowledged(found->second, version, true);
     }
     if (lost_lines_ > 0 || !is_newer(version, acknowledged_version_)) {
         return;
     }
     acknowledged_version_ = version;
     for (auto& [other, proxy] : proxies) {
-        settle(proxy, acknowledged_version_ - 1, true);
+        remove_unacknowledged(proxy, acknowledged_version_ - 1, true);
     }
 }
 
 void SendBudget::on_disconnected(Proxy& proxy) {
-    settle(proxy, version_, false);
+    remove_unacknowledged(proxy, version_, false);
 }
 
-void SendBudget::settle(Proxy& proxy, int up_to_version, bool acknowledged) {
+void SendBudget::remove_unacknowledged(Proxy& proxy, int up_to_version, bool acknowledged) {
     for (; has_unacknowledged(proxy, up_to_version); proxy.unacknowledged.pop_front()) {
         const auto [version, lines] = proxy.unacknowledged.front();
         if (!acknowledged && lost_lines_ <= 0) {
@@ -209,14 +209,14 @@
         unacknowledged_lines_ -= lines;
         lost_lines_ += acknowledged ? 0 : lines;
         if (acknowledged && lost_lines_ > 0 && is_newer(version, version_at_loss_)) {
-            overtaking_lines_ += lines;
+            reordered_lines_ += lines;
         }
     }
-    if (overtaking_lines_ >= lost_lines_) {
+    if (reordered_lines_ >= lost_lines_) {
         lost_lines_ = 0;
-        overtaking_lines_ = 0;
+        reordered_lines_ = 0;
     }
-    queued_lines_ = std::min(queued_lines_, unacknowledged_lines_ + overtaking_lines_);
+    queued_lines_ = std::min(queued_lines_, unacknowledged_lines_ + reordered_lines_);
 }
 
 }  // namespace badgergrade::policy
--- a/src/policy/send_budget.h
+++ b/src/policy/send_budget.h
@@ -64,19 +64,19 @@
     SendBudget(const Settings& settings, Micros now);
 
     /// Begins a batch: all that is reserved until commit() is one message a proxy.
-    void begin(Micros now);
-    /// How many lines each of these proxies may be sent now, message heads not included. 0 where
-    /// any one of them may get no message now. There must be at least one recipient, and each must
-    /// be known.
+    void begin_batch(Micros now);
+    /// How many lines each of these proxies may be sent now, message overhead_lines not included. 0
+    /// where any one of them may get no message now. There must be at least one recipient, and each
+    /// must be known.
     std::size_t lines_available(Micros now, const Proxies& proxies,
                                 const std::vector<ProxyId>& recipients, Priority priority) const;
     /// The fewest of `lines` urgent lines that are worth a message to so many recipients: all, or
     /// twice as many as its head costs, if an empty queue holds that many.
-    std::size_t smallest_portion(std::size_t lines, std::size_t recipients) const;
+    std::size_t min_partial_lines(std::size_t lines, std::size_t recipients) const;
     /// Counts these lines as sent to each recipient.
     void reserve(Proxies& proxies, const std::vector<ProxyId>& recipients, double lines);
     /// Ends the batch. False: nothing was reserved, and its version is not used.
-    bool commit(Micros now, Proxies& proxies);
+    bool commit_batch(Micros now, Proxies& proxies);
 
     /// The version of the batch.
     int next_version() const;
@@ -98,17 +98,17 @@
 
 private:
     /// Whether acknowledgements stay away for longer than a slow channel explains.
-    bool is_silent(Micros now) const;
+    bool acknowledgements_overdue(Micros now) const;
     /// Whether the queue is so long that all but the urgent waits.
-    bool must_wait(Micros now, Priority priority) const;
-    bool may_message(Micros now, const Proxy& proxy, Priority priority) const;
+    bool exceeds_target_queue(Micros now, Priority priority) const;
+    bool within_message_limit(Micros now, const Proxy& proxy, Priority priority) const;
     /// Lines of the message to this proxy under the newest version, its head included.
     double last_message_lines(const Proxy& proxy) const;
     /// Takes off the lines up to this version: acknowledged, or lost with the connection.
-    void settle(Proxy& proxy, int up_to_version, bool acknowledged);
+    void remove_unacknowledged(Proxy& proxy, int up_to_version, bool acknowledged);
 
     double lines_per_second_;
-    double head_lines_;
+    double header_lines_;
     double max_queued_lines_;
     /// Only what is urgent is sent while more lines are queued.
     double target_queued_lines_;
@@ -120,12 +120,12 @@
     int acknowledged_version_ = 0;
     /// The version at which lines were first lost.
     int version_at_loss_ = 0;
-    Micros drained_at_;
+    Micros queue_updated_at_;
     double queued_lines_ = 0;
     double unacknowledged_lines_ = 0;
     double lost_lines_ = 0;
     /// Lines that may have passed older ones since lines were lost.
-    double overtaking_lines_ = 0;
+    double reordered_lines_ = 0;
     Micros last_acknowledgement_delay_{};
     bool any_acknowledged_ = false;
     /// When the last acknowledgement came, or the first lines were sent that wait for one.
@@ -133,7 +133,7 @@
     double largest_message_lines_ = 0;
     Micros max_network_delay_;
     /// Who gets a message in this batch.
-    std::set<ProxyId> batch_;
+    std::set<ProxyId> batch_recipients_;
 };
 
 /// Whether a proxy has not acknowledged all up to this version.
--- a/src/policy/shard_assignment.cpp
+++ b/src/policy/shard_assignment.cpp
@@ -6,7 +6,7 @@
 
 ShardAssignment::ShardAssignment(const Settings& settings)
     : exclusive_(settings.exclusive_shards),
-      owner_wait_(settings.shard_handover_delay + settings.max_network_delay) {}
+      handover_delay_(settings.shard_handover_delay + settings.max_network_delay) {}
 
 void ShardAssignment::on_assignment_changed(const event::ShardAssignmentChanged& change,
                                             FleetState& fleet) {
@@ -41,14 +41,15 @@
     return counts;
 }
 
-void ShardAssignment::remove_lost(Micros now, TableId shard, Table& table,
-                                  const ShardCounts& counts, std::vector<Command>& commands) {
+void ShardAssignment::remove_unavailable(Micros now, TableId shard, Table& table,
+                                         const ShardCounts& counts,
+                                         std::vector<Command>& commands) {
     std::erase_if(table.published_weights, [&](const auto& replica) {
         if (counts.contains(replica.first)) {
             return false;
         }
         commands.emplace_back(command::SetWeight{shard, replica.first, 0});
-        vacant_until_[shard] = exclusive_ ? now + owner_wait_ : now;
+        vacant_until_[shard] = exclusive_ ? now + handover_delay_ : now;
         return true;
     });
 }
@@ -57,7 +58,7 @@
     std::vector<Command> commands;
     ShardCounts counts = count_shards(fleet);
     for (auto& [shard, table] : fleet.tables) {
-        remove_lost(now, shard, table, counts, commands);
+        remove_unavailable(now, shard, table, counts, commands);
         if (!table.published_weights.empty() || counts.empty()) {
             continue;
         }
--- a/src/policy/shard_assignment.h
+++ b/src/policy/shard_assignment.h
@@ -35,12 +35,12 @@
     using ShardCounts = std::map<ServerId, int>;
 
     static ShardCounts count_shards(const FleetState& fleet);
-    void remove_lost(Micros now, TableId shard, Table& table, const ShardCounts& counts,
-                     std::vector<Command>& commands);
+    void remove_unavailable(Micros now, TableId shard, Table& table, const ShardCounts& counts,
+                            std::vector<Command>& commands);
 
     bool exclusive_;
     /// How long after an owner was removed its writes may still take effect.
-    Micros owner_wait_;
+    Micros handover_delay_;
     /// When a shard that has lost its server may get the next.
     std::map<TableId, Micros> vacant_until_;
 };
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -14,7 +14,7 @@
 /// The weight rises in this many steps, so that it does not cost a line on every decision.
 constexpr double kWeightSteps = 8;
 /// Of two servers drawn the idle newcomer is mostly picked: it meets twice its weight.
-constexpr double kLeastOfTwoFactor = 2;
+constexpr double kLeastRequestFactor = 2;
 /// The lowest part of attempts that succeed; keeps the attempts an answer finite.
 constexpr double kMinSuccessFraction = 0.05;
 /// An expected overload is rounded to a power of two, up from this part of the step on, so that
@@ -29,7 +29,7 @@
       initial_capacity_fraction_(settings.initial_capacity_fraction),
       collapse_factor_(settings.overload_collapse_factor /
                        (settings.load_balancing_policy == LoadBalancingPolicy::LeastRequest
-                            ? kLeastOfTwoFactor
+                            ? kLeastRequestFactor
                             : 1)),
       objective_seconds_(to_seconds(shortest_objective)),
       expected_until_(now + kRecomputeInterval) {}
@@ -41,16 +41,16 @@
     const double age = std::max(0.0, to_seconds(now - server.started_at) / to_seconds(window_));
     // Proxies that restarted with it may still send by tables of their own. What they sent must be
     // out of the collapse window before the weight of this instance can be counted for it.
-    if (overload >= kSevereOverload || now < server.start_heard_at + collapse_time_) {
+    if (overload >= kSevereOverload || now < server.start_reported_at + collapse_time_) {
         return 0;
     }
     const double progress = std::floor(age * kWeightSteps) / kWeightSteps;
-    const double bearable =
+    const double capacity_bound =
         collapse_factor_ > 0
             ? collapse_factor_ / std::max(kMinExpectedOverload, overload) *
                   (initial_capacity_fraction_ + (1 - initial_capacity_fraction_) * progress)
             : 1;
-    return std::min(std::max(kReducedWeightFraction, progress), bearable);
+    return std::min(std::max(kReducedWeightFraction, progress), capacity_bound);
 }
 
 double SlowStart::weight_fraction(Micros now, const Server& server) const {
--- a/src/policy/subsetting.cpp
+++ b/src/policy/subsetting.cpp
@@ -9,9 +9,9 @@
 
 /// A subset is not made narrower than this where connections are refused: one dead server must not
 /// be a subset of its own.
-constexpr double kMinWidthRefused = 3;
+constexpr double kMinRefusingSubsetWidth = 3;
 /// A split outlasts the degradation that caused it by this, against flapping.
-constexpr Micros kHoldTime = kHoldDownRounds * kRecomputeInterval;
+constexpr Micros kSplitHoldTime = kHoldDownRecomputations * kRecomputeInterval;
 /// Time for a split to show its effect before the next.
 constexpr Micros kSplitInterval = 2 * kAckTimeout;
 /// A proxy that announced nothing counts as this rate per second.
@@ -25,11 +25,11 @@
 
 std::optional<std::size_t> least_loaded(const std::vector<double>& rate,
                                         const std::vector<double>& weight, double more,
-                                        double closed_weight) {
+                                        double min_weight) {
     std::optional<std::size_t> best;
     double lowest = 0;
     for (std::size_t part = 0; part < weight.size(); ++part) {
-        if (weight[part] <= closed_weight) {
+        if (weight[part] <= min_weight) {
             continue;
         }
         const double load = (rate[part] + more) / weight[part];
@@ -42,7 +42,7 @@
 }
 
 void assign_proxies(ZoneId zone, ZoneSubsets& subsets, FleetState& fleet) {
-    const double closed_weight =
+    const double min_weight =
         std::accumulate(subsets.weight.begin(), subsets.weight.end(), 0.0) / subsets.count / 2;
     std::vector<std::pair<double, ProxyId>> busiest_first;
     for (const auto& [id, proxy] : fleet.proxies) {
@@ -55,7 +55,7 @@
     for (const auto& [negative_rate, id] : busiest_first) {
         Proxy& proxy = fleet.proxies[id];
         const auto subset = static_cast<std::size_t>(std::max(0, proxy.subset));
-        if (proxy.subset >= 0 && subsets.weight[subset] > closed_weight) {
+        if (proxy.subset >= 0 && subsets.weight[subset] > min_weight) {
             subsets.rate[subset] += announced_rate(proxy);
         } else {
             unassigned.push_back(id);
@@ -64,7 +64,7 @@
     for (const ProxyId id : unassigned) {
         Proxy& proxy = fleet.proxies[id];
         const auto subset =
-            least_loaded(subsets.rate, subsets.weight, announced_rate(proxy), closed_weight);
+            least_loaded(subsets.rate, subsets.weight, announced_rate(proxy), min_weight);
         proxy.subset = subset ? static_cast<int>(*subset) : -1;
         if (subset) {
             subsets.rate[*subset] += announced_rate(proxy);
@@ -85,7 +85,7 @@
         const int count_before = subsets.count;
         update_count(now, zone, fleet, outliers.health(zone));
         // The scan over all servers is left out where the zone is not split anyway.
-        if (now >= subsets.until ||
+        if (now >= subsets.split_until ||
             slow_start.warming_fraction(now, fleet) > kManyWarmingFraction / 2) {
             subsets.count = 1;
         }
@@ -120,17 +120,17 @@
     const auto width =
         static_cast<double>(table == fleet.tables.end() ? 0 : table->second.desired_weights.size());
     // As many connections as a proxy's own traffic keeps from idling out.
-    const double warm_width =
+    const double sustained_connections =
         proxies > 0 ? std::max<double>(kMinSubsetWidth, announced / proxies * idle_seconds_)
                     : width;
     if (health.condition == ZoneCondition::Degraded) {
-        subsets.until = now + kHoldTime;
-        while (width / subsets.count > warm_width && subsets.count < kMaxSubsets) {
+        subsets.split_until = now + kSplitHoldTime;
+        while (width / subsets.count > sustained_connections && subsets.count < kMaxSubsets) {
             subsets.count *= 2;
         }
     }
     if (health.refusing_connections && now >= subsets.next_split) {
-        if (width / subsets.count >= 2 * kMinWidthRefused && subsets.count < kMaxSubsets) {
+        if (width / subsets.count >= 2 * kMinRefusingSubsetWidth && subsets.count < kMaxSubsets) {
             subsets.count *= 2;
         }
         subsets.next_split = now + kSplitInterval;
--- a/src/policy/subsetting.h
+++ b/src/policy/subsetting.h
@@ -33,7 +33,7 @@
 struct ZoneSubsets {
     int count = 1;
     /// Not split after this, unless the zone is degraded again.
-    Micros until{};
+    Micros split_until{};
     Micros next_split{};
     /// By subset: the announced rate of its proxies, and the weight of its servers.
     std::vector<double> rate;
@@ -51,10 +51,10 @@
 }
 
 /// The part with the lowest requested rate for each unit of weight, were `more` added to it. Parts
-/// of `closed_weight` or less take no more proxies; nothing: all are closed.
+/// of `min_weight` or less take no more proxies; nothing: all are closed.
 std::optional<std::size_t> least_loaded(const std::vector<double>& rate,
                                         const std::vector<double>& weight, double more,
-                                        double closed_weight);
+                                        double min_weight);
 
 /// Assigns the connected proxies of a zone to its subsets.
 void assign_proxies(ZoneId zone, ZoneSubsets& subsets, FleetState& fleet);
--- a/src/policy/table_planner.cpp
+++ b/src/policy/table_planner.cpp
@@ -10,12 +10,12 @@
 
 /// From this load on (in mean loads) a degraded zone's demand is spread over all servers: the
 /// ceiling itself where a healthy zone is heard and admission can be limited ...
-constexpr double kSpreadLoad = 1.2;
+constexpr double kMaxZoneLoad = 1.2;
 /// ... and later where it is unknown whether other zones have room, or where nothing limits what is
 /// spread: one wrongly ejected server must not send all proxies to the faulty ones of another zone.
-constexpr double kSpreadLoadCautious = 1.4;
+constexpr double kMaxZoneLoadCautious = 1.4;
 /// The overload score from which on the only zone that is heard counts as overloaded.
-constexpr double kLoneZoneOverloadScore = 0.2;
+constexpr double kOnlyZoneOverloadScore = 0.2;
 
 /// Against a division by zero in a zone without servers.
 constexpr double kMinZoneWeight = 1e-9;
@@ -40,14 +40,14 @@
 /// that belong there.
 void fill_empty_tables(FleetState& fleet, const std::vector<ServerCapacity>& ready) {
     std::set<TableId> empty;
-    for (TableId table = fleet.full_table(); table <= fleet.last_whole_table(); ++table.value) {
+    for (TableId table = fleet.full_table(); table <= fleet.last_base_table(); ++table.value) {
         if (fleet.tables[table].desired_weights.empty()) {
             empty.insert(table);
         }
     }
     const bool has_local_only = fleet.operations.local_only != 0;
     for (const ServerCapacity& server : ready) {
-        const TableId local = has_local_only && fleet.knows(server.zone)
+        const TableId local = has_local_only && fleet.has_zone(server.zone)
                                   ? fleet.local_only_table(server.zone)
                                   : fleet.full_table();
         for (const TableId table : {fleet.full_table(), local}) {
@@ -88,9 +88,9 @@
     const Context context{now, fleet, outliers, slow_start, demand};
     const std::vector<ServerCapacity> ready = ready_servers(context);
     ZoneAllocation allocation = allocate(context, ready);
-    const std::string reason = allocation.full_table_reason.empty()
-                                   ? overload_reason(context, allocation)
-                                   : allocation.full_table_reason;
+    const std::string reason = allocation.infeasible_reason.empty()
+                                   ? fallback_reason(context, allocation)
+                                   : allocation.infeasible_reason;
     std::optional<std::string> log_text = update_mode(context, reason);
     zone_of_server_ = std::move(allocation.zone_of_server);
     fill_tables(context, ready);
@@ -133,7 +133,7 @@
         return allocate_zones(demand, ready, zone_of_server_);
     };
     ZoneAllocation allocation = allocate_by_shares();
-    if (!allocation.full_table_reason.empty() || context.now < next_early_adoption_) {
+    if (!allocation.infeasible_reason.empty() || context.now < next_early_adoption_) {
         return allocation;
     }
     const std::vector<double> measured = context.demand.measure(context.now, context.fleet);
@@ -148,7 +148,7 @@
 }
 
 /// Why a feasible allocation is not used; empty: it is.
-std::string TablePlanner::overload_reason(const Context& context,
+std::string TablePlanner::fallback_reason(const Context& context,
                                           const ZoneAllocation& allocation) const {
     const std::vector<ZoneHealth>& health = context.outliers.health();
     const auto unreported =
@@ -160,13 +160,13 @@
     if (context.slow_start.warming_fraction(context.now, context.fleet) <=
             kManyWarmingFraction / 2 &&
         demand_exceeds_announced(context.now, context.fleet) &&
-        unreported == context.fleet.zone_count - 1 && max_score > kLoneZoneOverloadScore) {
+        unreported == context.fleet.zone_count - 1 && max_score > kOnlyZoneOverloadScore) {
         return "a zone jams, and no other is heard";
     }
-    const bool room_elsewhere =
+    const bool any_zone_healthy =
         std::ranges::count(health, ZoneCondition::Healthy, &ZoneHealth::condition) > 0;
     const double max_load =
-        room_elsewhere && can_limit_admission_ ? kSpreadLoad : kSpreadLoadCautious;
+        any_zone_healthy && can_limit_admission_ ? kMaxZoneLoad : kMaxZoneLoadCautious;
     const double load =
         worst_zone_load(context.demand.shares(), allocation.usable, health, ZoneFilter::Degraded);
     return load > max_load ? "a zone stays over the ceiling after all moves" : "";
@@ -177,16 +177,16 @@
     if (!reason.empty()) {
         const bool changed = !full_table_mode_ || full_table_reason_ != reason;
         full_table_mode_ = true;
-        rounds_since_infeasible_ = 0;
+        recomputations_since_infeasible_ = 0;
         full_table_reason_ = reason;
         return changed ? std::optional("full table for all: " + reason) : std::nullopt;
     }
     if (!full_table_mode_) {
         return std::nullopt;
     }
-    const bool held_down = rounds_since_infeasible_ < kHoldDownRounds ||
+    const bool held_down = recomputations_since_infeasible_ < kHoldDownRecomputations ||
                            context.slow_start.warming_fraction(context.now, context.fleet) > 0;
-    if (held_down && !context.demand.before_first_round()) {
+    if (held_down && !context.demand.before_first_recomputation()) {
         return std::nullopt;
     }
     full_table_mode_ = false;
@@ -197,7 +197,7 @@
                                const std::vector<ServerCapacity>& ready) const {
     FleetState& fleet = context.fleet;
     const OutlierDetector& outliers = context.outliers;
-    for (TableId table{0}; table <= fleet.last_whole_table(); ++table.value) {
+    for (TableId table{0}; table <= fleet.last_base_table(); ++table.value) {
         fleet.tables[table].desired_weights.clear();
     }
     const auto add = [&](TableId table, ZoneId zone, ServerId id) {
@@ -212,14 +212,14 @@
             continue;
         }
         // The full table drops a server that half of the zones have ejected.
-        if (outliers.ejecting_zones(id) * 2 < fleet.zone_count) {
+        if (outliers.ejecting_zone_count(id) * 2 < fleet.zone_count) {
             fleet.tables[fleet.full_table()].desired_weights[id] = server.weight * fraction;
         }
         const auto allocated = zone_of_server_.find(id);
         if (allocated != zone_of_server_.end() && !outliers.is_ejected(allocated->second, id)) {
             add(FleetState::zone_table(allocated->second), allocated->second, id);
         }
-        if (fleet.operations.local_only != 0 && fleet.knows(server.zone) &&
+        if (fleet.operations.local_only != 0 && fleet.has_zone(server.zone) &&
             !outliers.is_ejected(server.zone, id)) {
             add(fleet.local_only_table(server.zone), server.zone, id);
         }
--- a/src/policy/table_planner.h
+++ b/src/policy/table_planner.h
@@ -43,7 +43,7 @@
     explicit TablePlanner(const Settings& settings);
 
     /// A recomputation of the demand shares took place.
-    void on_round() { ++rounds_since_infeasible_; }
+    void on_demand_recomputed() { ++recomputations_since_infeasible_; }
 
     /// Decides on the mode and fills the desired weights of all tables but the subsets. The text
     /// for the operator's log where the mode changed.
@@ -66,7 +66,7 @@
 
     std::vector<ServerCapacity> ready_servers(const Context& context) const;
     ZoneAllocation allocate(const Context& context, const std::vector<ServerCapacity>& ready);
-    std::string overload_reason(const Context& context, const ZoneAllocation& allocation) const;
+    std::string fallback_reason(const Context& context, const ZoneAllocation& allocation) const;
     std::optional<std::string> update_mode(const Context& context, const std::string& reason);
     void fill_tables(const Context& context, const std::vector<ServerCapacity>& ready) const;
     static void keep_warming_out_of_narrow_tables(const Context& context);
@@ -77,7 +77,7 @@
     std::map<ServerId, ZoneId> zone_of_server_;
     bool full_table_mode_ = false;
     std::string full_table_reason_;
-    int rounds_since_infeasible_ = 0;
+    int recomputations_since_infeasible_ = 0;
     /// Before it, shares are not adopted early again.
     Micros next_early_adoption_{};
 };
--- a/src/policy/zone_allocation.cpp
+++ b/src/policy/zone_allocation.cpp
@@ -11,7 +11,7 @@
 constexpr double kRoundingTolerance = 1e-9;
 /// A server that is smaller counts as this much where it is moved (the design's figure), so that
 /// small servers do not follow every small change of demand.
-constexpr double kSmallestMove = 0.5;
+constexpr double kMinMoveSize = 0.5;
 
 double total_usable(const std::vector<ServerCapacity>& servers) {
     double total = 0;
@@ -35,7 +35,7 @@
                                                  [](double share) { return share > 0; });
     double minimums = 0;
     for (const double share : demand_shares) {
-        minimums += minimum_for(share * listed);
+        minimums += min_servers_for(share * listed);
     }
     if (zones_with_demand < 2) {
         return "under two zones";
@@ -56,7 +56,7 @@
     std::vector<double> surplus(demand_shares.size(), 0.0);
     for (std::size_t zone = 0; zone < surplus.size(); ++zone) {
         const double desired = demand_shares[zone] * usable;
-        surplus[zone] = -std::max(desired, minimum_for(desired));
+        surplus[zone] = -std::max(desired, min_servers_for(desired));
     }
     for (const ServerCapacity& server : servers) {
         surplus[index_of(server.zone)] += server.usable;
@@ -64,14 +64,14 @@
     return surplus;
 }
 
-struct Move {
+struct ServerMove {
     ZoneId from;
     ZoneId to;
     double surplus;
     double deficit;
 };
 
-Move next_move(const std::vector<double>& surplus) {
+ServerMove next_move(const std::vector<double>& surplus) {
     const auto largest = std::max_element(surplus.begin(), surplus.end());
     const auto smallest = std::min_element(surplus.begin(), surplus.end());
     return {{static_cast<int>(largest - surplus.begin())},
@@ -82,28 +82,29 @@
 
 /// Whether a server may make this move. One that is warming up stays at home: in a zone whose own
 /// servers have just died it would be the only one that answers, and would take its whole demand.
-bool fits(const ServerCapacity& server, ZoneId current_zone, const Move& move) {
+bool can_move(const ServerCapacity& server, ZoneId current_zone, const ServerMove& move) {
     if (server.zone != move.from || current_zone != move.from || server.usable <= 0 ||
         server.warming_up) {
         return false;
     }
-    const double size = std::max(kSmallestMove, server.usable);
+    const double size = std::max(kMinMoveSize, server.usable);
     return size <= move.surplus + kRoundingTolerance && size <= move.deficit + kRoundingTolerance;
 }
 
-/// Of the servers that fit, one that stood there before, then the largest; null: none fits.
-const ServerCapacity* server_to_move(const std::vector<ServerCapacity>& servers, const Move& move,
+/// Of the servers that fit, one that stood there before, then the largest; null: none can_move.
+const ServerCapacity* server_to_move(const std::vector<ServerCapacity>& servers,
+                                     const ServerMove& move,
                                      const std::map<ServerId, ZoneId>& zone_of_server,
                                      const std::map<ServerId, ZoneId>& previous_zone_of_server) {
     const auto rank = [&](const ServerCapacity& server) {
         const auto previous = previous_zone_of_server.find(server.server);
-        const bool stood_there =
+        const bool was_there_before =
             previous != previous_zone_of_server.end() && previous->second == move.to;
-        return std::tuple(stood_there, std::min(server.listed, server.usable));
+        return std::tuple(was_there_before, std::min(server.listed, server.usable));
     };
     const ServerCapacity* best = nullptr;
     for (const ServerCapacity& server : servers) {
-        if (!fits(server, zone_of_server.at(server.server), move)) {
+        if (!can_move(server, zone_of_server.at(server.server), move)) {
             continue;
         }
         if (best == nullptr || rank(server) > rank(*best)) {
@@ -115,7 +116,7 @@
 
 }  // namespace
 
-double minimum_for(double desired) {
+double min_servers_for(double desired) {
     return std::ceil(desired / (1 + kAllowedOverloadFraction) - kRoundingTolerance);
 }
 
@@ -123,8 +124,8 @@
                               const std::vector<ServerCapacity>& servers,
                               const std::map<ServerId, ZoneId>& previous_zone_of_server) {
     ZoneAllocation allocation;
-    allocation.full_table_reason = infeasibility(demand_shares, servers);
-    if (!allocation.full_table_reason.empty()) {
+    allocation.infeasible_reason = infeasibility(demand_shares, servers);
+    if (!allocation.infeasible_reason.empty()) {
         return allocation;
     }
     std::vector<double> surplus = surplus_by_zone(demand_shares, servers);
@@ -132,7 +133,7 @@
         allocation.zone_of_server[server.server] = server.zone;
     }
     for (std::size_t moves = 0; moves < servers.size(); ++moves) {
-        const Move move = next_move(surplus);
+        const ServerMove move = next_move(surplus);
         const ServerCapacity* server =
             server_to_move(servers, move, allocation.zone_of_server, previous_zone_of_server);
         if (server == nullptr) {
--- a/src/policy/zone_allocation.h
+++ b/src/policy/zone_allocation.h
@@ -38,14 +38,14 @@
 
 struct ZoneAllocation {
     /// Why the allocation is infeasible; empty where it is feasible.
-    std::string full_table_reason;
+    std::string infeasible_reason;
     std::map<ServerId, ZoneId> zone_of_server;
     /// Usable weight by zone; empty where infeasible.
     std::vector<double> usable;
 };
 
 /// The fewest servers for a zone that desires this many.
-double minimum_for(double desired);
+double min_servers_for(double desired);
 
 ZoneAllocation allocate_zones(const std::vector<double>& demand_shares,
                               const std::vector<ServerCapacity>& servers,
--- a/tests/policy/endpoint_list_test.cpp
+++ b/tests/policy/endpoint_list_test.cpp
@@ -79,7 +79,7 @@
     apply(list, UpdateKind::Delta, {endpoint(1, ServerState::Gone)});
     apply(list, UpdateKind::Delta, {endpoint(1, ServerState::Ready, kStart)});
     EXPECT_EQ(fleet.servers[{1}].subset_hash, hash);
-    EXPECT_EQ(fleet.servers[{1}].start_heard_at, kStart);
+    EXPECT_EQ(fleet.servers[{1}].start_reported_at, kStart);
 }
 
 }  // namespace
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -102,7 +102,7 @@
 // A restarted server answers for itself, not for the process before it.
 TEST_F(OutlierDetection, ForgetsARestartedServer) {
     report(kStart, 3, 10, kFast);
-    detector.forget({3});
+    detector.reset({3});
     EXPECT_TRUE(evaluate(kStart).empty());
 }
 
--- a/tests/policy/overload_control_test.cpp
+++ b/tests/policy/overload_control_test.cpp
@@ -60,7 +60,7 @@
     const auto& limits = fleet.tables[FleetState::zone_table({0})].desired_limits;
     EXPECT_EQ(limits.at({0}), 1);
     EXPECT_LT(limits.at({1}), 1);
-    EXPECT_TRUE(control.sheds());
+    EXPECT_TRUE(control.is_shedding());
 }
 
 // Proxies that can't limit admission are sent no limits.
--- a/tests/policy/send_budget_test.cpp
+++ b/tests/policy/send_budget_test.cpp
@@ -19,9 +19,9 @@
     }
 
     void send(SendBudget& budget, Micros now, int proxy, double lines) {
-        budget.begin(now);
+        budget.begin_batch(now);
         budget.reserve(fleet.proxies, {{proxy}}, lines);
-        budget.commit(now, fleet.proxies);
+        budget.commit_batch(now, fleet.proxies);
     }
 
     void acknowledge(SendBudget& budget, int proxy) {
@@ -39,7 +39,7 @@
 // A queue that is full of what can wait would delay drains past their grace: a reserve is kept.
 TEST_F(SendBudgetTest, KeepsAReserveForWhatIsUrgent) {
     SendBudget budget(settings, kStart);
-    budget.begin(kStart);
+    budget.begin_batch(kStart);
     EXPECT_EQ(available(budget, kStart, 1, Priority::Deferrable), 73U);
     EXPECT_EQ(available(budget, kStart, 1, Priority::Urgent), 93U);
 }
@@ -49,7 +49,7 @@
 TEST_F(SendBudgetTest, DrainsSlowlyOrByAcknowledgement) {
     SendBudget budget(settings, kStart);
     send(budget, kStart, 1, 48);
-    budget.begin(kStart + 2 * kSecond);
+    budget.begin_batch(kStart + 2 * kSecond);
     EXPECT_EQ(available(budget, kStart + 2 * kSecond, 1, Priority::Deferrable), 33U);
     acknowledge(budget, 1);
     EXPECT_EQ(available(budget, kStart + 2 * kSecond, 1, Priority::Deferrable), 73U);
@@ -86,7 +86,7 @@
     SendBudget budget(settings, kStart);
     send(budget, kStart, 1, 1);
     send(budget, kStart, 1, 1);
-    budget.begin(kStart);
+    budget.begin_batch(kStart);
     EXPECT_EQ(available(budget, kStart, 1, Priority::Deferrable), 0U);
     EXPECT_GT(available(budget, kStart, 1, Priority::Urgent), 0U);
     EXPECT_GT(available(budget, kStart, 2, Priority::Deferrable), 0U);
@@ -100,7 +100,7 @@
     send(budget, kStart, 1, 1);
     acknowledge(budget, 1);
     send(budget, kStart, 1, 48);
-    budget.begin(kStart);
+    budget.begin_batch(kStart);
     EXPECT_EQ(available(budget, kStart, 2, Priority::FirstAssignment), 0U);
     EXPECT_EQ(available(budget, kStart, 2, Priority::Deferrable), 0U);
     EXPECT_EQ(available(budget, kStart, 2, Priority::Urgent), 43U);
@@ -118,7 +118,7 @@
     }
     const auto available_after = [&](Micros from, Micros to) {
         for (Micros now = from; now <= to; now += kSecond / 4) {
-            budget.begin(kStart + now);
+            budget.begin_batch(kStart + now);
         }
         return available(budget, kStart + to, 1, Priority::Urgent);
     };
@@ -131,10 +131,10 @@
 TEST_F(SendBudgetTest, APortionIsWorthItsMessageHead) {
     settings.message_header_lines = 3;
     const SendBudget budget(settings, kStart);
-    EXPECT_EQ(budget.smallest_portion(3, 5), 3U);
-    EXPECT_EQ(budget.smallest_portion(20, 5), 8U);
-    EXPECT_EQ(budget.smallest_portion(20, 12), 3U);
-    EXPECT_EQ(budget.smallest_portion(20, 40), 1U);
+    EXPECT_EQ(budget.min_partial_lines(3, 5), 3U);
+    EXPECT_EQ(budget.min_partial_lines(20, 5), 8U);
+    EXPECT_EQ(budget.min_partial_lines(20, 12), 3U);
+    EXPECT_EQ(budget.min_partial_lines(20, 40), 1U);
 }
 
 // Versions wrap at 65,536: the first after the wrap is newer than the last before it.
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -20,7 +20,7 @@
     Server server;
     server.state = ServerState::Ready;
     server.started_at = started_at;
-    server.start_heard_at = started_at;
+    server.start_reported_at = started_at;
     return server;
 }
 
--- a/tests/policy/table_planner_test.cpp
+++ b/tests/policy/table_planner_test.cpp
@@ -59,7 +59,7 @@
         return fleet.tables[table].desired_weights.contains({0});
     };
     fleet.servers[{0}].started_at = kStart - 8 * kSecond;
-    fleet.servers[{0}].start_heard_at = kStart - 7 * kSecond;
+    fleet.servers[{0}].start_reported_at = kStart - 7 * kSecond;
     EXPECT_TRUE(names_warming_server({0}));
     fleet.servers[{2}].state = ServerState::Gone;
     fleet.servers[{3}].state = ServerState::Gone;
@@ -75,10 +75,10 @@
     EXPECT_EQ(update(kStart + kRecomputeInterval), "full table for all: a server without a zone");
     EXPECT_EQ(update(kStart + kRecomputeInterval), std::nullopt);
     fleet.servers.erase({9});
-    for (int round = 1; round <= kHoldDownRounds; ++round) {
+    for (int round = 1; round <= kHoldDownRecomputations; ++round) {
         EXPECT_EQ(update(kStart + kRecomputeInterval), std::nullopt);
         EXPECT_TRUE(planner.full_table_mode());
-        planner.on_round();
+        planner.on_demand_recomputed();
     }
     EXPECT_EQ(update(kStart + kRecomputeInterval), "zone tables again");
 }
--- a/tests/policy/zone_allocation_test.cpp
+++ b/tests/policy/zone_allocation_test.cpp
@@ -15,17 +15,17 @@
 
 // The minimum is a whole number of servers. Rounding of sums must not ask for one more.
 TEST(ZoneAllocation, MinimumAllowsTwentyPercentOverload) {
-    EXPECT_EQ(minimum_for(1.2), 1);
-    EXPECT_EQ(minimum_for(6 * 0.2), 1);
-    EXPECT_EQ(minimum_for(1.3), 2);
-    EXPECT_EQ(minimum_for(0), 0);
+    EXPECT_EQ(min_servers_for(1.2), 1);
+    EXPECT_EQ(min_servers_for(6 * 0.2), 1);
+    EXPECT_EQ(min_servers_for(1.3), 2);
+    EXPECT_EQ(min_servers_for(0), 0);
 }
 
 // A zone with half the demand and a quarter of the servers would carry twice its share: a server
 // moves to it.
 TEST(ZoneAllocation, MovesAServerFromSurplusToDeficit) {
     const auto allocation = allocate_zones({0.5, 0.5}, servers({0, 0, 0, 1}), {});
-    ASSERT_EQ(allocation.full_table_reason, "");
+    ASSERT_EQ(allocation.infeasible_reason, "");
     EXPECT_EQ(allocation.usable, (std::vector<double>{2, 2}));
 }
 
@@ -50,12 +50,12 @@
 
 // Where zones can't each have a server, or not enough of them, zone tables can't keep the ceiling.
 TEST(ZoneAllocation, SaysWhyItIsInfeasible) {
-    EXPECT_EQ(allocate_zones({1, 0}, servers({0, 1}), {}).full_table_reason, "under two zones");
-    EXPECT_EQ(allocate_zones({0.5, 0.5}, servers({0}), {}).full_table_reason,
+    EXPECT_EQ(allocate_zones({1, 0}, servers({0, 1}), {}).infeasible_reason, "under two zones");
+    EXPECT_EQ(allocate_zones({0.5, 0.5}, servers({0}), {}).infeasible_reason,
               "more zones than servers");
-    EXPECT_EQ(allocate_zones({0.65, 0.35}, servers({0, 1}), {}).full_table_reason,
+    EXPECT_EQ(allocate_zones({0.65, 0.35}, servers({0, 1}), {}).infeasible_reason,
               "minimums exceed the servers");
-    EXPECT_EQ(allocate_zones({0.5, 0.5}, servers({0, 0, 1, -1}), {}).full_table_reason,
+    EXPECT_EQ(allocate_zones({0.5, 0.5}, servers({0, 0, 1, -1}), {}).infeasible_reason,
               "a server without a zone");
 }
 
