--- a/src/scenario/world.cpp
+++ b/src/scenario/world.cpp
@@ -521,22 +521,22 @@
     return out;
 }
 
-std::vector<xds::TableLine> World::draw_startup(const std::string& zone,
-                                                base::SequentialRandom& chance) const {
-    std::vector<xds::TableLine> here;
-    std::vector<xds::TableLine> all;
+std::vector<xds::TableEndpoint> World::draw_startup(const std::string& zone,
+                                                    base::SequentialRandom& chance) const {
+    std::vector<xds::TableEndpoint> here;
+    std::vector<xds::TableEndpoint> all;
     for (const auto& [id, row] : registry_->rows()) {
         if (row.server.state != ServerState::Ready) {
             continue;
         }
-        const xds::TableLine line{row.server.address, row.server.zone, 1, false};
+        const xds::TableEndpoint line{row.server.address, row.server.zone, 1, false};
         all.push_back(line);
         if (row.server.zone == zone) {
             here.push_back(line);
         }
     }
     auto& from = here.size() >= 3 ? here : all;
-    std::vector<xds::TableLine> out;
+    std::vector<xds::TableEndpoint> out;
     while (!from.empty() && out.size() < static_cast<std::size_t>(script_.startup)) {
         const std::size_t k = chance.below(from.size());
         out.push_back(from[k]);
--- a/src/scenario/world.h
+++ b/src/scenario/world.h
@@ -213,8 +213,8 @@
     void start_forwarder(std::size_t k);
     void start_governor(std::size_t k);
     void stop_governor(std::size_t k);
-    std::vector<xds::TableLine> draw_startup(const std::string& zone,
-                                             base::SequentialRandom& chance) const;
+    std::vector<xds::TableEndpoint> draw_startup(const std::string& zone,
+                                                 base::SequentialRandom& chance) const;
 
     std::vector<std::size_t> struck_workers(const Trouble& trouble);
     std::vector<std::size_t> struck_forwarders(const Trouble& trouble);
--- a/src/testbed/client.cpp
+++ b/src/testbed/client.cpp
@@ -65,7 +65,7 @@
         left, Micros(std::llround(share * static_cast<double>(op.integration_timeout.count()))));
     net::HttpMessage request;
     request.method = "POST";
-    request.target = xds::path_of(op.name);
+    request.target = xds::operation_path(op.name);
     request.headers = {{"x-invocation", std::to_string(id)},
                        {"x-key", now.what.key},
                        {"x-work-us", std::to_string(now.what.work.count())},
--- a/src/testbed/forwarder.cpp
+++ b/src/testbed/forwarder.cpp
@@ -30,7 +30,7 @@
     startup_.pick_policy = settings_.pick;
     startup_.ejection_failures = settings_.ejects_after;
     startup_.ejection_time = settings_.eject_time;
-    startup_.lines = settings_.startup;
+    startup_.endpoints = settings_.startup;
     server_ = std::make_unique<net::HttpServer>(loop, actor, settings_.id, settings_.listen,
                                                 net::HttpLimits{}, 10000);
     server_->on_request = [this](net::HttpExchangePtr exchange) {
@@ -233,7 +233,7 @@
         // Connections to servers that no table names any more are closed.
         std::set<net::Address> named;
         for (const auto& [name, table] : ads_.tables().clusters) {
-            for (const auto& line : table.lines) {
+            for (const auto& line : table.endpoints) {
                 if (!line.draining) {
                     named.insert(line.address);
                 }
@@ -291,7 +291,7 @@
     return *known;
 }
 
-const xds::ClientTable* Forwarder::table_for(const Work& work) const {
+const xds::ProxyTable* Forwarder::table_for(const Work& work) const {
     if (work.cluster.empty()) {
         return &startup_;
     }
@@ -299,7 +299,7 @@
     return it == ads_.tables().clusters.end() ? nullptr : &it->second;
 }
 
-bool Forwarder::let_in(const std::string& path, const xds::ClientRoute& route,
+bool Forwarder::let_in(const std::string& path, const xds::ProxyRoute& route,
                        std::uint64_t invocation) {
     if (route.admitted_fraction < 1 &&
         base::CounterRandom(luck_ ^ kShareLuck, invocation).part() >= route.admitted_fraction) {
@@ -331,7 +331,7 @@
     no.status = 400;
     int operation = -1;
     for (std::size_t k = 0; k < settings_.operations.size(); ++k) {
-        if (xds::path_of(settings_.operations[k].name) == exchange->request.target) {
+        if (xds::operation_path(settings_.operations[k].name) == exchange->request.target) {
             operation = static_cast<int>(k);
         }
     }
@@ -374,13 +374,13 @@
     attempt(key);
 }
 
-const xds::TableLine* Forwarder::pick(const xds::ClientTable& table,
-                                      const std::set<net::Address>& not_these,
-                                      base::CounterRandom luck) {
+const xds::TableEndpoint* Forwarder::pick(const xds::ProxyTable& table,
+                                          const std::set<net::Address>& not_these,
+                                          base::CounterRandom luck) {
     const Micros now = loop_.clock().now();
-    std::vector<const xds::TableLine*> open;
-    std::vector<const xds::TableLine*> good;
-    for (const auto& line : table.lines) {
+    std::vector<const xds::TableEndpoint*> open;
+    std::vector<const xds::TableEndpoint*> good;
+    for (const auto& line : table.endpoints) {
         if (line.draining || ads_.tables().ejected.contains(line.address) ||
             not_these.contains(line.address)) {
             continue;
@@ -417,7 +417,7 @@
         const auto* b = draw();
         return standings_[b->address].open < standings_[a->address].open ? b : a;
     }
-    const xds::TableLine* best = nullptr;
+    const xds::TableEndpoint* best = nullptr;
     for (const auto* line : from) {
         auto& turn = standings_[line->address].turn;
         turn += line->weight;
@@ -432,8 +432,8 @@
 void Forwarder::attempt(std::uint64_t id) {
     Work& work = works_.at(id);
     const Micros now = loop_.clock().now();
-    const xds::ClientTable* table = table_for(work);
-    const xds::TableLine* line =
+    const xds::ProxyTable* table = table_for(work);
+    const xds::TableEndpoint* line =
         table ? pick(*table, work.tried,
                      base::CounterRandom(luck_ + static_cast<std::uint64_t>(work.tries),
                                          work.invocation))
@@ -516,7 +516,7 @@
         return finish(id, std::move(outcome.response));
     }
     ++sums.failures;
-    const xds::ClientTable* table = table_for(work);
+    const xds::ProxyTable* table = table_for(work);
     if (table && table->ejection_failures > 0 && ++standing.failures >= table->ejection_failures) {
         standing.failures = 0;
         standing.ejected_until = now + table->ejection_time;
@@ -568,17 +568,19 @@
         return;
     }
     for (std::size_t k = 0; k < settings_.operations.size(); ++k) {
-        const auto route = ads_.tables().routes.find(xds::path_of(settings_.operations[k].name));
-        const xds::ClientTable* table = &startup_;
+        const auto route =
+            ads_.tables().routes.find(xds::operation_path(settings_.operations[k].name));
+        const xds::ProxyTable* table = &startup_;
         if (route != ads_.tables().routes.end()) {
             const auto cluster = ads_.tables().clusters.find(route->second.cluster);
             table = cluster == ads_.tables().clusters.end() ? nullptr : &cluster->second;
         }
         const bool any =
-            table &&
-            std::any_of(table->lines.begin(), table->lines.end(), [&](const xds::TableLine& line) {
-                return !line.draining && !ads_.tables().ejected.contains(line.address);
-            });
+            table && std::any_of(table->endpoints.begin(), table->endpoints.end(),
+                                 [&](const xds::TableEndpoint& line) {
+                                     return !line.draining &&
+                                            !ads_.tables().ejected.contains(line.address);
+                                 });
         const auto [it, first] = pickable_.try_emplace(static_cast<int>(k), any);
         if (first || it->second != any) {
             observer_->pickable(loop_.clock().now(), settings_.id, static_cast<int>(k), any);
--- a/src/testbed/forwarder.h
+++ b/src/testbed/forwarder.h
@@ -25,7 +25,7 @@
     std::vector<Operation> operations;
     std::vector<net::Address> governors;  // the preferred one first
     std::vector<std::string> governor_names;
-    std::vector<xds::TableLine> startup;       // its standing table
+    std::vector<xds::TableEndpoint> startup;   // its standing table
     PickPolicy pick = PickPolicy::LeastOfTwo;  // for the start-up table
     RetryMode again = RetryMode::OnlyUnprocessed;
     int ejects_after = 5;
@@ -46,7 +46,7 @@
 
     const ForwarderSettings& settings() const { return settings_; }
 
-    const xds::ClientTables& tables() const { return ads_.tables(); }
+    const xds::ProxyTables& tables() const { return ads_.tables(); }
 
     bool joined() const { return call_ != nullptr; }
 
@@ -100,10 +100,11 @@
     void on_response(std::string_view bytes);
     void report();
     void take(const net::HttpExchangePtr& exchange);
-    bool let_in(const std::string& path, const xds::ClientRoute& route, std::uint64_t invocation);
-    const xds::ClientTable* table_for(const Work& work) const;
-    const xds::TableLine* pick(const xds::ClientTable& table,
-                               const std::set<net::Address>& not_these, base::CounterRandom luck);
+    bool let_in(const std::string& path, const xds::ProxyRoute& route, std::uint64_t invocation);
+    const xds::ProxyTable* table_for(const Work& work) const;
+    const xds::TableEndpoint* pick(const xds::ProxyTable& table,
+                                   const std::set<net::Address>& not_these,
+                                   base::CounterRandom luck);
     void attempt(std::uint64_t id);
     void attempted(std::uint64_t id, net::HttpOutcome outcome, Micros sent);
     void finish(std::uint64_t id, net::HttpMessage response);
@@ -122,7 +123,7 @@
     bool fresh_ = true, isolated_ = false,
          stalled_ = false;  // before ads_, whose node tells of the first
     xds::AdsClient ads_;
-    xds::ClientTable startup_;
+    xds::ProxyTable startup_;
     std::unique_ptr<net::HttpServer> server_;
     std::unique_ptr<net::Dial> dial_;
     net::GrpcConnectionPtr connection_;
--- a/src/xds/ads_client.cpp
+++ b/src/xds/ads_client.cpp
@@ -80,11 +80,11 @@
         state.nonce.clear();
     }
     std::vector<Request> requests;
-    for (const Type type : kTypes) {
-        if (type == Type::Endpoints) {
-            subscription(type).names.insert(std::string(kStartup));
+    for (const ResourceType type : kResourceTypes) {
+        if (type == ResourceType::Endpoints) {
+            subscription(type).names.insert(std::string(kStartupClusterName));
         }
-        if (type == Type::Routes && subscription(type).names.empty()) {
+        if (type == ResourceType::Routes && subscription(type).names.empty()) {
             continue;
         }
         const bool is_first = requests.empty();
@@ -93,7 +93,7 @@
     return requests;
 }
 
-AdsClient::Request AdsClient::make_request(Type type, bool with_node) const {
+AdsClient::Request AdsClient::make_request(ResourceType type, bool with_node) const {
     const SubscriptionState& state = subscription(type);
     Request request;
     if (with_node) {
@@ -108,7 +108,8 @@
     return request;
 }
 
-void AdsClient::subscribe(Type type, std::set<std::string> names, std::vector<Request>& requests) {
+void AdsClient::subscribe(ResourceType type, std::set<std::string> names,
+                          std::vector<Request>& requests) {
     SubscriptionState& state = subscription(type);
     if (state.names == names) {
         return;
@@ -121,7 +122,7 @@
 
 AdsClient::ResponseResult AdsClient::on_response(const Response& response) {
     ResponseResult result;
-    const auto type = type_of(response.type_url());
+    const auto type = resource_type_of(response.type_url());
     if (!type) {
         result.rejected = {ResponseError::UnknownType,
                            "type '" + response.type_url() + "' was not asked for"};
@@ -129,8 +130,8 @@
     }
     SubscriptionState& state = subscription(*type);
     state.nonce = response.nonce();
-    ClientTables next_tables = tables_;
-    std::set<std::string> route_names = subscription(Type::Routes).names;
+    ProxyTables next_tables = tables_;
+    std::set<std::string> route_names = subscription(ResourceType::Routes).names;
     if (response_check) {
         if (std::string reason = response_check(response); !reason.empty()) {
             result.rejected = {ResponseError::RefusedByCheck, std::move(reason)};
@@ -151,25 +152,25 @@
     state.version = response.version_info();
     result.requests.push_back(make_request(*type, false));
     // Subscribe to what the accepted resources name.
-    if (*type == Type::Cluster) {
-        std::set<std::string> assignment_names{std::string(kStartup)};
+    if (*type == ResourceType::Cluster) {
+        std::set<std::string> assignment_names{std::string(kStartupClusterName)};
         for (const auto& [name, table] : tables_.clusters) {
             if (table.listed) {
                 assignment_names.insert(name);
             }
         }
-        subscribe(Type::Endpoints, std::move(assignment_names), result.requests);
+        subscribe(ResourceType::Endpoints, std::move(assignment_names), result.requests);
     }
-    if (*type == Type::Listener) {
-        subscribe(Type::Routes, std::move(route_names), result.requests);
+    if (*type == ResourceType::Listener) {
+        subscribe(ResourceType::Routes, std::move(route_names), result.requests);
     }
     return result;
 }
 
-AdsClient::Error AdsClient::apply(Type type, const Response& response, ClientTables& tables,
+AdsClient::Error AdsClient::apply(ResourceType type, const Response& response, ProxyTables& tables,
                                   std::set<std::string>& route_names) {
     std::set<std::string> listed;
-    if (type == Type::Listener) {
+    if (type == ResourceType::Listener) {
         route_names.clear();
     }
     for (const auto& any : response.resources()) {
@@ -179,16 +180,16 @@
         }
         Error error;
         switch (type) {
-            case Type::Cluster:
+            case ResourceType::Cluster:
                 error = apply_cluster(any.value(), tables, listed);
                 break;
-            case Type::Endpoints:
+            case ResourceType::Endpoints:
                 error = apply_assignment(any.value(), response.version_info(), tables);
                 break;
-            case Type::Listener:
+            case ResourceType::Listener:
                 error = apply_listener(any.value(), route_names);
                 break;
-            case Type::Routes:
+            case ResourceType::Routes:
                 error = apply_routes(any.value(), tables);
                 break;
         }
@@ -196,7 +197,7 @@
             return error;
         }
     }
-    if (type == Type::Cluster) {
+    if (type == ResourceType::Cluster) {
         for (auto& [name, table] : tables.clusters) {
             table.listed = listed.contains(name);
         }
@@ -214,7 +215,7 @@
     return std::nullopt;
 }
 
-AdsClient::Error AdsClient::apply_cluster(const std::string& bytes, ClientTables& tables,
+AdsClient::Error AdsClient::apply_cluster(const std::string& bytes, ProxyTables& tables,
                                           std::set<std::string>& listed) {
     cluster_v3::Cluster cluster;
     if (!cluster.ParseFromString(bytes)) {
@@ -223,7 +224,7 @@
     if (cluster.name().empty()) {
         return invalid("a cluster without a name");
     }
-    ClientTable& table = tables.clusters[cluster.name()];
+    ProxyTable& table = tables.clusters[cluster.name()];
     listed.insert(cluster.name());
     switch (cluster.lb_policy()) {
         case cluster_v3::Cluster::ROUND_ROBIN:
@@ -245,13 +246,13 @@
 }
 
 AdsClient::Error AdsClient::apply_assignment(const std::string& bytes, const std::string& version,
-                                             ClientTables& tables) {
+                                             ProxyTables& tables) {
     endpoint_v3::ClusterLoadAssignment assignment;
     if (!assignment.ParseFromString(bytes)) {
         return unreadable("an assignment that can't be read");
     }
-    const bool lists_ejected = assignment.cluster_name() == kStartup;
-    std::vector<TableLine> lines;
+    const bool lists_ejected = assignment.cluster_name() == kStartupClusterName;
+    std::vector<TableEndpoint> lines;
     if (lists_ejected) {
         tables.ejected.clear();
     }
@@ -262,7 +263,7 @@
                 return invalid("assignment " + assignment.cluster_name() +
                                ": an endpoint without a port");
             }
-            TableLine line;
+            TableEndpoint line;
             line.address = {socket.address(), static_cast<std::uint16_t>(socket.port_value())};
             line.zone = locality.locality().zone();
             line.weight = 1;
@@ -285,7 +286,7 @@
     if (table == tables.clusters.end()) {
         return std::nullopt;
     }
-    table->second.lines = std::move(lines);
+    table->second.endpoints = std::move(lines);
     table->second.version = version;
     return std::nullopt;
 }
@@ -307,12 +308,12 @@
     return std::nullopt;
 }
 
-AdsClient::Error AdsClient::apply_routes(const std::string& bytes, ClientTables& tables) {
+AdsClient::Error AdsClient::apply_routes(const std::string& bytes, ProxyTables& tables) {
     route_v3::RouteConfiguration config;
     if (!config.ParseFromString(bytes)) {
         return unreadable("routes that can't be read");
     }
-    std::map<std::string, ClientRoute> routes;
+    std::map<std::string, ProxyRoute> routes;
     for (const auto& host : config.virtual_hosts()) {
         for (const auto& from : host.routes()) {
             const std::string& path = from.match().path();
@@ -322,7 +323,7 @@
             if (from.has_direct_response()) {
                 continue;  // answers the requests that are not admitted
             }
-            ClientRoute route;
+            ProxyRoute route;
             if (Error error = read_route(from, tables, route)) {
                 return error;
             }
@@ -333,8 +334,8 @@
     return std::nullopt;
 }
 
-AdsClient::Error AdsClient::read_route(const route_v3::Route& from, const ClientTables& tables,
-                                       ClientRoute& route) {
+AdsClient::Error AdsClient::read_route(const route_v3::Route& from, const ProxyTables& tables,
+                                       ProxyRoute& route) {
     route.cluster = from.route().cluster();
     if (!tables.clusters.contains(route.cluster)) {
         return RejectedResponse{ResponseError::UnknownCluster,
@@ -353,7 +354,7 @@
     return read_rate_limit(from, route);
 }
 
-AdsClient::Error AdsClient::read_rate_limit(const route_v3::Route& from, ClientRoute& route) {
+AdsClient::Error AdsClient::read_rate_limit(const route_v3::Route& from, ProxyRoute& route) {
     const auto filter = from.typed_per_filter_config().find(kRateLimitFilter);
     if (filter == from.typed_per_filter_config().end()) {
         return std::nullopt;
--- a/src/xds/ads_client.h
+++ b/src/xds/ads_client.h
@@ -23,7 +23,7 @@
 namespace badgergrade::xds {
 
 /// One server in a table as a proxy holds it.
-struct TableLine {
+struct TableEndpoint {
     net::Address address;
     std::string zone;
     /// Relative to the other lines of the table.
@@ -33,12 +33,12 @@
 };
 
 /// A cluster with its endpoint assignment.
-struct ClientTable {
+struct ProxyTable {
     PickPolicy pick_policy = PickPolicy::WeightedRandom;
     /// Consecutive failures after which the proxy itself ejects a server; 0: never.
     int ejection_failures = 0;
     Micros ejection_time{};
-    std::vector<TableLine> lines;
+    std::vector<TableEndpoint> endpoints;
     /// Version of the assignment.
     std::string version;
     /// False: the cluster was removed, and is kept only because routes still name it.
@@ -46,7 +46,7 @@
 };
 
 /// How requests for one operation are routed.
-struct ClientRoute {
+struct ProxyRoute {
     std::string cluster;
     Micros timeout{};
     RetryMode retry_mode = RetryMode::Never;
@@ -62,11 +62,11 @@
 
 /// What the proxy acts on. Replaced as a whole with each accepted response: half of a response is
 /// never visible.
-struct ClientTables {
+struct ProxyTables {
     /// By request path.
-    std::map<std::string, ClientRoute> routes;
+    std::map<std::string, ProxyRoute> routes;
     /// By cluster name.
-    std::map<std::string, ClientTable> clusters;
+    std::map<std::string, ProxyTable> clusters;
     /// Must not be sent requests, whatever a table says.
     std::set<net::Address> ejected;
 };
@@ -110,9 +110,9 @@
     ResponseResult on_response(const Response& response);
 
     /// Continues with tables that an earlier stream left in force.
-    void restore_tables(ClientTables tables) { tables_ = std::move(tables); }
+    void restore_tables(ProxyTables tables) { tables_ = std::move(tables); }
 
-    const ClientTables& tables() const { return tables_; }
+    const ProxyTables& tables() const { return tables_; }
 
     /// For tests of rejected versions: called with each response before it is read. A text that is
     /// not empty rejects the response with that reason. Must not call back into this object.
@@ -127,28 +127,30 @@
 
     using Error = std::optional<RejectedResponse>;
 
-    SubscriptionState& subscription(Type type) { return subscriptions_[index(type)]; }
+    SubscriptionState& subscription(ResourceType type) { return subscriptions_[index(type)]; }
 
-    const SubscriptionState& subscription(Type type) const { return subscriptions_[index(type)]; }
+    const SubscriptionState& subscription(ResourceType type) const {
+        return subscriptions_[index(type)];
+    }
 
-    Request make_request(Type type, bool with_node) const;
-    void subscribe(Type type, std::set<std::string> names, std::vector<Request>& requests);
+    Request make_request(ResourceType type, bool with_node) const;
+    void subscribe(ResourceType type, std::set<std::string> names, std::vector<Request>& requests);
 
-    static Error apply(Type type, const Response& response, ClientTables& tables,
+    static Error apply(ResourceType type, const Response& response, ProxyTables& tables,
                        std::set<std::string>& route_names);
-    static Error apply_cluster(const std::string& bytes, ClientTables& tables,
+    static Error apply_cluster(const std::string& bytes, ProxyTables& tables,
                                std::set<std::string>& listed);
     static Error apply_assignment(const std::string& bytes, const std::string& version,
-                                  ClientTables& tables);
+                                  ProxyTables& tables);
     static Error apply_listener(const std::string& bytes, std::set<std::string>& route_names);
-    static Error apply_routes(const std::string& bytes, ClientTables& tables);
-    static Error read_route(const envoy::config::route::v3::Route& from, const ClientTables& tables,
-                            ClientRoute& route);
-    static Error read_rate_limit(const envoy::config::route::v3::Route& from, ClientRoute& route);
+    static Error apply_routes(const std::string& bytes, ProxyTables& tables);
+    static Error read_route(const envoy::config::route::v3::Route& from, const ProxyTables& tables,
+                            ProxyRoute& route);
+    static Error read_rate_limit(const envoy::config::route::v3::Route& from, ProxyRoute& route);
 
     envoy::config::core::v3::Node node_;
-    std::array<SubscriptionState, kTypes.size()> subscriptions_;
-    ClientTables tables_;
+    std::array<SubscriptionState, kResourceTypes.size()> subscriptions_;
+    ProxyTables tables_;
 };
 
 }  // namespace badgergrade::xds
--- a/src/xds/ads_server.cpp
+++ b/src/xds/ads_server.cpp
@@ -25,7 +25,7 @@
 
 AdsServer::RequestResult AdsServer::on_request(const Request& request) {
     RequestResult result;
-    const auto type = type_of(request.type_url());
+    const auto type = resource_type_of(request.type_url());
     if (!type) {
         result.ignored = {IgnoreReason::UnknownType,
                           "type '" + request.type_url() + "' is not served"};
@@ -53,7 +53,7 @@
 
 /// The first request of a type. A later one without a nonce is a proxy that starts the type over:
 /// it may have forgotten everything.
-void AdsServer::start_over(Type type, SubscriptionState& state) {
+void AdsServer::start_over(ResourceType type, SubscriptionState& state) {
     state.in_flight.clear();
     for (auto& [name, resource] : state.resources) {
         resource.sent_version = 0;
@@ -61,7 +61,8 @@
     state.send_due = is_sent_completely(type);
 }
 
-void AdsServer::update_subscription(Type type, SubscriptionState& state, const Request& request) {
+void AdsServer::update_subscription(ResourceType type, SubscriptionState& state,
+                                    const Request& request) {
     const bool names_nothing = request.resource_names_size() == 0;
     if (is_sent_completely(type) && names_nothing && (!state.requested || state.wildcard)) {
         state.wildcard = true;
@@ -86,7 +87,7 @@
     }
 }
 
-void AdsServer::handle_answer(Type type, InFlightResponse& response, const Request& request,
+void AdsServer::handle_answer(ResourceType type, InFlightResponse& response, const Request& request,
                               RequestResult& result) {
     // The same nonce a second time only changes a subscription. Its first answer counts, whatever
     // this one says; otherwise an ACK after a NACK would pass off a rejected update as applied.
@@ -110,7 +111,7 @@
     result.acknowledged = take_acknowledged_updates();
 }
 
-AdsServer::Rejection AdsServer::reject(Type type, SubscriptionState& state,
+AdsServer::Rejection AdsServer::reject(ResourceType type, SubscriptionState& state,
                                        const InFlightResponse& response,
                                        const std::string& reason) {
     Rejection rejection{type, response.version, reason, {}};
@@ -127,7 +128,8 @@
     return rejection;
 }
 
-void AdsServer::acknowledge(Type type, SubscriptionState& state, const InFlightResponse& response) {
+void AdsServer::acknowledge(ResourceType type, SubscriptionState& state,
+                            const InFlightResponse& response) {
     for (const auto& [name, version] : response.resources) {
         const auto it = state.resources.find(name);
         if (it == state.resources.end()) {
@@ -137,7 +139,7 @@
         resource.acked_version = std::max(resource.acked_version, version);
         resource.rejected = false;
     }
-    if (type != Type::Routes) {
+    if (type != ResourceType::Routes) {
         return;
     }
     const bool routes_are_current =
@@ -152,8 +154,8 @@
 
 /// Make before break: no route of the proxy names the removed clusters any more.
 void AdsServer::remove_retired_clusters() {
-    SubscriptionState& clusters = subscription(Type::Cluster);
-    SubscriptionState& assignments = subscription(Type::Endpoints);
+    SubscriptionState& clusters = subscription(ResourceType::Cluster);
+    SubscriptionState& assignments = subscription(ResourceType::Endpoints);
     for (auto it = clusters.resources.begin(); it != clusters.resources.end();) {
         if (!it->second.retiring) {
             ++it;
@@ -200,10 +202,10 @@
     if (pending.required.empty()) {
         // Nothing changed for this proxy, but an acknowledgement is wanted: the complete set of
         // clusters is sent again, and its acknowledgement is the answer.
-        SubscriptionState& clusters = subscription(Type::Cluster);
+        SubscriptionState& clusters = subscription(ResourceType::Cluster);
         clusters.resources[kUpdateItself];
         clusters.send_due = true;
-        pending.required.push_back({Type::Cluster, kUpdateItself, message.update_number});
+        pending.required.push_back({ResourceType::Cluster, kUpdateItself, message.update_number});
     }
     unannounced_.push_back({message.update_number, message.decided_at, now, message.lines});
     pending_updates_.push_back(std::move(pending));
@@ -238,7 +240,7 @@
 /// would be sent it in a loop. Not never: a removal would stay out for ever, and so would what
 /// depends on a rejected cluster (its assignment, and the routes to it).
 void AdsServer::schedule_rejected_again() {
-    for (const Type type : kTypes) {
+    for (const ResourceType type : kResourceTypes) {
         SubscriptionState& state = subscription(type);
         if (is_sent_completely(type)) {
             state.send_due = state.send_due || state.has_rejected;
@@ -271,7 +273,7 @@
 
 std::vector<AdsServer::ResponseDraft> AdsServer::take_drafts() {
     std::vector<ResponseDraft> drafts;
-    for (const Type type : kTypes) {
+    for (const ResourceType type : kResourceTypes) {
         if (auto draft = next_draft(type, Selection::Changed)) {
             drafts.push_back(std::move(*draft));
         }
@@ -332,7 +334,8 @@
     return encoded;
 }
 
-std::optional<AdsServer::ResponseDraft> AdsServer::next_draft(Type type, Selection selection) {
+std::optional<AdsServer::ResponseDraft> AdsServer::next_draft(ResourceType type,
+                                                              Selection selection) {
     if (!may_send(type)) {
         return std::nullopt;
     }
@@ -358,7 +361,7 @@
         newest_update = std::max(newest_update, update.update_number);
     }
     announced_update_ = std::max(announced_update_, newest_update);
-    if (type == Type::Cluster) {
+    if (type == ResourceType::Cluster) {
         response.resources.emplace_back(kUpdateItself, announced_update_);
     }
     draft.version = origin_ + "/" + std::to_string(newest_update);
@@ -372,7 +375,7 @@
 }
 
 /// Puts the subscribed resources that are due into the draft and marks them as sent.
-void AdsServer::select_resources(Type type, SubscriptionState& state, Selection selection,
+void AdsServer::select_resources(ResourceType type, SubscriptionState& state, Selection selection,
                                  ResponseDraft& draft, InFlightResponse& response) {
     for (auto& [name, resource] : state.resources) {
         const bool subscribed = state.wildcard || state.names.contains(name);
@@ -393,17 +396,17 @@
 }
 
 /// Make before break: routes are sent only after the assignments that they lead to.
-bool AdsServer::may_send(Type type) const {
+bool AdsServer::may_send(ResourceType type) const {
     if (!subscription(type).requested) {
         return false;
     }
-    if (type != Type::Routes) {
+    if (type != ResourceType::Routes) {
         return true;
     }
-    const auto& assignments = subscription(Type::Endpoints).resources;
+    const auto& assignments = subscription(ResourceType::Endpoints).resources;
     return std::none_of(assignments.begin(), assignments.end(), [](const auto& entry) {
         const auto& [name, resource] = entry;
-        return name != kStartup && resource.wanted &&
+        return name != kStartupClusterName && resource.wanted &&
                resource.sent_version < resource.wanted->version;
     });
 }
--- a/src/xds/ads_server.h
+++ b/src/xds/ads_server.h
@@ -58,7 +58,7 @@
 
     /// A response that the proxy refused (NACK). The proxy keeps what it had.
     struct Rejection {
-        Type type = Type::Cluster;
+        ResourceType type = ResourceType::Cluster;
         std::string version;
         /// The proxy's reason.
         std::string reason;
@@ -146,7 +146,7 @@
     };
 
     struct ResourceVersion {
-        Type type = Type::Cluster;
+        ResourceType type = ResourceType::Cluster;
         std::string name;
         std::uint64_t version = 0;
     };
@@ -159,7 +159,7 @@
 
     /// A response before it is serialized.
     struct ResponseDraft {
-        Type type = Type::Cluster;
+        ResourceType type = ResourceType::Cluster;
         std::vector<ResourcePtr> resources;
         std::string version;
         std::string nonce;
@@ -170,21 +170,24 @@
 
     /// Whether each response of a type carries all its resources (in the state-of-the-world
     /// protocol a missing cluster or listener is a removed one).
-    static constexpr bool is_sent_completely(Type type) {
-        return type == Type::Cluster || type == Type::Listener;
+    static constexpr bool is_sent_completely(ResourceType type) {
+        return type == ResourceType::Cluster || type == ResourceType::Listener;
     }
 
-    SubscriptionState& subscription(Type type) { return subscriptions_[index(type)]; }
+    SubscriptionState& subscription(ResourceType type) { return subscriptions_[index(type)]; }
 
-    const SubscriptionState& subscription(Type type) const { return subscriptions_[index(type)]; }
+    const SubscriptionState& subscription(ResourceType type) const {
+        return subscriptions_[index(type)];
+    }
 
-    static void start_over(Type type, SubscriptionState& state);
-    static void update_subscription(Type type, SubscriptionState& state, const Request& request);
-    void handle_answer(Type type, InFlightResponse& response, const Request& request,
+    static void start_over(ResourceType type, SubscriptionState& state);
+    static void update_subscription(ResourceType type, SubscriptionState& state,
+                                    const Request& request);
+    void handle_answer(ResourceType type, InFlightResponse& response, const Request& request,
                        RequestResult& result);
-    static Rejection reject(Type type, SubscriptionState& state, const InFlightResponse& response,
-                            const std::string& reason);
-    void acknowledge(Type type, SubscriptionState& state, const InFlightResponse& response);
+    static Rejection reject(ResourceType type, SubscriptionState& state,
+                            const InFlightResponse& response, const std::string& reason);
+    void acknowledge(ResourceType type, SubscriptionState& state, const InFlightResponse& response);
     void remove_retired_clusters();
     std::vector<AcknowledgedUpdate> take_acknowledged_updates();
     bool is_acknowledged(const ResourceVersion& required) const;
@@ -194,15 +197,15 @@
     void limit_pending_updates();
 
     std::vector<ResponseDraft> take_drafts();
-    std::optional<ResponseDraft> next_draft(Type type, Selection selection);
-    static void select_resources(Type type, SubscriptionState& state, Selection selection,
+    std::optional<ResponseDraft> next_draft(ResourceType type, Selection selection);
+    static void select_resources(ResourceType type, SubscriptionState& state, Selection selection,
                                  ResponseDraft& draft, InFlightResponse& response);
-    bool may_send(Type type) const;
+    bool may_send(ResourceType type) const;
     static Response to_response(const ResponseDraft& draft);
 
     std::string origin_;
     std::size_t max_pending_updates_;
-    std::array<SubscriptionState, kTypes.size()> subscriptions_;
+    std::array<SubscriptionState, kResourceTypes.size()> subscriptions_;
     std::deque<PendingUpdate> pending_updates_;
     /// Released, and not yet named in a response.
     std::vector<ReleasedUpdate> unannounced_;
--- a/src/xds/load_report.cpp
+++ b/src/xds/load_report.cpp
@@ -70,7 +70,7 @@
     }
     for (const auto& [name, demand] : report.operations) {
         auto* cluster = out.add_cluster_stats();
-        cluster->set_cluster_name(std::string(kOperationPrefix) + name);
+        cluster->set_cluster_name(std::string(kOperationClusterPrefix) + name);
         *cluster->mutable_load_report_interval() = interval;
         auto* locality = cluster->add_upstream_locality_stats();
         locality->set_total_issued_requests(static_cast<std::uint64_t>(demand.requests));
@@ -125,7 +125,8 @@
         out.rejected.push_back(count_out_of_range(cluster_name));
         return;
     }
-    OperationDemand& demand = out.report.operations[cluster_name.substr(kOperationPrefix.size())];
+    OperationDemand& demand =
+        out.report.operations[cluster_name.substr(kOperationClusterPrefix.size())];
     demand.requests += static_cast<std::int64_t>(locality.total_issued_requests());
     demand.failures += static_cast<std::int64_t>(locality.total_error_requests());
 }
@@ -141,7 +142,7 @@
             continue;
         }
         out.report.interval = std::max(out.report.interval, Micros(interval_us));
-        const bool is_operation = cluster.cluster_name().rfind(kOperationPrefix, 0) == 0;
+        const bool is_operation = cluster.cluster_name().rfind(kOperationClusterPrefix, 0) == 0;
         for (const auto& locality : cluster.upstream_locality_stats()) {
             if (is_operation) {
                 read_operation(cluster.cluster_name(), locality, out);
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -187,7 +187,7 @@
     }
     for (const TableId table : sent.tables) {
         if (!assigned.contains(table)) {
-            changes.push_back({Type::Cluster, cluster_name(table), nullptr});
+            changes.push_back({ResourceType::Cluster, cluster_name(table), nullptr});
         }
     }
     sent.tables = std::move(assigned);
@@ -211,7 +211,8 @@
 
 // ---- resources
 
-ResourcePtr SnapshotCache::make_resource(Type type, std::string name, std::string bytes) const {
+ResourcePtr SnapshotCache::make_resource(ResourceType type, std::string name,
+                                         std::string bytes) const {
     return std::make_shared<const Resource>(
         Resource{type, std::move(name), update_number_, std::move(bytes)});
 }
@@ -245,7 +246,7 @@
             TimeUtil::MicrosecondsToDuration(ejection_time_.count());
     }
     out.mutable_lrs_server()->mutable_self();
-    cached = make_resource(Type::Cluster, out.name(), serialize_deterministically(out));
+    cached = make_resource(ResourceType::Cluster, out.name(), serialize_deterministically(out));
     return cached;
 }
 
@@ -287,21 +288,23 @@
         const bool ejected = config_.ejected_servers().contains(server);
         add_endpoint(out, server_locations_.at(server), weight, ejected);
     }
-    cached = make_resource(Type::Endpoints, out.cluster_name(), serialize_deterministically(out));
+    cached = make_resource(ResourceType::Endpoints, out.cluster_name(),
+                           serialize_deterministically(out));
     return cached;
 }
 
 ResourcePtr SnapshotCache::ejected_servers() {
-    ResourcePtr& cached = current_resources_[std::string(kStartup)];
+    ResourcePtr& cached = current_resources_[std::string(kStartupClusterName)];
     if (cached) {
         return cached;
     }
     envoy::config::endpoint::v3::ClusterLoadAssignment out;
-    out.set_cluster_name(std::string(kStartup));
+    out.set_cluster_name(std::string(kStartupClusterName));
     for (const ServerId server : config_.ejected_servers()) {
         add_endpoint(out, server_locations_.at(server), 0, true);
     }
-    cached = make_resource(Type::Endpoints, out.cluster_name(), serialize_deterministically(out));
+    cached = make_resource(ResourceType::Endpoints, out.cluster_name(),
+                           serialize_deterministically(out));
     return cached;
 }
 
@@ -311,9 +314,9 @@
     }
     namespace hcm = envoy::extensions::filters::network::http_connection_manager::v3;
     hcm::HttpConnectionManager manager;
-    manager.set_stat_prefix(std::string(kListener));
+    manager.set_stat_prefix(std::string(kListenerName));
     set_source_to_ads(manager.mutable_rds()->mutable_config_source());
-    manager.mutable_rds()->set_route_config_name(std::string(kRoutes));
+    manager.mutable_rds()->set_route_config_name(std::string(kRouteConfigName));
     if (admission_mode_ == AdmissionMode::Rate) {
         // The filter without a limit of its own: each route brings its token bucket.
         envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit unlimited;
@@ -327,9 +330,9 @@
     router->mutable_typed_config()->PackFrom(
         envoy::extensions::filters::http::router::v3::Router());
     envoy::config::listener::v3::Listener out;
-    out.set_name(std::string(kListener));
+    out.set_name(std::string(kListenerName));
     out.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
-    listener_ = make_resource(Type::Listener, out.name(), serialize_deterministically(out));
+    listener_ = make_resource(ResourceType::Listener, out.name(), serialize_deterministically(out));
     return listener_;
 }
 
@@ -400,7 +403,7 @@
     admitted->set_denominator(envoy::type::v3::FractionalPercent::MILLION);
     auto* rest = host.add_routes();
     rest->set_name(operation.name + "/rate-limited");
-    rest->mutable_match()->set_path(path_of(operation.name));
+    rest->mutable_match()->set_path(operation_path(operation.name));
     rest->mutable_direct_response()->set_status(kTooManyRequests);
 }
 }  // namespace
@@ -411,9 +414,9 @@
         return cached;
     }
     route_v3::RouteConfiguration out;
-    out.set_name(std::string(kRoutes));
+    out.set_name(std::string(kRouteConfigName));
     auto* host = out.add_virtual_hosts();
-    host->set_name(std::string(kRoutes));
+    host->set_name(std::string(kRouteConfigName));
     host->add_domains("*");
     for (std::size_t k = 0; k < operations_.size(); ++k) {
         const OperationId id{static_cast<int>(k)};
@@ -425,7 +428,7 @@
             const auto [admission_limit, retry_mode] = config_.admission(table, id);
             auto* route = host->add_routes();
             route->set_name(operation.name);
-            route->mutable_match()->set_path(path_of(operation.name));
+            route->mutable_match()->set_path(operation_path(operation.name));
             auto* action = route->mutable_route();
             action->set_cluster(cluster_name(table));
             *action->mutable_timeout() =
@@ -440,7 +443,7 @@
             }
         }
     }
-    cached = make_resource(Type::Routes, out.name(), serialize_deterministically(out));
+    cached = make_resource(ResourceType::Routes, out.name(), serialize_deterministically(out));
     return cached;
 }
 
--- a/src/xds/snapshot_cache.h
+++ b/src/xds/snapshot_cache.h
@@ -22,7 +22,7 @@
 
 /// One version of one resource: immutable, shared by all streams that carry it.
 struct Resource {
-    Type type = Type::Cluster;
+    ResourceType type = ResourceType::Cluster;
     std::string name;
     /// The number of the update that made it.
     std::uint64_t version = 0;
@@ -34,7 +34,7 @@
 
 /// A resource that an update adds, replaces or removes.
 struct ResourceChange {
-    Type type = Type::Cluster;
+    ResourceType type = ResourceType::Cluster;
     std::string name;
     /// Null: removed.
     ResourcePtr resource;
@@ -125,7 +125,7 @@
     ResourcePtr listener();
     ResourcePtr routes(ProxyId proxy);
     std::string routes_key(ProxyId proxy) const;
-    ResourcePtr make_resource(Type type, std::string name, std::string bytes) const;
+    ResourcePtr make_resource(ResourceType type, std::string name, std::string bytes) const;
 
     std::vector<Operation> operations_;
     PickPolicy pick_policy_;
--- a/tests/program/core_test.cpp
+++ b/tests/program/core_test.cpp
@@ -349,11 +349,11 @@
 
     std::vector<int> ports(const char* operation) const {
         std::vector<int> out;
-        const auto route = client.tables().routes.find(xds::path_of(operation));
+        const auto route = client.tables().routes.find(xds::operation_path(operation));
         if (route == client.tables().routes.end()) {
             return out;
         }
-        for (const auto& line : client.tables().clusters.at(route->second.cluster).lines) {
+        for (const auto& line : client.tables().clusters.at(route->second.cluster).endpoints) {
             if (!line.draining) {
                 out.push_back(line.address.port);
             }
@@ -386,7 +386,7 @@
     pair.exchange();
     EXPECT_EQ(pair.ports("look"), (std::vector<int>{9001, 9002}));
     EXPECT_EQ(pair.acknowledged, std::vector<int>{5});
-    EXPECT_EQ(pair.client.tables().clusters.at("table-0").lines[1].weight, 0.5);
+    EXPECT_EQ(pair.client.tables().clusters.at("table-0").endpoints[1].weight, 0.5);
 }
 
 // A proxy is moved from one table to another. It must always have a server to choose, and the old
--- a/tests/program/governor_test.cpp
+++ b/tests/program/governor_test.cpp
@@ -82,7 +82,7 @@
     auto& [stage, one] = connected;
     stage.run(2s);
     xds::AdsClient::Request stale;
-    stale.set_type_url(std::string(xds::type_url(xds::Type::Endpoints)));
+    stale.set_type_url(std::string(xds::type_url(xds::ResourceType::Endpoints)));
     stale.set_response_nonce("no-such-nonce");
     stale.set_version_info("whatever");
     one.send(stale);
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -188,7 +188,7 @@
     // Ports of the servers that this proxy may choose for an operation.
     std::vector<int> ports(const std::string& operation) const {
         std::vector<int> out;
-        const auto route = ads.tables().routes.find(xds::path_of(operation));
+        const auto route = ads.tables().routes.find(xds::operation_path(operation));
         if (route == ads.tables().routes.end()) {
             return out;
         }
@@ -196,7 +196,7 @@
         if (table == ads.tables().clusters.end()) {
             return out;
         }
-        for (const auto& line : table->second.lines) {
+        for (const auto& line : table->second.endpoints) {
             if (!line.draining) {
                 out.push_back(line.address.port);
             }
