--- a/bench/governor_bench.cpp
+++ b/bench/governor_bench.cpp
@@ -273,10 +273,10 @@
     int changes = 0;
 };
 
-config::GovernorConfig bench_config(int streams) {
+config::InstanceConfig bench_config(int streams) {
     std::vector<config::ConfigError> mistakes;
-    auto config =
-        config::read_governor(config::IniFile::parse("bench", kSettings, mistakes), mistakes);
+    auto config = config::read_instance_config(config::IniFile::parse("bench", kSettings, mistakes),
+                                               mistakes);
     for (const auto& mistake : mistakes) {
         std::fprintf(stderr, "%s\n", config::to_text(mistake).c_str());
     }
--- a/src/adapter/host.cpp
+++ b/src/adapter/instance_host.cpp
@@ -1,4 +1,4 @@
-#include "host.h"
+#include "instance_host.h"
 
 #include <algorithm>
 #include <istream>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void Host::run(std::istream& in) {
+void InstanceHost::run(std::istream& in) {
     for (std::string text; std::getline(in, text);) {
         ++line_number_;
         if (!text.empty() && text.back() == '\r') {
@@ -35,7 +35,7 @@
     }
 }
 
-void Host::read_line(std::string_view text) {
+void InstanceHost::read_line(std::string_view text) {
     const std::string_view word = text.substr(0, text.find('\t'));
     if (missing_rows_ > 0 && word != "row") {
         report_error("an inventory ended " + std::to_string(missing_rows_) + " rows early");
@@ -71,7 +71,7 @@
     }
 }
 
-void Host::begin_frame(const WireFields& fields) {
+void InstanceHost::begin_frame(const WireFields& fields) {
     if (in_frame_) {
         report_error("a frame began inside another; the earlier one is dropped");
     }
@@ -82,7 +82,7 @@
     in_frame_ = true;
 }
 
-void Host::begin_endpoint_list(const WireFields& fields) {
+void InstanceHost::begin_endpoint_list(const WireFields& fields) {
     open_list_ = static_cast<int>(fields.integer("ref", 0, kMaxListNumber));
     endpoint_lists_[open_list_].clear();
     missing_rows_ = fields.integer("records", 0, kMaxListRows, 0);
@@ -90,7 +90,7 @@
 
 /// A failure of the policy ends the instance that it happened in, not the process: the other
 /// instances go on.
-void Host::dispatch(const WireFields& fields) {
+void InstanceHost::dispatch(const WireFields& fields) {
     const std::string id(fields.has("governor_id") ? fields.text("governor_id")
                                                    : std::string_view{});
     try {
@@ -108,7 +108,7 @@
     }
 }
 
-void Host::start_instance(const std::string& id, const WireFields& fields) {
+void InstanceHost::start_instance(const std::string& id, const WireFields& fields) {
     if (id.empty()) {
         throw InvalidLine("governor_id is missing");
     }
@@ -119,13 +119,13 @@
     instances_.emplace(id, policy::Planner(settings, seed, now_));
 }
 
-void Host::remove_instance(const std::string& id) {
+void InstanceHost::remove_instance(const std::string& id) {
     instances_.erase(id);
     failed_.erase(id);
     std::erase(touched_, id);
 }
 
-void Host::post_event(const std::string& id, const WireFields& fields) {
+void InstanceHost::post_event(const std::string& id, const WireFields& fields) {
     Event event;
     if (!read_event(fields, endpoint_lists_, event)) {
         return;
@@ -144,13 +144,13 @@
     it->second.on_event(now_, event);
 }
 
-void Host::mark_touched(const std::string& id) {
+void InstanceHost::mark_touched(const std::string& id) {
     if (std::find(touched_.begin(), touched_.end(), id) == touched_.end()) {
         touched_.push_back(id);
     }
 }
 
-void Host::reply() {
+void InstanceHost::reply() {
     std::string out;
     for (const auto& id : touched_) {
         const auto it = instances_.find(id);
@@ -175,13 +175,13 @@
     in_frame_ = false;
 }
 
-void Host::fail_instance(const std::string& id, const char* reason) {
+void InstanceHost::fail_instance(const std::string& id, const char* reason) {
     report_error(id + " broke: " + reason);
     failed_[id] = reason;
     instances_.erase(id);
 }
 
-void Host::report_error(std::string_view text) {
+void InstanceHost::report_error(std::string_view text) {
     errors_ << "line " << line_number_ << ": " << text << std::endl;
 }
 
--- a/src/adapter/host.h
+++ b/src/adapter/instance_host.h
@@ -15,11 +15,13 @@
 
 namespace badgergrade::wire {
 
-class Host {
+class InstanceHost {
 public:
     /// \param replies  gets the answers to the frames
     /// \param errors   gets one line for each input that is skipped and each instance that fails
-    Host(std::ostream& replies, std::ostream& errors) : replies_(replies), errors_(errors) {}
+    InstanceHost(std::ostream& replies, std::ostream& errors)
+        : replies_(replies),
+          errors_(errors) {}
 
     /// Reads the wire to its end. Every frame is answered and flushed; a line that can't be read is
     /// reported and skipped.
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -3,11 +3,11 @@
 /// errors on standard error.
 #include <iostream>
 
-#include "host.h"
+#include "instance_host.h"
 
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
-    badgergrade::wire::Host(std::cout, std::cerr).run(std::cin);
+    badgergrade::wire::InstanceHost(std::cout, std::cerr).run(std::cin);
     return 0;
 }
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 #include "log/log.h"
 #include "net/network.h"
 
@@ -45,7 +45,7 @@
 void add_log_option(CLI::App& command, std::string& level);
 log::Level log_level(const std::string& name, log::Level unknown = log::Level::Info);
 
-config::GovernorConfig load_governor(const std::string& path);
+config::InstanceConfig load_governor(const std::string& path);
 
 // Runs the loop until a signal to end comes; `on_end` ends what runs in order, then what is queued
 // has a moment to leave.
--- a/src/cli/common.cpp
+++ b/src/cli/common.cpp
@@ -62,7 +62,7 @@
     return it == kLevels.end() ? unknown : it->second;
 }
 
-config::GovernorConfig load_governor(const std::string& path) {
+config::InstanceConfig load_governor(const std::string& path) {
     std::vector<config::ConfigError> mistakes;
     config::IniFile file;
     try {
@@ -70,7 +70,7 @@
     } catch (const std::runtime_error& wrong) {
         throw Failure(kNoFile, wrong.what());
     }
-    auto config = config::read_governor(file, mistakes);
+    auto config = config::read_instance_config(file, mistakes);
     end_where_wrong(mistakes, path + ": ");
     return config;
 }
--- a/src/cli/governor.cpp
+++ b/src/cli/governor.cpp
@@ -17,7 +17,7 @@
 /// Records what the control plane received and decided, and logs when the recording loses anything.
 class GovernorRecording {
 public:
-    GovernorRecording(base::Clock& clock, log::Log& log, const config::GovernorConfig& config,
+    GovernorRecording(base::Clock& clock, log::Log& log, const config::InstanceConfig& config,
                       const std::string& settings, const std::string& path)
         : log_(log, config.id),
           writer_(recording::file_sink(path),
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -75,7 +75,7 @@
         // No pause before the exit: proxies connect elsewhere from SIGTERM on, so that what is
         // still queued for them is of no use.
         signals.run(end, Micros{0}, [&] { reload.begin(); });
-    } catch (const platform_server::CannotListen& error) {
+    } catch (const platform_server::ListenError& error) {
         throw Failure(kCannotListen, error.what());
     }
     log.flush();
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -87,7 +87,7 @@
     settings.dial_timeout = 2s;
     settings.redial_least = 500ms;
     settings.redial_most = 2s;
-    settings.keepalive = config.keepalive;
+    settings.keepalive = config.keepalive_interval;
     for (const auto& one : governors) {
         settings.governors.push_back(address(one));
         settings.governor_names.push_back(one);
--- a/src/config/ini.cpp
+++ b/src/config/ini.cpp
@@ -387,7 +387,7 @@
     if (it != words.end()) {
         return static_cast<int>(it - words.begin());
     }
-    const std::string near = nearest(entry->value, words);
+    const std::string near = closest_word(entry->value, words);
     add_error(section, key,
               "'" + entry->value + "' is not one of: " + joined(words) +
                   (near.empty() ? "" : "; did you mean " + near + "?"));
@@ -410,7 +410,7 @@
             }
         }
         const std::string near =
-            nearest(here.empty() ? entry.section : entry.key, here.empty() ? sections : here);
+            closest_word(here.empty() ? entry.section : entry.key, here.empty() ? sections : here);
         errors_.push_back({file_.name(), entry.line, "[" + entry.section + "] " + entry.key,
                            std::string(here.empty() ? "no such section" : "no such key here") +
                                (near.empty() ? "" : "; did you mean " + near + "?")});
@@ -419,7 +419,7 @@
                      [](const ConfigError& a, const ConfigError& b) { return a.line < b.line; });
 }
 
-std::string nearest(const std::string& word, const std::vector<std::string>& known) {
+std::string closest_word(const std::string& word, const std::vector<std::string>& known) {
     std::string best;
     std::size_t best_distance = std::max<std::size_t>(2, word.size() / 3) + 1;
     for (const auto& candidate : known) {
--- a/src/config/ini.h
+++ b/src/config/ini.h
@@ -111,6 +111,6 @@
 /// A time with its unit (us, ms, s, min, h); without a value, `error` says why.
 std::optional<Micros> parse_time(std::string_view text, std::string& error);
 /// The known word nearest to a mistyped one by edit distance; empty where none is near.
-std::string nearest(const std::string& word, const std::vector<std::string>& known);
+std::string closest_word(const std::string& word, const std::vector<std::string>& known);
 
 }  // namespace badgergrade::config
--- a/src/config/governor_config.cpp
+++ b/src/config/instance_config.cpp
@@ -1,4 +1,4 @@
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 
 #include <algorithm>
 
@@ -79,7 +79,7 @@
     }
 }
 
-void read_proxies(IniReader& in, Settings& settings, GovernorConfig& config) {
+void read_proxies(IniReader& in, Settings& settings, InstanceConfig& config) {
     in.require("forwarders", "count", "24");
     settings.proxy_count = in.integer("forwarders", "count", 1, {1, 65535});
     settings.pick_policy =
@@ -144,7 +144,7 @@
                      "; right would be " + advice);
 }
 
-void read_instance(IniReader& in, Settings& settings, GovernorConfig& config) {
+void read_instance(IniReader& in, Settings& settings, InstanceConfig& config) {
     config.id = in.text("governor", "id", config.id);
     in.require("governor", "zones", "north, south");
     config.zones = in.list("governor", "zones", {});
@@ -165,26 +165,26 @@
         in.add_error("governor", "ordinal", "counts from 0 and stays under governors");
     }
     config.seed = static_cast<std::uint64_t>(in.number("governor", "seed", 1, {0, 9e15}));
-    config.batch = in.time("governor", "batch", 4ms, 0s, 1s);
+    config.batch_window = in.time("governor", "batch", 4ms, 0s, 1s);
 }
 
-void read_xds(IniReader& in, GovernorConfig& config) {
+void read_xds(IniReader& in, InstanceConfig& config) {
     read_address(in, "xds", "listen", config.xds_address);
     config.max_connections = in.integer("xds", "connections_most", 10000, {1, 1e6});
     config.max_message_bytes =
         static_cast<std::size_t>(in.integer("xds", "message_bytes", 4 << 20, {1024, 1 << 30}));
-    config.max_queued_bytes =
+    config.max_queued_bytes_per_stream =
         static_cast<std::size_t>(in.integer("xds", "waiting_bytes", 8 << 20, {4096, 1 << 30}));
-    config.keepalive = in.time("xds", "keepalive", 10s, 0s, 1h);
+    config.keepalive_interval = in.time("xds", "keepalive", 10s, 0s, 1h);
 }
 
-void read_registry(IniReader& in, Settings& settings, GovernorConfig& config) {
+void read_registry(IniReader& in, Settings& settings, InstanceConfig& config) {
     read_address(in, "registry", "address", config.registry_address);
-    config.registry_wait = in.time("registry", "wait", 30s, 10ms, 10min);
+    config.registry_long_poll_wait = in.time("registry", "wait", 30s, 10ms, 10min);
     config.registry_timeout = in.time("registry", "timeout", 5s, 10ms, 10min);
-    config.empty_list = in.choice("registry", "empty_list", 0, {"refuse", "take"}) == 0
-                            ? EmptyList::Refuse
-                            : EmptyList::Take;
+    config.empty_list_policy = in.choice("registry", "empty_list", 0, {"refuse", "take"}) == 0
+                                   ? EmptyListPolicy::Refuse
+                                   : EmptyListPolicy::Accept;
     config.min_endpoint_fraction = in.number("registry", "shrink_doubted", 0, {0, 1});
     settings.endpoints_on_request = in.boolean("registry", "ask", false);
 }
@@ -220,9 +220,9 @@
 
 }  // namespace
 
-GovernorConfig read_governor(const IniFile& file, std::vector<ConfigError>& errors) {
+InstanceConfig read_instance_config(const IniFile& file, std::vector<ConfigError>& errors) {
     IniReader in(file, errors);
-    GovernorConfig config;
+    InstanceConfig config;
     Settings& settings = config.settings;
     read_instance(in, settings, config);
     read_xds(in, config);
--- a/src/platform_server/platform_server.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -117,8 +117,8 @@
 // the new one gives up at once. Any other reason does not go away by itself.
 void PlatformServer::retry_listen(const std::error_code& reason) {
     if (reason != asio::error::address_in_use || clock_.now() >= listen_deadline_) {
-        throw CannotListen("can't listen on " + net::to_text(config_.listen) + ": " +
-                           reason.message());
+        throw ListenError("can't listen on " + net::to_text(config_.listen) + ": " +
+                          reason.message());
     }
     warnings_.warn("listen.retry",
                    {{"listen", net::to_text(config_.listen)}, {"why", reason.message()}});
--- a/src/platform_server/platform_server.h
+++ b/src/platform_server/platform_server.h
@@ -46,14 +46,14 @@
 };
 
 /// The address to listen on can't be had.
-struct CannotListen : std::runtime_error {
+struct ListenError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 class PlatformServer {
 public:
     /// Listens at once or, while a process before this one still holds the address, as soon as it
-    /// is free within a time limit. Throws CannotListen: from here where the reason is another one,
+    /// is free within a time limit. Throws ListenError: from here where the reason is another one,
     /// out of the loop where the time is up. `wall_ahead` is Unix time less the loop's clock.
     PlatformServer(net::Loop& loop, base::ActorId actor, const platform::NodeConfig& config,
                    log::Log& log, Micros wall_ahead);
--- a/src/replay/merge.cpp
+++ b/src/replay/merge.cpp
@@ -11,7 +11,7 @@
 #include <stdexcept>
 
 #include "base/random.h"
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 #include "replay/recorder.h"
 #include "scenario/moves.h"
 
@@ -78,7 +78,7 @@
 // One life of one governor, on its own clock until it is moved.
 struct Life {
     pb::Header header;
-    config::GovernorConfig config;
+    config::InstanceConfig config;
     Micros last{};
     std::vector<std::pair<Micros, std::vector<ListedRow>>> lists;
     std::vector<Sums> sums;
@@ -131,7 +131,7 @@
     Life out;
     out.header = reader.header();
     std::vector<config::ConfigError> mistakes;
-    out.config = config::read_governor(
+    out.config = config::read_instance_config(
         config::IniFile::parse(path, out.header.settings(), mistakes), mistakes);
     if (!mistakes.empty()) {
         throw std::runtime_error(
@@ -772,7 +772,7 @@
 
     std::vector<Life>& lives_;
     Merged& merged_;
-    const config::GovernorConfig& config_;
+    const config::InstanceConfig& config_;
     Micros length_{}, calm_{};
     std::map<std::string, ServerSight> servers_;
     std::map<std::string, std::pair<int, double>> forwarders_;  // zone, rate
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -53,7 +53,7 @@
     return out;
 }
 
-pb::Header header_of(const config::GovernorConfig& config, const std::string& settings,
+pb::Header header_of(const config::InstanceConfig& config, const std::string& settings,
                      Micros begin, const std::string& wall) {
     pb::Header out;
     out.set_made_by("governor " + config.id);
--- a/src/replay/recorder.h
+++ b/src/replay/recorder.h
@@ -21,7 +21,7 @@
 
 // The head of a day's recording, and of a governor's.
 pb::Header header_of(const scenario::DayScript& script, Micros begin);
-pb::Header header_of(const config::GovernorConfig& config, const std::string& settings,
+pb::Header header_of(const config::InstanceConfig& config, const std::string& settings,
                      Micros begin, const std::string& wall);
 
 // How a try ended that its forwarder gave up with its client: behind testbed::TryEnd's own.
--- a/src/scenario/auditor.cpp
+++ b/src/scenario/auditor.cpp
@@ -29,7 +29,7 @@
     return out.str();
 }
 
-Auditor::Auditor(base::Clock& clock, const config::GovernorConfig& config)
+Auditor::Auditor(base::Clock& clock, const config::InstanceConfig& config)
     : clock_(clock),
       config_(config),
       tick_(clock, base::ActorId{1}) {
@@ -141,7 +141,7 @@
     GovernorSight& sight = governors_[name];
     // What the settings let a governor refuse has not told it anything: an empty list after a full
     // one, and one older than what the same registry gave before.
-    if (config_.empty_list == config::EmptyList::Refuse && list.servers.empty() &&
+    if (config_.empty_list_policy == config::EmptyListPolicy::Refuse && list.servers.empty() &&
         sight.servers_told > 0) {
         return;
     }
--- a/src/scenario/auditor.h
+++ b/src/scenario/auditor.h
@@ -40,7 +40,7 @@
 
 class Auditor final : public testbed::Observer {
 public:
-    Auditor(base::Clock& clock, const config::GovernorConfig& config);
+    Auditor(base::Clock& clock, const config::InstanceConfig& config);
 
     const std::vector<RuleBreak>& breaks() const { return breaks_; }
 
@@ -113,7 +113,7 @@
     double stretch_since(Micros since) const;
 
     base::Clock& clock_;
-    const config::GovernorConfig& config_;
+    const config::InstanceConfig& config_;
     base::Timer tick_;
     std::map<std::string, ForwarderSight> forwarders_;
     std::map<std::string, GovernorSight> governors_;
--- a/src/scenario/script.cpp
+++ b/src/scenario/script.cpp
@@ -257,7 +257,7 @@
         for (const Shape& s : kTroubles) {
             names.emplace_back(s.name);
         }
-        const std::string near = config::nearest(out.name, names);
+        const std::string near = config::closest_word(out.name, names);
         throw Wrong("no trouble is called '" + out.name + "'" +
                     (near.empty() ? "" : "; did you mean " + near + "?"));
     }
@@ -533,7 +533,7 @@
                 for (const auto& [key, unused] : readers) {
                     known.push_back(key);
                 }
-                const std::string near = config::nearest(word, known);
+                const std::string near = config::closest_word(word, known);
                 throw Wrong("no line begins with '" + word + "'" +
                             (near.empty() ? "" : "; did you mean " + near + "?"));
             }
@@ -547,7 +547,7 @@
     day.settings.set("forwarders", "count", std::to_string(std::max(1, day.forwarders)));
     day.settings.set("governor", "governors", std::to_string(day.governors));
     day.settings.set("governor", "ordinal", "0");
-    day.governor = config::read_governor(day.settings, mistakes);
+    day.governor = config::read_instance_config(day.settings, mistakes);
     if (mistakes.empty()) {
         check(day, name, mistakes);
     }
--- a/src/scenario/script.h
+++ b/src/scenario/script.h
@@ -21,8 +21,8 @@
 #include <string>
 #include <vector>
 
-#include "config/governor_config.h"
 #include "config/ini.h"
+#include "config/instance_config.h"
 
 namespace badgergrade::scenario {
 
@@ -98,7 +98,7 @@
     std::uint64_t seed = 1;
     Micros length{};
     config::IniFile settings;
-    config::GovernorConfig governor;
+    config::InstanceConfig governor;
     int workers = 0, forwarders = 0, governors = 1;
     double rate = 0;
     std::vector<MachineKind> kinds;
--- a/src/scenario/world.cpp
+++ b/src/scenario/world.cpp
@@ -479,7 +479,7 @@
 void World::start_governor(std::size_t k) {
     stop_governor(k);
     GovernorSlot& slot = governors_[k];
-    config::GovernorConfig config = script_.governor;
+    config::InstanceConfig config = script_.governor;
     config.id = slot.name;
     config.seed = base::seed_for(script_.seed, slot.name + "/" + std::to_string(slot.life)) >> 12;
     config.settings.ordinal = static_cast<int>(k);
--- a/src/xds_server/endpoint_list_validator.cpp
+++ b/src/xds_server/endpoint_list_validator.cpp
@@ -13,7 +13,7 @@
                                       std::to_string(accepted_.index)};
     }
     const bool lost_all = has_accepted_ && accepted_.server_count > 0 && answer.server_count == 0;
-    if (lost_all && empty_list_ == config::EmptyList::Refuse) {
+    if (lost_all && empty_list_ == config::EmptyListPolicy::Refuse) {
         return {Decision::Reject,
                 "it is empty, and the last one named " + std::to_string(accepted_.server_count)};
     }
--- a/src/xds_server/endpoint_list_validator.h
+++ b/src/xds_server/endpoint_list_validator.h
@@ -12,7 +12,7 @@
 #include <cstdint>
 #include <string>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 
 namespace badgergrade::xds_server {
 
@@ -29,7 +29,7 @@
 public:
     /// A list with fewer servers than `min_kept_fraction` of the last one must be confirmed; 0
     /// accepts any loss.
-    EndpointListValidator(config::EmptyList empty_list, double min_kept_fraction)
+    EndpointListValidator(config::EmptyListPolicy empty_list, double min_kept_fraction)
         : empty_list_(empty_list),
           min_kept_fraction_(min_kept_fraction) {}
 
@@ -45,7 +45,7 @@
     Result validate(const EndpointListHeader& answer);
 
 private:
-    config::EmptyList empty_list_;
+    config::EmptyListPolicy empty_list_;
     double min_kept_fraction_;
     bool has_accepted_ = false;
     EndpointListHeader accepted_;
--- a/src/xds_server/endpoint_watch.cpp
+++ b/src/xds_server/endpoint_watch.cpp
@@ -90,12 +90,12 @@
 }
 
 EndpointWatch::EndpointWatch(net::Loop& loop, base::ActorId actor, std::string host,
-                             const config::GovernorConfig& config)
+                             const config::InstanceConfig& config)
     : loop_(loop),
       instance_id_(config.id),
-      long_poll_wait_(config.registry_wait),
+      long_poll_wait_(config.registry_long_poll_wait),
       timeout_(config.registry_timeout),
-      validator_(config.empty_list, config.min_endpoint_fraction),
+      validator_(config.empty_list_policy, config.min_endpoint_fraction),
       pool_(loop, actor, std::move(host), net::parse_address(config.registry_address),
             config.registry_timeout, kIdleConnectionTime),
       poll_timer_(loop.clock(), actor) {}
--- a/src/xds_server/endpoint_watch.h
+++ b/src/xds_server/endpoint_watch.h
@@ -55,7 +55,7 @@
 class EndpointWatch {
 public:
     EndpointWatch(net::Loop& loop, base::ActorId actor, std::string host,
-                  const config::GovernorConfig& config);
+                  const config::InstanceConfig& config);
 
     /// An accepted list that differs from the last one.
     std::function<void(const ServerList&)> on_update;
--- a/src/xds_server/xds_server.cpp
+++ b/src/xds_server/xds_server.cpp
@@ -15,23 +15,23 @@
 /// The shortest time between two log lines about missing descriptors.
 constexpr Micros kExhaustedLogInterval = 1s;
 
-net::GrpcLimits grpc_limits(const config::GovernorConfig& config) {
+net::GrpcLimits grpc_limits(const config::InstanceConfig& config) {
     net::GrpcLimits limits;
     limits.message_bytes = config.max_message_bytes;
-    limits.waiting_bytes = config.max_queued_bytes;
-    limits.keepalive = config.keepalive;
+    limits.waiting_bytes = config.max_queued_bytes_per_stream;
+    limits.keepalive = config.keepalive_interval;
     return limits;
 }
 
 }  // namespace
 
-XdsServer::XdsServer(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
+XdsServer::XdsServer(net::Loop& loop, base::ActorId actor, const config::InstanceConfig& config,
                      log::Log& log, std::string incarnation)
     : clock_(loop.clock()),
       config_(config),
       log_(log, config.id),
       incarnation_(std::move(incarnation)),
-      policy_(clock_, actor, config.settings, config.seed, config.batch),
+      policy_(clock_, actor, config.settings, config.seed, config.batch_window),
       snapshots_(config.settings, config.ejection_time),
       send_queue_(config.settings.channel_lines_per_second),
       load_reports_(config.settings),
--- a/src/xds_server/xds_server.h
+++ b/src/xds_server/xds_server.h
@@ -19,7 +19,7 @@
 #include <string>
 #include <vector>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 #include "log/log.h"
 #include "net/grpc.h"
 #include "pacing/paced_send_queue.h"
@@ -40,7 +40,7 @@
 public:
     /// Listens at once; throws std::system_error if the port is not available. `incarnation` tells
     /// this start from earlier ones of the same instance; it is part of every version.
-    XdsServer(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
+    XdsServer(net::Loop& loop, base::ActorId actor, const config::InstanceConfig& config,
               log::Log& log, std::string incarnation);
 
     /// Breaks all connections at once, as the death of the process would.
@@ -111,7 +111,7 @@
     void close_report_interval();
 
     base::Clock& clock_;
-    config::GovernorConfig config_;
+    config::InstanceConfig config_;
     log::Logger log_;
     std::string incarnation_;
     XdsServerMetrics metrics_;
--- a/tests/fuzz/messages_fuzz.cpp
+++ b/tests/fuzz/messages_fuzz.cpp
@@ -2,7 +2,7 @@
 // settings.
 #include <cstdint>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 #include "xds/ads_client.h"
 #include "xds/ads_server.h"
 #include "xds/load_report.h"
@@ -92,8 +92,8 @@
             } catch (const std::runtime_error&) {}
             break;
         default:
-            config::read_governor(config::IniFile::parse("fuzz.ini", std::string(bytes), mistakes),
-                                  mistakes);
+            config::read_instance_config(
+                config::IniFile::parse("fuzz.ini", std::string(bytes), mistakes), mistakes);
     }
     return 0;
 }
--- a/tests/program/config_test.cpp
+++ b/tests/program/config_test.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 
 namespace badgergrade::test {
 namespace {
@@ -21,7 +21,7 @@
 std::vector<std::string> mistakes_in(const std::string& text) {
     std::vector<config::ConfigError> mistakes;
     const auto file = config::IniFile::parse("g.ini", text, mistakes);
-    config::read_governor(file, mistakes);
+    config::read_instance_config(file, mistakes);
     std::vector<std::string> out;
     for (const auto& mistake : mistakes) {
         out.push_back(config::to_text(mistake));
--- a/tests/program/governor_test.cpp
+++ b/tests/program/governor_test.cpp
@@ -165,8 +165,8 @@
 TEST(Governor, AProxyThatStopsReadingIsDisconnected) {
     Stage stage(settings("[log]\nlevel = debug\n"),
                 false);  // real time: the kernel's buffers are part of it
-    stage.config.max_queued_bytes = 32768;
-    stage.config.keepalive = 0us;
+    stage.config.max_queued_bytes_per_stream = 32768;
+    stage.config.keepalive_interval = 0us;
     for (int k = 0; k < 400; ++k) {
         stage.list("s" + std::to_string(k), k % 2 ? "north" : "south", 10000 + k);
     }
@@ -437,7 +437,7 @@
 // second answer; older and empty lists are rejected, and a new incarnation of the registry may
 // count from the start.
 TEST(EndpointListValidator, ConfirmsASuddenLossOnce) {
-    xds_server::EndpointListValidator validator(config::EmptyList::Refuse, 0.5);
+    xds_server::EndpointListValidator validator(config::EmptyListPolicy::Refuse, 0.5);
     using Decision = xds_server::EndpointListValidator::Decision;
     EXPECT_EQ(validator.validate({"r", 5, 10}).decision, Decision::Accept);
     EXPECT_EQ(validator.validate({"r", 5, 10}).decision, Decision::Unchanged);
--- a/tests/program/node_moments_test.cpp
+++ b/tests/program/node_moments_test.cpp
@@ -233,13 +233,13 @@
 }
 
 // Failure: another process holds the address for good, and the instance would wait for ever without
-// anybody noticing. After the time limit CannotListen must end it.
+// anybody noticing. After the time limit ListenError must end it.
 TEST(NodeMoments, ListeningFailsWhenTheAddressStaysInUse) {
     RawStage stage;
     RawListener other;
     stage.config.listen = other.address();
     stage.start();
-    EXPECT_THROW(stage.run(11s), platform_server::CannotListen);
+    EXPECT_THROW(stage.run(11s), platform_server::ListenError);
 }
 
 // ---- discovery
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 #include "net/grpc.h"
 #include "testbed/registry.h"
 #include "xds/ads_client.h"
@@ -50,10 +50,10 @@
 message_bytes = 65536
 )";
 
-inline config::GovernorConfig settings(const std::string& more = {}) {
+inline config::InstanceConfig settings(const std::string& more = {}) {
     std::vector<config::ConfigError> mistakes;
     auto file = config::IniFile::parse("test.ini", std::string(kSettings) + more, mistakes);
-    auto config = config::read_governor(file, mistakes);
+    auto config = config::read_instance_config(file, mistakes);
     for (const auto& mistake : mistakes) {
         ADD_FAILURE() << config::to_text(mistake);
     }
@@ -63,7 +63,7 @@
 
 // A control plane instance with its registry, on the virtual clock unless told otherwise.
 struct Stage {
-    explicit Stage(config::GovernorConfig from = settings(), bool is_virtual = true)
+    explicit Stage(config::InstanceConfig from = settings(), bool is_virtual = true)
         : loop(is_virtual ? std::make_unique<net::Loop>(1000s) : std::make_unique<net::Loop>()),
           config(std::move(from)) {
         loop->keeps_ledger = true;
@@ -110,7 +110,7 @@
     }
 
     std::unique_ptr<net::Loop> loop;
-    config::GovernorConfig config;
+    config::InstanceConfig config;
     std::vector<std::string> lines;
     std::unique_ptr<log::Log> log;
     std::unique_ptr<testbed::Registry> registry;
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -11,7 +11,7 @@
 #include <set>
 #include <sstream>
 
-#include "host.h"
+#include "instance_host.h"
 
 using namespace badgergrade;
 
@@ -524,7 +524,7 @@
     std::istringstream from(input);
     std::ostringstream replies;
     std::ostringstream complaints;
-    wire::Host(replies, complaints).run(from);
+    wire::InstanceHost(replies, complaints).run(from);
     for (const auto& [kind, what] : wanted) {
         const std::string& seen = kind == '!' ? complaints.str() : replies.str();
         const bool there = seen.find(what) != std::string::npos;
