--- a/src/cli/day.cpp
+++ b/src/cli/day.cpp
@@ -32,19 +32,19 @@
     recording::WriterOptions how;
     // The virtual clock can wait for the disk; the real one can't.
     how.when_full = options.clock == scenario::ClockKind::Virtual ? recording::WhenFull::Wait
-                                                                  : recording::WhenFull::Lose;
-    recording::WriterFigures figures;
+                                                                  : recording::WhenFull::Drop;
+    recording::WriterStats figures;
     scenario::DayRun result;
     try {
-        result = replay::record_day(script, options, path, how, figures);
-    } catch (const recording::CannotWrite& wrong) {
+        result = replay::record_scenario(script, options, path, how, figures);
+    } catch (const recording::WriteError& wrong) {
         throw Failure(kNoFile, wrong.what());
     }
-    if (!figures.failed.empty()) {
-        throw Failure(kNoFile, figures.failed);
+    if (!figures.error.empty()) {
+        throw Failure(kNoFile, figures.error);
     }
     result.machine["recorded"] = {
-        {"records", figures.records}, {"bytes", figures.bytes}, {"lost", figures.lost}};
+        {"records", figures.records}, {"bytes", figures.bytes}, {"lost", figures.lost_records}};
     return result;
 }
 
@@ -60,7 +60,7 @@
     bool differs = false;
     std::string first;
     for (int n = 0; n < args.runs; ++n) {
-        std::optional<replay::GovernorFiles> files;
+        std::optional<replay::InstanceRecorder> files;
         if (n == 0 && !args.governors.empty()) {
             files.emplace(args.governors, script);
             options.before = [&](scenario::World& world) {
--- a/src/cli/governor.cpp
+++ b/src/cli/governor.cpp
@@ -20,8 +20,8 @@
     GovernorRecording(base::Clock& clock, log::Log& log, const config::GovernorConfig& config,
                       const std::string& settings, const std::string& path)
         : log_(log, config.id),
-          writer_(recording::file_sink(path),
-                  replay::header_of(config, settings, clock.now(), base::wall_time_text())),
+          writer_(recording::open_file_sink(path),
+                  replay::make_header(config, settings, clock.now(), base::wall_time_text())),
           recorder_(writer_),
           flush_timer_(clock, base::ActorId{0}) {
         flush();
@@ -32,21 +32,22 @@
     void finish() {
         flush_timer_.stop();
         writer_.finish();
-        const auto figures = writer_.figures();
-        log_.info("recording.ended",
-                  {{"records", figures.records}, {"bytes", figures.bytes}, {"lost", figures.lost}});
+        const auto figures = writer_.stats();
+        log_.info("recording.ended", {{"records", figures.records},
+                                      {"bytes", figures.bytes},
+                                      {"lost", figures.lost_records}});
     }
 
 private:
     void flush() {
         flush_timer_.after(kFlushInterval, [this] { flush(); });
         writer_.flush();
-        const auto figures = writer_.figures();
-        if (!figures.failed.empty() && !std::exchange(has_logged_failure_, true)) {
-            log_.error("recording.failed", {{"why", figures.failed}});
+        const auto figures = writer_.stats();
+        if (!figures.error.empty() && !std::exchange(has_logged_failure_, true)) {
+            log_.error("recording.failed", {{"why", figures.error}});
         }
-        if (figures.lost > std::exchange(logged_lost_records_, figures.lost)) {
-            log_.warn("recording.lost", {{"records", figures.lost}});
+        if (figures.lost_records > std::exchange(logged_lost_records_, figures.lost_records)) {
+            log_.warn("recording.lost", {{"records", figures.lost_records}});
         }
     }
 
--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -2,9 +2,9 @@
 
 #include "cli/cli.h"
 #include "replay/merge.h"
-#include "replay/play.h"
 #include "replay/recorder.h"
 #include "replay/report.h"
+#include "replay/runner.h"
 
 namespace badgergrade::cli {
 namespace {
@@ -25,7 +25,7 @@
     }
 }
 
-replay::RecordedDay load(const std::string& path) {
+replay::RecordedRun load(const std::string& path) {
     try {
         return replay::load_recording(path);
     } catch (const std::runtime_error& wrong) {
@@ -35,14 +35,14 @@
 
 // What is wrong with a recording is told, and does not end the command: it is played as far as it
 // goes.
-void warn_of_damage(const replay::RecordedDay& day) {
+void warn_of_damage(const replay::RecordedRun& day) {
     for (const auto& damage : day.damage) {
         std::fprintf(stderr, "%s: byte %llu: %s\n", day.path.c_str(),
-                     static_cast<unsigned long long>(damage.at), damage.what.c_str());
+                     static_cast<unsigned long long>(damage.offset), damage.description.c_str());
     }
-    if (day.lost > 0) {
+    if (day.lost_records > 0) {
         std::fprintf(stderr, "%s: %llu records were lost while it was recorded\n", day.path.c_str(),
-                     static_cast<unsigned long long>(day.lost));
+                     static_cast<unsigned long long>(day.lost_records));
     }
 }
 
@@ -59,13 +59,13 @@
 }
 
 // What both of run and compare take.
-replay::PlayOptions play_options(const Args& args) {
-    replay::PlayOptions out;
+replay::ReplayOptions play_options(const Args& args) {
+    replay::ReplayOptions out;
     out.clock = args.clock == "real" ? scenario::ClockKind::Real : scenario::ClockKind::Virtual;
     out.from = time_of(args.from, "--from");
     out.to = time_of(args.to, "--to");
     if (!args.lead.empty()) {
-        out.lead = time_of(args.lead, "--lead");
+        out.warm_up = time_of(args.lead, "--lead");
     }
     if (args.seed > 0) {
         out.seed = args.seed;
@@ -82,7 +82,7 @@
     Contents out;
     for (const auto& block : reader.blocks()) {
         out.records += block.records;
-        out.lost += block.lost;
+        out.lost += block.lost_records;
         out.last = std::max(out.last, block.last);
     }
     return out;
@@ -97,10 +97,10 @@
                 header.wall_begin().empty() ? "" : ", begun ", header.wall_begin().c_str());
     const auto [records, lost, last] = contents_of(reader);
     std::printf("%llu bytes, %zu blocks, %llu records over %s, %llu lost while recording, %s\n",
-                static_cast<unsigned long long>(reader.bytes()), reader.blocks().size(),
+                static_cast<unsigned long long>(reader.file_bytes()), reader.blocks().size(),
                 static_cast<unsigned long long>(records), scenario::in_seconds(last).c_str(),
                 static_cast<unsigned long long>(lost),
-                reader.finished() ? "ended in order" : "not ended in order");
+                reader.is_complete() ? "ended in order" : "not ended in order");
     for (const auto& note : header.notes()) {
         std::printf("  %s\n", note.c_str());
     }
@@ -110,23 +110,24 @@
     }
     const auto day = load(path);
     warn_of_damage(day);
-    for (const auto& [kind, count] : day.kinds) {
+    for (const auto& [kind, count] : day.record_counts) {
         std::printf("  %-14s %llu\n", kind.c_str(), static_cast<unsigned long long>(count));
     }
     if (day.invocations > 0) {
-        std::printf("%.1f bytes an invocation, all records counted in\n",
-                    static_cast<double>(reader.bytes()) / static_cast<double>(day.invocations));
+        std::printf(
+            "%.1f bytes an invocation, all records counted in\n",
+            static_cast<double>(reader.file_bytes()) / static_cast<double>(day.invocations));
     }
-    if (day.kinds.contains("results")) {
+    if (day.record_counts.contains("results")) {
         std::printf("service as recorded: %.4f, worst 10 s %.4f\n",
                     day.figures["whole_day"]["service"].get<double>(),
                     day.figures["worst_10_s"].get<double>());
     }
-    for (const auto& trouble : day.troubles) {
-        std::printf("  at %s %s%s\n", scenario::in_seconds(trouble.at).c_str(),
-                    trouble.text.c_str(),
-                    trouble.lasts > base::Micros{0}
-                        ? (" for " + scenario::in_seconds(trouble.lasts)).c_str()
+    for (const auto& trouble : day.faults) {
+        std::printf("  at %s %s%s\n", scenario::in_seconds(trouble.start).c_str(),
+                    trouble.description.c_str(),
+                    trouble.duration > base::Micros{0}
+                        ? (" for " + scenario::in_seconds(trouble.duration)).c_str()
                         : "");
     }
     return kGood;
@@ -137,8 +138,8 @@
     reader.scan();
     const auto [records, lost, last] = contents_of(reader);
     for (const auto& damage : reader.damage()) {
-        std::printf("%s: byte %llu: %s\n", path.c_str(), static_cast<unsigned long long>(damage.at),
-                    damage.what.c_str());
+        std::printf("%s: byte %llu: %s\n", path.c_str(),
+                    static_cast<unsigned long long>(damage.offset), damage.description.c_str());
     }
     std::printf("%s: %zu whole blocks, %llu records to %s, %s\n", path.c_str(),
                 reader.blocks().size(), static_cast<unsigned long long>(records),
@@ -147,8 +148,8 @@
     return reader.damage().empty() ? kGood : kRuleBroken;
 }
 
-replay::Trial trial_of(const replay::RecordedDay& day, const std::string& config,
-                       const std::vector<std::string>& texts) {
+replay::Variant trial_of(const replay::RecordedRun& day, const std::string& config,
+                         const std::vector<std::string>& texts) {
     std::vector<config::ConfigError> mistakes;
     std::optional<config::IniFile> file;
     if (!config.empty()) {
@@ -158,9 +159,9 @@
             throw Failure(kNoFile, wrong.what());
         }
     }
-    replay::Sets sets;
+    replay::SettingOverrides sets;
     for (const auto& text : texts) {
-        const auto set = replay::read_set(text);
+        const auto set = replay::parse_override(text);
         if (!set) {
             throw Failure(
                 kBadSettings,
@@ -169,7 +170,7 @@
         }
         sets.push_back(*set);
     }
-    auto out = replay::read_trial(day, file, sets, mistakes);
+    auto out = replay::read_variant(day, file, sets, mistakes);
     end_where_wrong(mistakes, "", "; nothing was played");
     return out;
 }
@@ -188,9 +189,9 @@
     bool differs = false;
     std::string first;
     for (int n = 0; n < args.runs; ++n) {
-        replay::Played played;
+        replay::ReplayResult played;
         try {
-            played = replay::play(day, trial, options);
+            played = replay::run_replay(day, trial, options);
         } catch (const std::runtime_error& wrong) {
             throw Failure(kBadSettings, wrong.what());
         }
@@ -203,7 +204,7 @@
         first = text;
         std::printf("setting: %s\n%s", trial.name.c_str(),
                     scenario::to_text(played.script, played.run).c_str());
-        if (day.kinds.contains("results")) {
+        if (day.record_counts.contains("results")) {
             std::printf("as recorded: service %.4f, worst 10 s %.4f\n",
                         day.figures["whole_day"]["service"].get<double>(),
                         day.figures["worst_10_s"].get<double>());
@@ -224,26 +225,26 @@
 }
 
 int merge(const Args& args) {
-    replay::Merged merged;
+    replay::MergeResult merged;
     try {
         merged = replay::merge_recordings(args.files, args.file);
     } catch (const std::runtime_error& wrong) {
         throw Failure(kNoFile, wrong.what());
     }
     for (const auto& damage : merged.damage) {
-        std::fprintf(stderr, "byte %llu: %s\n", static_cast<unsigned long long>(damage.at),
-                     damage.what.c_str());
+        std::fprintf(stderr, "byte %llu: %s\n", static_cast<unsigned long long>(damage.offset),
+                     damage.description.c_str());
     }
     std::printf("%s: %llu invocations, %llu moves\n", args.file.c_str(),
                 static_cast<unsigned long long>(merged.invocations),
-                static_cast<unsigned long long>(merged.moves));
+                static_cast<unsigned long long>(merged.actions));
     for (const auto& note : merged.notes) {
         std::printf("  %s\n", note.c_str());
     }
     return kGood;
 }
 
-void write_report(const std::string& path, const replay::RecordedDay& day,
+void write_report(const std::string& path, const replay::RecordedRun& day,
                   const replay::Comparison& comparison) {
     if (path.ends_with(".json")) {
         return write_text(path, replay::to_json(day, comparison).dump(1) + "\n");
@@ -283,9 +284,10 @@
     for (const auto& path : args.reports) {
         write_report(path, day, comparison);
     }
-    const bool broken =
-        !comparison.a.first.run.breaks.empty() || !comparison.b.first.run.breaks.empty();
-    const bool differs = args.clock == "virtual" && !(comparison.a.same && comparison.b.same);
+    const bool broken = !comparison.a.first_replay.run.breaks.empty() ||
+                        !comparison.b.first_replay.run.breaks.empty();
+    const bool differs =
+        args.clock == "virtual" && !(comparison.a.identical && comparison.b.identical);
     return broken || differs ? kRuleBroken : kGood;
 }
 
--- a/src/recording/reader.cpp
+++ b/src/recording/reader.cpp
@@ -106,7 +106,7 @@
         const auto body = frame_at(at, head, next, why);
         pb::Block block;
         if (body && head.kind == FrameKind::Block && block.ParseFromString(*body)) {
-            const Span span = span_of(block);
+            const TimeRange span = time_range_of(block);
             blocks_.push_back({at, span.first, span.last,
                                static_cast<std::uint64_t>(block.records_size()), block.lost()});
         } else if (body && head.kind == FrameKind::Index &&
@@ -136,17 +136,18 @@
     FrameHead head;
     std::uint64_t next = 0;
     std::string why;
-    const auto body = frame_at(blocks_.at(block).at, head, next, why);
+    const auto body = frame_at(blocks_.at(block).offset, head, next, why);
     pb::Block out;
     if (!body || head.kind != FrameKind::Block || !out.ParseFromString(*body)) {
         throw std::runtime_error(path_ + ": block " + std::to_string(block + 1) + " at byte " +
-                                 std::to_string(blocks_[block].at) + ": " +
+                                 std::to_string(blocks_[block].offset) + ": " +
                                  (why.empty() ? "holds no records" : why));
     }
     return out;
 }
 
-void Reader::each(Micros from, Micros to, const std::function<void(const pb::Block&)>& take) {
+void Reader::for_each_block(Micros from, Micros to,
+                            const std::function<void(const pb::Block&)>& take) {
     for (std::size_t k = 0; k < blocks_.size(); ++k) {
         if (blocks_[k].last < from || blocks_[k].first >= to) {
             continue;
@@ -155,7 +156,7 @@
         try {
             block = read(k);
         } catch (const std::runtime_error& wrong) {
-            damage_.push_back({blocks_[k].at, wrong.what()});
+            damage_.push_back({blocks_[k].offset, wrong.what()});
         }
         if (block) {
             take(*block);
--- a/src/recording/reader.h
+++ b/src/recording/reader.h
@@ -13,16 +13,16 @@
 
 namespace badgergrade::recording {
 
-struct BlockPlace {
-    std::uint64_t at = 0;
+struct BlockInfo {
+    std::uint64_t offset = 0;
     Micros first{}, last{};
-    std::uint64_t records = 0, lost = 0;
+    std::uint64_t records = 0, lost_records = 0;
 };
 
 // What is wrong with a file, and where.
 struct Damage {
-    std::uint64_t at = 0;
-    std::string what;
+    std::uint64_t offset = 0;
+    std::string description;
 };
 
 class Reader {
@@ -32,12 +32,12 @@
 
     const pb::Header& header() const { return header_; }
 
-    std::uint64_t bytes() const { return size_; }
+    std::uint64_t file_bytes() const { return size_; }
 
     // Its index was found whole: the recording was ended in order.
-    bool finished() const { return finished_; }
+    bool is_complete() const { return finished_; }
 
-    const std::vector<BlockPlace>& blocks() const { return blocks_; }
+    const std::vector<BlockInfo>& blocks() const { return blocks_; }
 
     // Found on opening; for a finished file only what its index shows.
     const std::vector<Damage>& damage() const { return damage_; }
@@ -50,7 +50,7 @@
     pb::Block read(std::size_t block);
     // All whole blocks that hold something from `from` on and before `to`, in the file's order.
     // Damaged ones go to `damage` and are left out.
-    void each(Micros from, Micros to, const std::function<void(const pb::Block&)>& take);
+    void for_each_block(Micros from, Micros to, const std::function<void(const pb::Block&)>& take);
 
 private:
     std::string bytes_at(std::uint64_t at, std::size_t count);
@@ -66,7 +66,7 @@
     std::uint64_t size_ = 0, first_block_ = 0;
     pb::Header header_;
     bool finished_ = false;
-    std::vector<BlockPlace> blocks_;
+    std::vector<BlockInfo> blocks_;
     std::vector<Damage> damage_;
 };
 
--- a/src/recording/writer.cpp
+++ b/src/recording/writer.cpp
@@ -19,7 +19,7 @@
         : path_(path),
           file_(std::fopen(path.c_str(), "wb"), &std::fclose) {
         if (!file_) {
-            throw CannotWrite(path + ": can't be made: " + std::strerror(errno));
+            throw WriteError(path + ": can't be made: " + std::strerror(errno));
         }
     }
 
@@ -43,22 +43,22 @@
 
 }  // namespace
 
-Span span_of(const pb::Block& block) {
-    Span out{Micros(block.first_us()), Micros(block.first_us())};
-    each_record(block, [&](Micros at, const pb::Record&) {
+TimeRange time_range_of(const pb::Block& block) {
+    TimeRange out{Micros(block.first_us()), Micros(block.first_us())};
+    for_each_record(block, [&](Micros at, const pb::Record&) {
         out.first = std::min(out.first, at);
         out.last = std::max(out.last, at);
     });
     return out;
 }
 
-std::string name_in(const pb::Block& block, std::uint32_t number) {
+std::string name_at(const pb::Block& block, std::uint32_t number) {
     return number == 0 || number > static_cast<std::uint32_t>(block.names_size())
                ? std::string{}
                : block.names(static_cast<int>(number) - 1);
 }
 
-std::unique_ptr<Sink> file_sink(const std::string& path) {
+std::unique_ptr<Sink> open_file_sink(const std::string& path) {
     return std::make_unique<FileSink>(path);
 }
 
@@ -69,12 +69,12 @@
     pb::Header told = header;
     told.set_format(kFormat);
     const std::string frame =
-        pack_frame(FrameKind::Header, told.SerializeAsString(), options_.level);
+        pack_frame(FrameKind::Header, told.SerializeAsString(), options_.compression_level);
     std::string why;
     if (!sink_->write(frame, why)) {
-        throw CannotWrite(why);
+        throw WriteError(why);
     }
-    at_ = figures_.bytes = frame.size();
+    at_ = stats_.bytes = frame.size();
     thread_ = std::thread([this] { run(); });
 }
 
@@ -84,8 +84,8 @@
 
 pb::Record& Writer::add(Micros now) {
     const Micros at = now - begin_;
-    if (open_ &&
-        (size_ > options_.block_bytes || at - Micros(open_->first_us()) >= options_.block_span)) {
+    if (open_ && (size_ > options_.target_block_bytes ||
+                  at - Micros(open_->first_us()) >= options_.max_block_duration)) {
         close_block();
     }
     if (!open_) {
@@ -134,15 +134,15 @@
     const auto count = static_cast<std::uint64_t>(block->records_size());
     if (when_full == WhenFull::Wait) {
         room_.wait(lock, [this] {
-            return waiting_.size() < options_.blocks_waiting_most || !figures_.failed.empty();
+            return waiting_.size() < options_.max_queued_blocks || !stats_.error.empty();
         });
     }
-    if (waiting_.size() >= options_.blocks_waiting_most || !figures_.failed.empty()) {
+    if (waiting_.size() >= options_.max_queued_blocks || !stats_.error.empty()) {
         if (lost_ == 0) {
             lost_from_ = Micros(block->first_us());
         }
         lost_ += count;
-        figures_.lost += count;
+        stats_.lost_records += count;
         return;
     }
     if (lost_ > 0) {
@@ -177,20 +177,20 @@
     std::string frame;
     std::string why;
     try {
-        frame = pack_frame(FrameKind::Block, block.SerializeAsString(), options_.level);
+        frame = pack_frame(FrameKind::Block, block.SerializeAsString(), options_.compression_level);
     } catch (const std::exception& wrong) {
         why = wrong.what();
     }
     if (!why.empty() || !write(frame)) {
         const std::lock_guard lock(mutex_);
         if (!why.empty()) {
-            figures_.failed = why;
+            stats_.error = why;
         }
-        figures_.lost += count;
+        stats_.lost_records += count;
         room_.notify_all();
         return;
     }
-    const Span span = span_of(block);
+    const TimeRange span = time_range_of(block);
     auto& entry = *index_.add_blocks();
     entry.set_at(at);
     entry.set_first_us(span.first.count());
@@ -198,8 +198,8 @@
     entry.set_records(count);
     entry.set_lost(block.lost());
     const std::lock_guard lock(mutex_);
-    figures_.records += count;
-    ++figures_.blocks;
+    stats_.records += count;
+    ++stats_.blocks;
 }
 
 bool Writer::write(std::string_view bytes) {
@@ -208,9 +208,9 @@
     const std::lock_guard lock(mutex_);
     if (good) {
         at_ += bytes.size();
-        figures_.bytes += bytes.size();
+        stats_.bytes += bytes.size();
     } else {
-        figures_.failed = why.empty() ? "can't be written" : why;
+        stats_.error = why.empty() ? "can't be written" : why;
     }
     return good;
 }
@@ -232,17 +232,17 @@
         more_.notify_one();
     }
     thread_.join();
-    if (!figures_.failed.empty()) {
+    if (!stats_.error.empty()) {
         return;
     }
     const std::uint64_t at = at_;
-    write(pack_frame(FrameKind::Index, index_.SerializeAsString(), options_.level) +
+    write(pack_frame(FrameKind::Index, index_.SerializeAsString(), options_.compression_level) +
           pack_trailer(at));
 }
 
-WriterFigures Writer::figures() const {
+WriterStats Writer::stats() const {
     const std::lock_guard lock(mutex_);
-    return figures_;
+    return stats_;
 }
 
 }  // namespace badgergrade::recording
--- a/src/recording/writer.h
+++ b/src/recording/writer.h
@@ -31,45 +31,45 @@
     virtual bool write(std::string_view bytes, std::string& why) = 0;
 };
 
-struct CannotWrite : std::runtime_error {
+struct WriteError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Throws CannotWrite when the file can't be made.
-std::unique_ptr<Sink> file_sink(const std::string& path);
+// Throws WriteError when the file can't be made.
+std::unique_ptr<Sink> open_file_sink(const std::string& path);
 
 // The earliest and the latest time in a block; a clock may have gone back in it.
-struct Span {
+struct TimeRange {
     Micros first{}, last{};
 };
 
-Span span_of(const pb::Block& block);
+TimeRange time_range_of(const pb::Block& block);
 
 // Each record with its time, and a name by its number (empty for 0 and for a number that the block
 // does not hold).
 template <class Take>
-void each_record(const pb::Block& block, const Take& take) {
+void for_each_record(const pb::Block& block, const Take& take) {
     Micros at(block.first_us());
     for (const auto& record : block.records()) {
         take(at += Micros(record.after_us()), record);
     }
 }
 
-std::string name_in(const pb::Block& block, std::uint32_t number);
+std::string name_at(const pb::Block& block, std::uint32_t number);
 
-enum class WhenFull { Lose, Wait };
+enum class WhenFull { Drop, Wait };
 
 struct WriterOptions {
-    std::size_t block_bytes = 192 << 10;  // about; a block is closed past this
-    Micros block_span = std::chrono::seconds(5);
-    std::size_t blocks_waiting_most = 32;
-    WhenFull when_full = WhenFull::Lose;
-    int level = 3;  // zstd's
+    std::size_t target_block_bytes = 192 << 10;  // about; a block is closed past this
+    Micros max_block_duration = std::chrono::seconds(5);
+    std::size_t max_queued_blocks = 32;
+    WhenFull when_full = WhenFull::Drop;
+    int compression_level = 3;  // zstd's
 };
 
-struct WriterFigures {
-    std::uint64_t records = 0, blocks = 0, bytes = 0, lost = 0;
-    std::string failed;  // why writing ended, where it did
+struct WriterStats {
+    std::uint64_t records = 0, blocks = 0, bytes = 0, lost_records = 0;
+    std::string error;  // why writing ended, where it did
 };
 
 class Writer {
@@ -85,13 +85,13 @@
     std::uint32_t name(std::string_view text);
 
     // The number of the last invocation that came in the block of the last record; for differences.
-    std::int64_t& last_id() { return last_id_; }
+    std::int64_t& last_invocation_id() { return last_id_; }
 
     // Closes the open block, so that all until now will be written.
     void flush();
     // Writes what is left and the index, and waits for it.
     void finish();
-    WriterFigures figures() const;
+    WriterStats stats() const;
 
 private:
     void close_block();
@@ -120,7 +120,7 @@
     std::condition_variable more_, room_;
     std::deque<std::unique_ptr<pb::Block>> waiting_;
     bool ending_ = false;
-    WriterFigures figures_;
+    WriterStats stats_;
     std::thread thread_;
 };
 
--- a/src/replay/compare.cpp
+++ b/src/replay/compare.cpp
@@ -13,28 +13,28 @@
 
 constexpr std::size_t kTextShown = 300;
 
-SettingResult play_often(const RecordedDay& day, const Trial& trial, int runs,
-                         const PlayOptions& options) {
-    SettingResult out;
-    out.trial = trial;
+VariantResult play_often(const RecordedRun& day, const Variant& variant, int runs,
+                         const ReplayOptions& options) {
+    VariantResult out;
+    out.variant = variant;
     out.runs = runs;
     std::string text;
     for (int n = 0; n < runs; ++n) {
-        Played played = play(day, trial, options);
+        ReplayResult played = run_replay(day, variant, options);
         out.service.push_back(played.run.result["figures"]["whole_day"]["service"].get<double>());
         if (n == 0) {
             text = played.run.result.dump();
-            out.first = std::move(played);
+            out.first_replay = std::move(played);
         } else {
             // The decisions as well: two days may come to the same by other ways.
-            out.same =
-                out.same && played.run.result.dump() == text && played.trail == out.first.trail;
+            out.identical = out.identical && played.run.result.dump() == text &&
+                            played.trace == out.first_replay.trace;
         }
     }
     return out;
 }
 
-std::string shown(const std::optional<Trail::Step>& step, bool decision) {
+std::string shown(const std::optional<Trace::Entry>& step, bool decision) {
     if (!step) {
         return "nothing more";
     }
@@ -46,25 +46,25 @@
            (decision ? " decided: " : " heard: ") + text;
 }
 
-void put(std::vector<Difference>& out, const std::string& name, const ordered_json& a,
+void put(std::vector<FigurePair>& out, const std::string& name, const ordered_json& a,
          const ordered_json& b, bool part) {
     out.push_back(
         {name, a.is_number() ? a.get<double>() : 0, b.is_number() ? b.get<double>() : 0, part});
 }
 
-ordered_json setting_json(const SettingResult& setting) {
-    ordered_json out = setting.first.run.result;
-    out["setting"] = setting.trial.name;
+ordered_json setting_json(const VariantResult& setting) {
+    ordered_json out = setting.first_replay.run.result;
+    out["setting"] = setting.variant.name;
     out["runs"] = setting.runs;
-    out["runs_match"] = setting.same;
+    out["runs_match"] = setting.identical;
     return out;
 }
 
-ordered_json parting_json(const std::optional<Parting>& parting) {
+ordered_json parting_json(const std::optional<Divergence>& parting) {
     if (!parting) {
         return nullptr;
     }
-    const auto one = [](const std::optional<Trail::Step>& step) -> ordered_json {
+    const auto one = [](const std::optional<Trace::Entry>& step) -> ordered_json {
         if (!step) {
             return nullptr;
         }
@@ -79,9 +79,9 @@
 
 }  // namespace
 
-std::optional<Parting> first_parting(const std::vector<Trail::Step>& a,
-                                     const std::vector<Trail::Step>& b, bool decisions) {
-    const auto next = [&](const std::vector<Trail::Step>& steps, std::size_t at) {
+std::optional<Divergence> first_divergence(const std::vector<Trace::Entry>& a,
+                                           const std::vector<Trace::Entry>& b, bool decisions) {
+    const auto next = [&](const std::vector<Trace::Entry>& steps, std::size_t at) {
         while (at < steps.size() && steps[at].decision != decisions) {
             ++at;
         }
@@ -97,8 +97,8 @@
     if (i >= a.size() && j >= b.size()) {
         return std::nullopt;
     }
-    Parting out;
-    out.step = step;
+    Divergence out;
+    out.index = step;
     if (i < a.size()) {
         out.a = a[i];
     }
@@ -108,20 +108,22 @@
     return out;
 }
 
-Comparison compare(const RecordedDay& day, const Trial& a, const Trial& b, int runs,
-                   const PlayOptions& options) {
+Comparison compare(const RecordedRun& day, const Variant& a, const Variant& b, int runs,
+                   const ReplayOptions& options) {
     Comparison out{play_often(day, a, runs, options), play_often(day, b, runs, options), {}, {}};
-    out.heard = first_parting(out.a.first.trail, out.b.first.trail, false);
-    out.decided = first_parting(out.a.first.trail, out.b.first.trail, true);
+    out.event_divergence =
+        first_divergence(out.a.first_replay.trace, out.b.first_replay.trace, false);
+    out.decision_divergence =
+        first_divergence(out.a.first_replay.trace, out.b.first_replay.trace, true);
     return out;
 }
 
-std::vector<Difference> differences(const Comparison& comparison) {
-    const auto& a = comparison.a.first.run.result;
-    const auto& b = comparison.b.first.run.result;
+std::vector<FigurePair> compare_figures(const Comparison& comparison) {
+    const auto& a = comparison.a.first_replay.run.result;
+    const auto& b = comparison.b.first_replay.run.result;
     const auto& fa = a["figures"];
     const auto& fb = b["figures"];
-    std::vector<Difference> out;
+    std::vector<FigurePair> out;
     put(out, "whole day", fa["whole_day"]["service"], fb["whole_day"]["service"], true);
     put(out, "worst 10 s", fa["worst_10_s"], fb["worst_10_s"], true);
     for (const auto* group : {"by_operation", "by_zone"}) {
@@ -172,25 +174,25 @@
 }
 
 std::vector<std::string> changed_settings(const Comparison& comparison) {
-    const auto values = [](const Trial& trial) {
+    const auto values = [](const Variant& variant) {
         std::map<std::string, std::string> out;
-        for (const auto& entry : trial.settings.entries()) {
+        for (const auto& entry : variant.settings.entries()) {
             out["[" + entry.section + "] " + entry.key] = entry.value;
         }
-        if (trial.more_workers != 0) {
+        if (variant.added_servers != 0) {
             out["[replay] workers"] =
-                (trial.more_workers > 0 ? "+" : "") + std::to_string(trial.more_workers);
+                (variant.added_servers > 0 ? "+" : "") + std::to_string(variant.added_servers);
         }
-        if (trial.traffic != 1) {
-            out["[replay] traffic"] = (std::ostringstream() << trial.traffic).str();
+        if (variant.traffic_factor != 1) {
+            out["[replay] traffic"] = (std::ostringstream() << variant.traffic_factor).str();
         }
-        if (trial.startup) {
-            out["[replay] startup"] = std::to_string(*trial.startup);
+        if (variant.startup_servers) {
+            out["[replay] startup"] = std::to_string(*variant.startup_servers);
         }
         return out;
     };
-    const auto a = values(comparison.a.trial);
-    const auto b = values(comparison.b.trial);
+    const auto a = values(comparison.a.variant);
+    const auto b = values(comparison.b.variant);
     std::set<std::string> keys;
     for (const auto* all : {&a, &b}) {
         for (const auto& [key, value] : *all) {
@@ -209,15 +211,16 @@
     return out;
 }
 
-std::vector<std::string> parting_text(const Comparison& comparison) {
-    if (!comparison.heard && !comparison.decided) {
+std::vector<std::string> divergence_text(const Comparison& comparison) {
+    if (!comparison.event_divergence && !comparison.decision_divergence) {
         return {"the governors heard and decided the same all day"};
     }
     std::vector<std::string> out;
     const bool heard_first =
-        comparison.heard &&
-        (!comparison.decided || comparison.heard->at() <= comparison.decided->at());
-    const auto tell = [&](const std::optional<Parting>& parting, bool decision) {
+        comparison.event_divergence &&
+        (!comparison.decision_divergence ||
+         comparison.event_divergence->at() <= comparison.decision_divergence->at());
+    const auto tell = [&](const std::optional<Divergence>& parting, bool decision) {
         if (!parting) {
             return;
         }
@@ -227,49 +230,49 @@
         out.push_back("  B: " + shown(parting->b, decision));
     };
     if (heard_first) {
-        tell(comparison.heard, false);
+        tell(comparison.event_divergence, false);
     }
-    tell(comparison.decided, true);
+    tell(comparison.decision_divergence, true);
     if (!heard_first) {
-        tell(comparison.heard, false);
+        tell(comparison.event_divergence, false);
     }
-    if (!heard_first && comparison.decided) {
+    if (!heard_first && comparison.decision_divergence) {
         out.emplace_back(
             "until then they had heard the same: the settings alone made the difference");
     }
     return out;
 }
 
-ordered_json to_json(const RecordedDay& day, const Comparison& comparison) {
+ordered_json to_json(const RecordedRun& day, const Comparison& comparison) {
     ordered_json out;
     out["recording"] = day.header.made_by();
     out["recorded"] = {{"service", day.figures["whole_day"]["service"]},
                        {"worst_10_s", day.figures["worst_10_s"]}};
     out["changed"] = changed_settings(comparison);
-    for (const auto& one : differences(comparison)) {
+    for (const auto& one : compare_figures(comparison)) {
         out["differences"].push_back(
             {{"what", one.name}, {"a", one.a}, {"b", one.b}, {"b_less_a", one.b - one.a}});
     }
-    out["first_heard_otherwise"] = parting_json(comparison.heard);
-    out["first_other_decision"] = parting_json(comparison.decided);
+    out["first_heard_otherwise"] = parting_json(comparison.event_divergence);
+    out["first_other_decision"] = parting_json(comparison.decision_divergence);
     out["a"] = setting_json(comparison.a);
     out["b"] = setting_json(comparison.b);
     return out;
 }
 
-std::string to_text(const RecordedDay& day, const Comparison& comparison) {
+std::string to_text(const RecordedRun& day, const Comparison& comparison) {
     std::ostringstream out;
     out << std::fixed;
     out << day.header.made_by() << ", " << day.invocations << " invocations";
     out.precision(4);
-    if (day.kinds.contains("results")) {
+    if (day.record_counts.contains("results")) {
         out << "; as recorded: service " << day.figures["whole_day"]["service"].get<double>();
     }
     out << "\n";
-    const auto setting = [&](const char* which, const SettingResult& s) {
-        out << which << ": " << s.trial.name << ": " << s.runs << " runs, "
-            << (s.same ? "the same to the byte" : "they DIFFER");
-        if (!s.same) {
+    const auto setting = [&](const char* which, const VariantResult& s) {
+        out << which << ": " << s.variant.name << ": " << s.runs << " runs, "
+            << (s.identical ? "the same to the byte" : "they DIFFER");
+        if (!s.identical) {
             const auto [least, most] = std::minmax_element(s.service.begin(), s.service.end());
             out << ", service from " << *least << " to " << *most;
         }
@@ -281,24 +284,25 @@
         out << "  " << text << "\n";
     }
     out << "                                     A           B       B - A\n";
-    for (const auto& one : differences(comparison)) {
+    for (const auto& one : compare_figures(comparison)) {
         // Counts that are 0 on both sides say nothing; rules always do.
-        if (!one.part && one.a == 0 && one.b == 0 && one.name.find("rule") == std::string::npos) {
+        if (!one.is_fraction && one.a == 0 && one.b == 0 &&
+            one.name.find("rule") == std::string::npos) {
             continue;
         }
-        out.precision(one.part ? 4 : 0);
+        out.precision(one.is_fraction ? 4 : 0);
         out << "  " << one.name
             << std::string(one.name.size() < 30 ? 30 - one.name.size() : 1, ' ');
         for (const double v : {one.a, one.b, one.b - one.a}) {
             std::ostringstream cell;
-            cell.precision(one.part ? 4 : 0);
+            cell.precision(one.is_fraction ? 4 : 0);
             cell << std::fixed << v;
             out << std::string(cell.str().size() < 12 ? 12 - cell.str().size() : 1, ' ')
                 << cell.str();
         }
         out << "\n";
     }
-    for (const auto& text : parting_text(comparison)) {
+    for (const auto& text : divergence_text(comparison)) {
         out << text << "\n";
     }
     return out.str();
--- a/src/replay/compare.h
+++ b/src/replay/compare.h
@@ -7,51 +7,51 @@
 #include <string>
 #include <vector>
 
-#include "replay/play.h"
+#include "replay/runner.h"
 
 namespace badgergrade::replay {
 
-struct SettingResult {
-    Trial trial;
+struct VariantResult {
+    Variant variant;
     int runs = 0;
-    bool same = true;  // all runs the same to the byte
-    Played first;
+    bool identical = true;  // all runs the same to the byte
+    ReplayResult first_replay;
     std::vector<double> service;  // whole day, run by run
 };
 
 // The first step at which two trails differ, one decision or one thing heard.
-struct Parting {
-    std::size_t step = 0;
-    std::optional<Trail::Step> a, b;  // nothing: that trail has ended
+struct Divergence {
+    std::size_t index = 0;
+    std::optional<Trace::Entry> a, b;  // nothing: that trail has ended
 
     Micros at() const { return a && b ? std::min(a->at, b->at) : a ? a->at : b ? b->at : Micros{}; }
 };
 
-std::optional<Parting> first_parting(const std::vector<Trail::Step>& a,
-                                     const std::vector<Trail::Step>& b, bool decisions);
+std::optional<Divergence> first_divergence(const std::vector<Trace::Entry>& a,
+                                           const std::vector<Trace::Entry>& b, bool decisions);
 
 struct Comparison {
-    SettingResult a, b;
-    std::optional<Parting> heard, decided;
+    VariantResult a, b;
+    std::optional<Divergence> event_divergence, decision_divergence;
 };
 
-Comparison compare(const RecordedDay& day, const Trial& a, const Trial& b, int runs,
-                   const PlayOptions& options);
+Comparison compare(const RecordedRun& day, const Variant& a, const Variant& b, int runs,
+                   const ReplayOptions& options);
 
 // A named figure under both settings.
-struct Difference {
+struct FigurePair {
     std::string name;
     double a = 0, b = 0;
-    bool part = true;  // of 1; else a count
+    bool is_fraction = true;  // of 1; else a count
 };
 
-std::vector<Difference> differences(const Comparison& comparison);
+std::vector<FigurePair> compare_figures(const Comparison& comparison);
 
-nlohmann::ordered_json to_json(const RecordedDay& day, const Comparison& comparison);
-std::string to_text(const RecordedDay& day, const Comparison& comparison);
+nlohmann::ordered_json to_json(const RecordedRun& day, const Comparison& comparison);
+std::string to_text(const RecordedRun& day, const Comparison& comparison);
 // What changed between the two, key by key, in words.
 std::vector<std::string> changed_settings(const Comparison& comparison);
 // "at 24.204 s governor-0 heard: ... under A, ... under B".
-std::vector<std::string> parting_text(const Comparison& comparison);
+std::vector<std::string> divergence_text(const Comparison& comparison);
 
 }  // namespace badgergrade::replay
--- a/src/replay/merge.cpp
+++ b/src/replay/merge.cpp
@@ -107,10 +107,10 @@
         }
     }
 
-    std::vector<HeardList> heard() const {
-        std::vector<HeardList> out;
+    std::vector<ReceivedList> heard() const {
+        std::vector<ReceivedList> out;
         for (const auto& [at, rows] : lists) {
-            HeardList one{at, {}, {}};
+            ReceivedList one{at, {}, {}};
             for (const auto& row : rows) {
                 one.content += row.server + (row.state == ServerState::Ready ? " " : "- ");
                 if (row.started != 0us) {
@@ -141,11 +141,11 @@
         throw std::runtime_error(path + ": holds a whole day already, recorded by " +
                                  out.header.made_by());
     }
-    reader.each(Micros::min(), Micros::max(), [&](const pb::Block& block) {
+    reader.for_each_block(Micros::min(), Micros::max(), [&](const pb::Block& block) {
         const auto name = [&](std::uint32_t n) {
-            return recording::name_in(block, n);
+            return recording::name_at(block, n);
         };
-        recording::each_record(block, [&](Micros at, const pb::Record& record) {
+        recording::for_each_record(block, [&](Micros at, const pb::Record& record) {
             out.last = std::max(out.last, at);
             if (!record.has_told()) {
                 return;
@@ -183,7 +183,7 @@
         });
     });
     for (const auto& one : reader.damage()) {
-        damage.push_back({one.at, path + ": " + one.what});
+        damage.push_back({one.offset, path + ": " + one.description});
     }
     return out;
 }
@@ -207,7 +207,7 @@
 
 class Assembler {
 public:
-    Assembler(std::vector<Life>& lives, Merged& merged)
+    Assembler(std::vector<Life>& lives, MergeResult& merged)
         : lives_(lives),
           merged_(merged),
           config_(lives.front().config) {}
@@ -725,21 +725,21 @@
         for (const auto& note : merged_.notes) {
             header.add_notes(note);
         }
-        recording::Writer writer(recording::file_sink(path), header,
+        recording::Writer writer(recording::open_file_sink(path), header,
                                  {.when_full = recording::WhenFull::Wait});
         auto move = moves_.begin();
         std::int64_t id = 0;
         const auto write_moves = [&](Micros until) {
             for (; move != moves_.end() && move->at <= until; ++move) {
-                write_move(writer, move->at, *move);
+                write_action(writer, move->at, *move);
             }
         };
         for (const auto& one : came) {
             write_moves(one.at);
             auto& to = *writer.add(one.at).mutable_came();
             ++id;
-            to.set_id_more(id - writer.last_id());
-            writer.last_id() = id;
+            to.set_id_more(id - writer.last_invocation_id());
+            writer.last_invocation_id() = id;
             to.set_forwarder(writer.name(one.forwarder));
             to.set_operation(static_cast<std::uint32_t>(one.operation));
             to.set_work_us(static_cast<std::uint64_t>(std::max(
@@ -748,17 +748,17 @@
         }
         write_moves(Micros::max());
         writer.finish();
-        if (const auto figures = writer.figures(); !figures.failed.empty()) {
-            throw std::runtime_error(figures.failed);
+        if (const auto figures = writer.stats(); !figures.error.empty()) {
+            throw std::runtime_error(figures.error);
         }
         merged_.invocations = came.size();
-        merged_.moves = moves_.size();
+        merged_.actions = moves_.size();
     }
 
     // Of mean 1 out of an even draw, mostly small with a tail, as work is.
     static double spread(double luck) { return 0.4 + 1.8 * luck * luck; }
 
-    static std::string clock_note(const Alignment& clock) {
+    static std::string clock_note(const ClockAlignment& clock) {
         std::ostringstream out;
         out << clock.governor << ": moved by " << clock.offset.count() << " us, ";
         if (clock.exchanges > 0) {
@@ -771,7 +771,7 @@
     }
 
     std::vector<Life>& lives_;
-    Merged& merged_;
+    MergeResult& merged_;
     const config::GovernorConfig& config_;
     Micros length_{}, calm_{};
     std::map<std::string, ServerSight> servers_;
@@ -787,12 +787,13 @@
 
 }  // namespace
 
-Alignment align(const std::vector<HeardList>& base, const std::vector<HeardList>& other) {
+ClockAlignment align_clocks(const std::vector<ReceivedList>& base,
+                            const std::vector<ReceivedList>& other) {
     // The same servers may stand on the list at several times of a day: the offset that most lists
     // agree on is the one.
     std::vector<Micros> offsets;
-    for (const HeardList& mine : other) {
-        for (const HeardList& b : base) {
+    for (const ReceivedList& mine : other) {
+        for (const ReceivedList& b : base) {
             if (b.content == mine.content) {
                 offsets.push_back(b.at - mine.at);
             }
@@ -801,10 +802,10 @@
     // One start of a server is one moment, whoever heard of it and when.
     std::set<std::pair<std::string, Micros>> here;
     std::set<std::pair<std::string, Micros>> there;
-    for (const HeardList& list : base) {
+    for (const ReceivedList& list : base) {
         here.insert(list.starts.begin(), list.starts.end());
     }
-    for (const HeardList& list : other) {
+    for (const ReceivedList& list : other) {
         there.insert(list.starts.begin(), list.starts.end());
     }
     for (const auto& [server, started] : there) {
@@ -825,7 +826,7 @@
             most = end - k;
         }
     }
-    Alignment out;
+    ClockAlignment out;
     out.exchanges = static_cast<int>(most);
     if (most == 0) {
         return out;
@@ -837,8 +838,8 @@
     return out;
 }
 
-Merged merge_recordings(const std::vector<std::string>& paths, const std::string& out) {
-    Merged merged;
+MergeResult merge_recordings(const std::vector<std::string>& paths, const std::string& out) {
+    MergeResult merged;
     std::vector<Life> lives;
     lives.reserve(paths.size());
     for (const auto& path : paths) {
@@ -855,7 +856,7 @@
     const auto base = first.heard();
     const auto base_wall = wall(first.header);
     for (std::size_t k = 1; k < lives.size(); ++k) {
-        Alignment clock = align(base, lives[k].heard());
+        ClockAlignment clock = align_clocks(base, lives[k].heard());
         const bool own =
             lives[k].config.id == first.config.id && base_wall && wall(lives[k].header);
         if (own) {
--- a/src/replay/merge.h
+++ b/src/replay/merge.h
@@ -24,26 +24,26 @@
 
 using base::Micros;
 
-struct Alignment {
+struct ClockAlignment {
     std::string governor;
     Micros offset{};    // added to its times
     Micros spread{};    // how far the exchanges seen disagree
     int exchanges = 0;  // 0: by the wall clock alone
 };
 
-struct Merged {
-    std::vector<Alignment> clocks;
+struct MergeResult {
+    std::vector<ClockAlignment> clocks;
     std::vector<std::string> notes;
-    std::uint64_t invocations = 0, moves = 0;
+    std::uint64_t invocations = 0, actions = 0;
     std::vector<recording::Damage> damage;
 };
 
 // Reads governors' recordings and writes the day to `out`. Throws std::runtime_error where they
 // tell of different fleets, or hold too little.
-Merged merge_recordings(const std::vector<std::string>& paths, const std::string& out);
+MergeResult merge_recordings(const std::vector<std::string>& paths, const std::string& out);
 
 // One list as two governors heard it: when, and what stood on it.
-struct HeardList {
+struct ReceivedList {
     Micros at{};
     std::string content;
     std::vector<std::pair<std::string, Micros>>
@@ -51,6 +51,7 @@
 };
 
 // By how much `other` must be moved to lie on `base`; exchanges 0 where they share no list.
-Alignment align(const std::vector<HeardList>& base, const std::vector<HeardList>& other);
+ClockAlignment align_clocks(const std::vector<ReceivedList>& base,
+                            const std::vector<ReceivedList>& other);
 
 }  // namespace badgergrade::replay
--- a/src/replay/recorded_day.cpp
+++ b/src/replay/recorded_run.cpp
@@ -1,4 +1,4 @@
-#include "replay/recorded_day.h"
+#include "replay/recorded_run.h"
 
 #include <cstdlib>
 #include <set>
@@ -83,7 +83,7 @@
 // Builds the day out of its records, in their order.
 class Builder {
 public:
-    Builder(RecordedDay& day, const scenario::DayScript& script)
+    Builder(RecordedRun& day, const scenario::DayScript& script)
         : day_(day),
           script_(script),
           figures_(script, 0us, script.length, {}) {}
@@ -91,8 +91,8 @@
     void take(const pb::Block& block) {
         block_ = &block;
         last_id_ = 0;
-        recording::each_record(block, [this](Micros told, const pb::Record& record) {
-            ++day_.kinds[kind_of(record)];
+        recording::for_each_record(block, [this](Micros told, const pb::Record& record) {
+            ++day_.record_counts[kind_of(record)];
             ++day_.records;
             take(steady(told), record);
         });
@@ -123,7 +123,7 @@
         return told + moved_by_;
     }
 
-    std::string name(std::uint32_t number) const { return recording::name_in(*block_, number); }
+    std::string name(std::uint32_t number) const { return recording::name_at(*block_, number); }
 
     void take(Micros at, const pb::Record& record) {
         if (record.has_move()) {
@@ -137,7 +137,7 @@
         }
         if (record.has_trouble()) {
             const auto& t = record.trouble();
-            day_.troubles.push_back(
+            day_.faults.push_back(
                 {at, Micros(t.lasts_us()), t.name() + (t.whom().empty() ? "" : " " + t.whom())});
         }
         if (record.has_tried()) {
@@ -150,7 +150,7 @@
         out.at = at;
         out.opening = from.opening();
         // Only with the move before itself: where that is lost, this one stands alone.
-        out.joined = from.joined() && !day_.world.moves.empty() && day_.world.moves.back().at == at;
+        out.joined = from.joined() && !day_.input.moves.empty() && day_.input.moves.back().at == at;
         scenario::Move& m = out.what;
         m.kind = static_cast<scenario::MoveKind>(from.kind());
         m.who = name(from.who());
@@ -170,7 +170,7 @@
         if (m.kind == scenario::MoveKind::AddForwarder) {
             figures_.place(m.who, m.text);
         }
-        day_.world.moves.push_back(std::move(out));
+        day_.input.moves.push_back(std::move(out));
     }
 
     // Where blocks are lost, a move may name a host whose beginning is lost with them, or start
@@ -231,7 +231,7 @@
         figures_.invocation_came(at, one);
         ++day_.invocations;
         open_[one.id] = {one.operation, one.forwarder, at};
-        day_.world.traffic[one.forwarder].push_back(std::move(one));
+        day_.input.traffic[one.forwarder].push_back(std::move(one));
     }
 
     void ended(Micros at, const pb::Ended& from) {
@@ -263,7 +263,7 @@
         Micros came{};
     };
 
-    RecordedDay& day_;
+    RecordedRun& day_;
     const scenario::DayScript& script_;
     scenario::Figures figures_;
     const pb::Block* block_ = nullptr;
@@ -274,7 +274,7 @@
 
 }  // namespace
 
-std::string without_settings(const std::string& script) {
+std::string strip_settings(const std::string& script) {
     std::istringstream in(script);
     std::string out;
     for (std::string line; std::getline(in, line);) {
@@ -287,14 +287,14 @@
     return out;
 }
 
-RecordedDay load_recording(const std::string& path) {
+RecordedRun load_recording(const std::string& path) {
     recording::Reader reader(path);
-    RecordedDay out;
+    RecordedRun out;
     out.path = path;
     out.header = reader.header();
     std::vector<config::ConfigError> mistakes;
     out.settings = config::IniFile::parse(path, out.header.settings(), mistakes);
-    out.script = without_settings(out.header.script());
+    out.script = strip_settings(out.header.script());
     if (out.header.script().empty()) {
         throw std::runtime_error(path + ": holds no day, but what " + out.header.made_by() +
                                  " met: make a day of it with replay merge");
@@ -307,14 +307,14 @@
     script.seed = out.header.seed();
     out.length = Micros(out.header.length_us());
     Builder builder(out, script);
-    reader.each(Micros::min(), Micros::max(), [&](const pb::Block& block) {
+    reader.for_each_block(Micros::min(), Micros::max(), [&](const pb::Block& block) {
         builder.take(block);
-        out.lost += block.lost();
+        out.lost_records += block.lost();
     });
     builder.close();
     const auto& damage = reader.damage();
     out.damage.insert(out.damage.begin(), damage.begin(), damage.end());
-    if (!reader.finished() && !reader.blocks().empty()) {
+    if (!reader.is_complete() && !reader.blocks().empty()) {
         // Cut: the day ends where the file does.
         Micros last{};
         for (const auto& block : reader.blocks()) {
@@ -322,7 +322,7 @@
         }
         out.length = std::min(out.length, last + 1us);
     }
-    if (out.world.moves.empty() || out.invocations == 0) {
+    if (out.input.moves.empty() || out.invocations == 0) {
         throw std::runtime_error(path + ": holds no day that could be played");
     }
     return out;
--- a/src/replay/recorded_day.h
+++ b/src/replay/recorded_run.h
@@ -15,31 +15,31 @@
 using base::Micros;
 namespace pb = badgergrade::recording::v1;
 
-struct TroubleSpan {
-    Micros at{}, lasts{};  // lasts 0: for good
-    std::string text;
+struct FaultSpan {
+    Micros start{}, duration{};  // lasts 0: for good
+    std::string description;
 };
 
-struct RecordedDay {
+struct RecordedRun {
     std::string path;
     pb::Header header;
     config::IniFile settings;  // as in force when it was recorded
     std::string script;        // the day's text, without its settings
-    scenario::GivenWorld world;
-    std::vector<TroubleSpan> troubles;
+    scenario::GivenWorld input;
+    std::vector<FaultSpan> faults;
     Micros length{};
-    std::uint64_t records = 0, lost = 0, invocations = 0;
+    std::uint64_t records = 0, lost_records = 0, invocations = 0;
     std::vector<recording::Damage> damage;
     nlohmann::ordered_json
         figures;  // as recorded; tries and effects of the stand-ins only as far as recorded
-    std::map<std::string, std::uint64_t> kinds;  // records by kind
+    std::map<std::string, std::uint64_t> record_counts;  // records by kind
 };
 
 // Reads it whole. Throws std::runtime_error where the file is none, or holds no day that could be
 // played.
-RecordedDay load_recording(const std::string& path);
+RecordedRun load_recording(const std::string& path);
 
 // The script without the lines that name settings: those stand in the recording.
-std::string without_settings(const std::string& script);
+std::string strip_settings(const std::string& script);
 
 }  // namespace badgergrade::replay
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-pb::Header header_of(const scenario::DayScript& script, Micros begin) {
+pb::Header make_header(const scenario::DayScript& script, Micros begin) {
     pb::Header out;
     out.set_made_by("day " + script.name);
     out.set_settings(script.settings.to_text());
@@ -53,8 +53,8 @@
     return out;
 }
 
-pb::Header header_of(const config::GovernorConfig& config, const std::string& settings,
-                     Micros begin, const std::string& wall) {
+pb::Header make_header(const config::GovernorConfig& config, const std::string& settings,
+                       Micros begin, const std::string& wall) {
     pb::Header out;
     out.set_made_by("governor " + config.id);
     out.set_settings(settings);
@@ -67,9 +67,9 @@
     return out;
 }
 
-void Recorder::follow(scenario::World& world) {
+void Recorder::attach_to(scenario::World& world) {
     world.on_move = [this](Micros now, bool opening, bool joined, const scenario::Move& move) {
-        write_move(writer_, now, {now, opening, joined, move});
+        write_action(writer_, now, {now, opening, joined, move});
     };
     world.on_trouble = [this](Micros now, const scenario::Trouble& trouble) {
         struck(now, trouble);
@@ -77,7 +77,7 @@
     world.governor_watcher = this;
 }
 
-void write_move(recording::Writer& writer, Micros now, const scenario::TimedMove& timed) {
+void write_action(recording::Writer& writer, Micros now, const scenario::TimedMove& timed) {
     const scenario::Move& move = timed.what;
     auto& out = *writer.add(now).mutable_move();
     out.set_kind(static_cast<std::uint32_t>(move.kind));
@@ -134,7 +134,7 @@
 
 void Recorder::invocation_came(Micros now, const testbed::Invocation& what) {
     auto& out = *writer_.add(now).mutable_came();
-    auto& last = writer_.last_id();
+    auto& last = writer_.last_invocation_id();
     const auto id = static_cast<std::int64_t>(what.id);
     out.set_id_more(id - last);
     last = id;
@@ -149,11 +149,11 @@
     const auto first = tries_.lower_bound({what.id, std::string()});
     auto it = first;
     for (; it != tries_.end() && it->first.first == what.id; ++it) {
-        write_try(now, it->first.second, what.id, it->second, kGivenUp);
+        write_try(now, it->first.second, what.id, it->second, kAttemptAbandoned);
     }
     tries_.erase(first, it);
     auto& out = *writer_.add(now).mutable_ended();
-    out.set_id_less(writer_.last_id() - static_cast<std::int64_t>(what.id));
+    out.set_id_less(writer_.last_invocation_id() - static_cast<std::int64_t>(what.id));
     out.set_result(static_cast<std::uint32_t>(result));
     out.set_client_tries(static_cast<std::uint32_t>(what.client_tries));
 }
@@ -166,7 +166,7 @@
         return;
     }
     // The one before was given up with its client's try.
-    write_try(now, forwarder, invocation, it->second, kGivenUp);
+    write_try(now, forwarder, invocation, it->second, kAttemptAbandoned);
     it->second = std::move(one);
 }
 
@@ -183,7 +183,7 @@
 void Recorder::write_try(Micros now, const std::string& forwarder, std::uint64_t invocation,
                          const OpenTry& one, std::uint32_t end) {
     auto& out = *writer_.add(now).mutable_tried();
-    out.set_id_less(writer_.last_id() - static_cast<std::int64_t>(invocation));
+    out.set_id_less(writer_.last_invocation_id() - static_cast<std::int64_t>(invocation));
     out.set_server(writer_.name(one.server));
     out.set_number(static_cast<std::uint32_t>(one.number));
     out.set_end(end);
@@ -357,22 +357,22 @@
 
 // ---- a whole day
 
-scenario::DayRun record_day(const scenario::DayScript& script, scenario::DayOptions options,
-                            const std::string& path, recording::WriterOptions how,
-                            recording::WriterFigures& figures) {
+scenario::DayRun record_scenario(const scenario::DayScript& script, scenario::DayOptions options,
+                                 const std::string& path, recording::WriterOptions how,
+                                 recording::WriterStats& figures) {
     std::optional<recording::Writer> writer;
     std::optional<Recorder> recorder;
     options.prepare = [&](base::Micros begin) {
-        writer.emplace(recording::file_sink(path), header_of(script, begin), how);
+        writer.emplace(recording::open_file_sink(path), make_header(script, begin), how);
         recorder.emplace(*writer);
         return std::vector<testbed::Observer*>{&*recorder};
     };
     options.before = [&](scenario::World& world) {
-        recorder->follow(world);
+        recorder->attach_to(world);
     };
     auto out = scenario::run_day(script, options);
     writer->finish();
-    figures = writer->figures();
+    figures = writer->stats();
     return out;
 }
 
@@ -391,13 +391,13 @@
 }
 }  // namespace
 
-GovernorFiles::GovernorFiles(std::string folder, const scenario::DayScript& script,
-                             std::map<std::string, Micros> ahead)
+InstanceRecorder::InstanceRecorder(std::string folder, const scenario::DayScript& script,
+                                   std::map<std::string, Micros> ahead)
     : folder_(std::move(folder)),
       script_(script),
       ahead_(std::move(ahead)) {}
 
-void GovernorFiles::on_started(Micros now, const xds_server::XdsServer& service) {
+void InstanceRecorder::on_started(Micros now, const xds_server::XdsServer& service) {
     auto settings = script_.settings;
     settings.set("governor", "id", service.id());
     settings.set("governor", "ordinal", std::to_string(service.ordinal()));
@@ -410,14 +410,14 @@
     const Micros begin = it == ahead_.end() ? now : now - it->second;
     Open& open = open_[service.id()];
     open.writer = std::make_unique<recording::Writer>(
-        recording::file_sink(paths_.back()),
-        header_of(config, settings.to_text(), begin, wall_text(begin)),
+        recording::open_file_sink(paths_.back()),
+        make_header(config, settings.to_text(), begin, wall_text(begin)),
         recording::WriterOptions{.when_full = recording::WhenFull::Wait});
     open.recorder = std::make_unique<Recorder>(*open.writer);
     open.recorder->on_started(now, service);
 }
 
-void GovernorFiles::on_stopped(Micros now, const xds_server::XdsServer& service) {
+void InstanceRecorder::on_stopped(Micros now, const xds_server::XdsServer& service) {
     const auto it = open_.find(service.id());
     if (it == open_.end()) {
         return;
@@ -426,14 +426,15 @@
     open_.erase(it);
 }
 
-void GovernorFiles::on_event(Micros now, const xds_server::XdsServer& service, const Event& event) {
+void InstanceRecorder::on_event(Micros now, const xds_server::XdsServer& service,
+                                const Event& event) {
     if (const auto it = open_.find(service.id()); it != open_.end()) {
         it->second.recorder->on_event(now, service, event);
     }
 }
 
-void GovernorFiles::on_commands(Micros now, const xds_server::XdsServer& service,
-                                const std::vector<Command>& actions) {
+void InstanceRecorder::on_commands(Micros now, const xds_server::XdsServer& service,
+                                   const std::vector<Command>& actions) {
     if (const auto it = open_.find(service.id()); it != open_.end()) {
         it->second.recorder->on_commands(now, service, actions);
     }
--- a/src/replay/recorder.h
+++ b/src/replay/recorder.h
@@ -20,22 +20,22 @@
 namespace pb = badgergrade::recording::v1;
 
 // The head of a day's recording, and of a governor's.
-pb::Header header_of(const scenario::DayScript& script, Micros begin);
-pb::Header header_of(const config::GovernorConfig& config, const std::string& settings,
-                     Micros begin, const std::string& wall);
+pb::Header make_header(const scenario::DayScript& script, Micros begin);
+pb::Header make_header(const config::GovernorConfig& config, const std::string& settings,
+                       Micros begin, const std::string& wall);
 
 // How a try ended that its forwarder gave up with its client: behind testbed::TryEnd's own.
-inline constexpr std::uint32_t kGivenUp = 100;
+inline constexpr std::uint32_t kAttemptAbandoned = 100;
 
 // One move of the world; `now` is of the writer's clock, the move's own time is not looked at.
-void write_move(recording::Writer& writer, Micros now, const scenario::TimedMove& move);
+void write_action(recording::Writer& writer, Micros now, const scenario::TimedMove& move);
 
 class Recorder final : public testbed::Observer, public xds_server::XdsServerObserver {
 public:
     explicit Recorder(recording::Writer& writer) : writer_(writer) {}
 
     // Hears of the moves and troubles of this world; called before it starts.
-    void follow(scenario::World& world);
+    void attach_to(scenario::World& world);
 
     void invocation_came(Micros, const testbed::Invocation&) override;
     void invocation_ended(Micros, const testbed::Invocation&, testbed::Result) override;
@@ -72,18 +72,18 @@
 };
 
 // Plays the script and records it at this path; what the options watch already is watched still.
-// `figures` is what the writer came to. Throws recording::CannotWrite where the file can't be made.
-scenario::DayRun record_day(const scenario::DayScript& script, scenario::DayOptions options,
-                            const std::string& path, recording::WriterOptions how,
-                            recording::WriterFigures& figures);
+// `figures` is what the writer came to. Throws recording::WriteError where the file can't be made.
+scenario::DayRun record_scenario(const scenario::DayScript& script, scenario::DayOptions options,
+                                 const std::string& path, recording::WriterOptions how,
+                                 recording::WriterStats& figures);
 
 // Records each life of each governor of a day in a file of its own, GOVERNOR-N.rec, as the
 // governors themselves would.
-class GovernorFiles final : public xds_server::XdsServerObserver {
+class InstanceRecorder final : public xds_server::XdsServerObserver {
 public:
     // `ahead`: how far a governor's clock is ahead of the day's.
-    GovernorFiles(std::string folder, const scenario::DayScript& script,
-                  std::map<std::string, Micros> ahead = {});
+    InstanceRecorder(std::string folder, const scenario::DayScript& script,
+                     std::map<std::string, Micros> ahead = {});
     void on_started(Micros, const xds_server::XdsServer&) override;
     void on_stopped(Micros, const xds_server::XdsServer&) override;
     void on_event(Micros, const xds_server::XdsServer&, const Event&) override;
--- a/src/replay/report.cpp
+++ b/src/replay/report.cpp
@@ -44,10 +44,10 @@
 
 // Second by second: the time, service smoothed over five seconds, lines applied, most lines
 // waiting.
-void data(std::ostream& out, const char* name, const SettingResult& setting) {
-    const auto& by_second = setting.first.run.result["figures"]["by_second"];
-    const auto& seconds = setting.first.seconds;
-    const auto from = static_cast<std::size_t>(setting.first.from.count() / 1000000);
+void data(std::ostream& out, const char* name, const VariantResult& setting) {
+    const auto& by_second = setting.first_replay.run.result["figures"]["by_second"];
+    const auto& seconds = setting.first_replay.seconds;
+    const auto from = static_cast<std::size_t>(setting.first_replay.from.count() / 1000000);
     out << name << " << EOD\n";
     for (std::size_t k = 0; k < by_second.size(); ++k) {
         double sum = 0;
@@ -74,14 +74,15 @@
 }
 
 // One shade a trouble, named above the first panel; names that would overlap go to further rows.
-void shades(std::ostream& out, const RecordedDay& day, Micros from, Micros to, bool names) {
+void shades(std::ostream& out, const RecordedRun& day, Micros from, Micros to, bool names) {
     double row_end[4] = {-1e9, -1e9, -1e9, -1e9};
     const double width = to_seconds(to - from);
-    for (const auto& trouble : day.troubles) {
-        const double begin = std::max(to_seconds(from), to_seconds(trouble.at));
-        const double end = trouble.lasts.count() > 0
-                               ? std::min(to_seconds(to), to_seconds(trouble.at + trouble.lasts))
-                               : begin + width / 200;
+    for (const auto& trouble : day.faults) {
+        const double begin = std::max(to_seconds(from), to_seconds(trouble.start));
+        const double end =
+            trouble.duration.count() > 0
+                ? std::min(to_seconds(to), to_seconds(trouble.start + trouble.duration))
+                : begin + width / 200;
         if (end <= begin) {
             continue;
         }
@@ -90,7 +91,7 @@
         if (!names) {
             continue;
         }
-        const std::string text = plain(trouble.text);
+        const std::string text = plain(trouble.description);
         int row = 0;
         while (row < 3 && row_end[row] > begin) {
             ++row;
@@ -103,10 +104,10 @@
 
 }  // namespace
 
-std::string plot_script(const RecordedDay& day, const Comparison& comparison,
+std::string plot_script(const RecordedRun& day, const Comparison& comparison,
                         const std::string& output) {
-    const Micros from = comparison.a.first.from;
-    const Micros to = comparison.a.first.to;
+    const Micros from = comparison.a.first_replay.from;
+    const Micros to = comparison.a.first_replay.to;
     std::ostringstream out;
     out << "set terminal svg size 1000,760 dynamic noenhanced font 'sans-serif,12' background rgb "
            "'white'\n";
@@ -128,8 +129,8 @@
                      : "unset xlabel\nset format x ''\n");
         out << (column == 2 ? "set key bottom right\n" : "unset key\n");
         out << "plot $A using 1:" << column << " with " << style
-            << " ls 1 title 'A: " << plain(comparison.a.trial.name) << "', $B using 1:" << column
-            << " with " << style << " ls 2 title 'B: " << plain(comparison.b.trial.name) << "'\n";
+            << " ls 1 title 'A: " << plain(comparison.a.variant.name) << "', $B using 1:" << column
+            << " with " << style << " ls 2 title 'B: " << plain(comparison.b.variant.name) << "'\n";
     };
     panel(0.52, 0.84, "service, over 5 s", 2, "lines", false);
     panel(0.30, 0.47, "lines applied", 3, "steps", false);
@@ -138,7 +139,7 @@
     return out.str();
 }
 
-std::string draw_svg(const RecordedDay& day, const Comparison& comparison) {
+std::string draw_svg(const RecordedRun& day, const Comparison& comparison) {
     std::string path = (std::filesystem::temp_directory_path() / "badgergrade-XXXXXX").string();
     const int made = mkstemp(path.data());
     if (made < 0) {
@@ -170,7 +171,7 @@
     return svg.str();
 }
 
-std::string html_page(const RecordedDay& day, const Comparison& comparison,
+std::string html_page(const RecordedRun& day, const Comparison& comparison,
                       const std::string& svg) {
     std::ostringstream out;
     out << std::fixed;
@@ -200,7 +201,7 @@
         << " s, seed " << day.header.seed()
         << ". Service is the billed value answered within the latency objective, "
            "by part of that asked for; a retry counts with its first try.";
-    if (day.kinds.contains("results")) {
+    if (day.record_counts.contains("results")) {
         out << " As recorded: <b>"
             << digits(day.figures["whole_day"]["service"].get<double>(), true) << "</b>.";
     }
@@ -209,10 +210,10 @@
     }
     out << " The workers, forwarders and clients of this replay are stand-ins; the governors are "
            "the program's own.</p>\n";
-    const auto setting = [&](const char* which, const SettingResult& s) {
+    const auto setting = [&](const char* which, const VariantResult& s) {
         out << "<p><span class=\"" << which << "\">" << (which[0] == 'a' ? "A" : "B")
-            << "</span>: <code>" << escaped(s.trial.name) << "</code>, " << s.runs
-            << " runs: " << (s.same ? "the same to the byte" : "<b class=\"worse\">they differ</b>")
+            << "</span>: <code>" << escaped(s.variant.name) << "</code>, " << s.runs << " runs: "
+            << (s.identical ? "the same to the byte" : "<b class=\"worse\">they differ</b>")
             << ".</p>\n";
     };
     setting("a", comparison.a);
@@ -231,27 +232,28 @@
            "those that wait have not left the channel yet.</p>\n";
     out << "<h2>Difference</h2>\n<table><tr><th></th><th class=\"a\">A</th><th "
            "class=\"b\">B</th><th>B - A</th></tr>\n";
-    for (const auto& one : differences(comparison)) {
-        if (!one.part && one.a == 0 && one.b == 0 && one.name.find("rule") == std::string::npos) {
+    for (const auto& one : compare_figures(comparison)) {
+        if (!one.is_fraction && one.a == 0 && one.b == 0 &&
+            one.name.find("rule") == std::string::npos) {
             continue;
         }
         const double by = one.b - one.a;
-        const bool says = one.part ? std::abs(by) >= 0.0005
-                                   : one.name.find("rule") != std::string::npos && by != 0;
-        const char* mood = !says                          ? ""
-                           : (one.part ? by > 0 : by < 0) ? " class=\"better\""
-                                                          : " class=\"worse\"";
-        out << "<tr><td>" << escaped(one.name) << "</td><td>" << digits(one.a, one.part)
-            << "</td><td>" << digits(one.b, one.part) << "</td><td" << mood << ">"
-            << (by > 0 ? "+" : "") << digits(by, one.part) << "</td></tr>\n";
+        const bool says = one.is_fraction ? std::abs(by) >= 0.0005
+                                          : one.name.find("rule") != std::string::npos && by != 0;
+        const char* mood = !says                                 ? ""
+                           : (one.is_fraction ? by > 0 : by < 0) ? " class=\"better\""
+                                                                 : " class=\"worse\"";
+        out << "<tr><td>" << escaped(one.name) << "</td><td>" << digits(one.a, one.is_fraction)
+            << "</td><td>" << digits(one.b, one.is_fraction) << "</td><td" << mood << ">"
+            << (by > 0 ? "+" : "") << digits(by, one.is_fraction) << "</td></tr>\n";
     }
     out << "</table>\n<h2>Where they part</h2>\n<pre>";
-    for (const auto& text : parting_text(comparison)) {
+    for (const auto& text : divergence_text(comparison)) {
         out << escaped(text) << "\n";
     }
     out << "</pre>\n";
     for (const auto* s : {&comparison.a, &comparison.b}) {
-        for (const auto& b : s->first.run.breaks) {
+        for (const auto& b : s->first_replay.run.breaks) {
             out << "<p class=\"worse\">Rule <b>" << escaped(b.rule) << "</b> broken under "
                 << (s == &comparison.a ? "A" : "B") << ": " << escaped(b.parties) << ": "
                 << escaped(b.what) << "</p>\n";
--- a/src/replay/play.cpp
+++ b/src/replay/runner.cpp
@@ -1,4 +1,4 @@
-#include "replay/play.h"
+#include "replay/runner.h"
 
 #include <algorithm>
 #include <stdexcept>
@@ -11,23 +11,23 @@
 
 using namespace std::chrono_literals;
 
-// ---- the trail
+// ---- the trace
 
-void Trail::add(Micros now, const xds_server::XdsServer& service, bool decision, std::string text) {
+void Trace::add(Micros now, const xds_server::XdsServer& service, bool decision, std::string text) {
     if (text_ > kTextMost) {
         text.clear();
     }
     text_ += text.size();
-    steps_.push_back({now - begin_, service.id(), decision, std::move(text)});
+    entries_.push_back({now - begin_, service.id(), decision, std::move(text)});
 }
 
-void Trail::on_event(Micros now, const xds_server::XdsServer& service, const Event& event) {
+void Trace::on_event(Micros now, const xds_server::XdsServer& service, const Event& event) {
     if (!std::holds_alternative<event::TimerFired>(event)) {
         add(now, service, false, to_text(service, event));
     }
 }
 
-void Trail::on_commands(Micros now, const xds_server::XdsServer& service,
+void Trace::on_commands(Micros now, const xds_server::XdsServer& service,
                         const std::vector<Command>& actions) {
     std::string text;
     for (const Command& action : actions) {
@@ -42,7 +42,7 @@
 
 // ---- the series
 
-Series::Second& Series::at(Micros now) {
+TimeSeries::Second& TimeSeries::at(Micros now) {
     const auto k =
         static_cast<std::size_t>(std::max<std::int64_t>(0, (now - begin_).count() / 1000000));
     if (seconds_.size() <= k) {
@@ -51,27 +51,27 @@
     return seconds_[k];
 }
 
-void Series::invocation_came(Micros now, const testbed::Invocation&) {
+void TimeSeries::invocation_came(Micros now, const testbed::Invocation&) {
     ++at(now).came;
 }
 
-void Series::try_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int,
-                      int number, testbed::TryEnd) {
+void TimeSeries::try_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int,
+                          int number, testbed::TryEnd) {
     Second& second = at(now);
     ++second.tries;
     second.further += number > 1;
 }
 
-void Series::joined(Micros now, const std::string&, const std::string&) {
+void TimeSeries::joined(Micros now, const std::string&, const std::string&) {
     ++at(now).joins;
 }
 
-void Series::server_fell(Micros now, const std::string&, const std::vector<Push>&) {
+void TimeSeries::server_fell(Micros now, const std::string&, const std::vector<Push>&) {
     ++at(now).pushed_over;
 }
 
-void Series::response_read(Micros now, const std::string&, const std::string&,
-                           const std::string& orders, std::size_t, const std::string& why) {
+void TimeSeries::response_read(Micros now, const std::string&, const std::string&,
+                               const std::string& orders, std::size_t, const std::string& why) {
     const auto read = xds::parse_release_text(orders);
     for (const auto& order : read.updates) {
         if (why.empty()) {
@@ -83,7 +83,7 @@
     }
 }
 
-std::vector<Series::Second> Series::seconds(Micros length) const {
+std::vector<TimeSeries::Second> TimeSeries::seconds(Micros length) const {
     auto out = seconds_;
     out.resize(static_cast<std::size_t>(length.count() / 1000000 + 1));
     for (const auto& [governor, moves] : moves_) {
@@ -107,13 +107,14 @@
 
 // ---- a run
 
-Played play(const RecordedDay& day, const Trial& trial, const PlayOptions& options) {
+ReplayResult run_replay(const RecordedRun& day, const Variant& variant,
+                        const ReplayOptions& options) {
     std::vector<config::ConfigError> mistakes;
-    Playable playable = make_playable(day, trial, mistakes);
+    ReplayInput playable = make_replay_input(day, variant, mistakes);
     if (!mistakes.empty()) {
         throw std::runtime_error(config::to_text(mistakes.front()));
     }
-    Played out;
+    ReplayResult out;
     out.from = options.from;
     out.to = options.to > 0us ? options.to : day.length;
     if (out.from < 0us || out.from >= out.to || out.to > day.length) {
@@ -125,35 +126,35 @@
         playable.script.seed = *options.seed;
     }
     playable.script.length = out.to;
-    for (auto& [forwarder, list] : playable.world.traffic) {
+    for (auto& [forwarder, list] : playable.input.traffic) {
         std::erase_if(list, [&](const auto& one) {
-            return one.came < out.from - options.lead || one.came >= out.to;
+            return one.came < out.from - options.warm_up || one.came >= out.to;
         });
     }
     // A virtual and a real clock both begin here (day/runner.cpp).
-    std::optional<Trail> trail;
-    std::optional<Series> series;
+    std::optional<Trace> trace;
+    std::optional<TimeSeries> series;
     scenario::DayOptions how;
     how.clock = options.clock;
     how.speed = options.speed;
     how.log = options.log;
-    how.given = &playable.world;
+    how.given = &playable.input;
     how.count_from = out.from;
     how.watchers = options.watchers;
     how.prepare = [&](Micros begin) {
-        trail.emplace(begin);
+        trace.emplace(begin);
         series.emplace(begin);
         return std::vector<testbed::Observer*>{&*series};
     };
     how.before = [&](scenario::World& world) {
-        world.governor_watcher = &*trail;
+        world.governor_watcher = &*trace;
         if (options.before) {
             options.before(world);
         }
     };
     out.run = scenario::run_day(playable.script, how);
     out.script = std::move(playable.script);
-    out.trail = trail->steps();
+    out.trace = trace->entries();
     out.seconds = series->seconds(out.to);
     return out;
 }
--- a/src/replay/trial.cpp
+++ b/src/replay/variant.cpp
@@ -1,4 +1,4 @@
-#include "replay/trial.h"
+#include "replay/variant.h"
 
 #include <algorithm>
 #include <charconv>
@@ -59,18 +59,18 @@
     return out;
 }
 
-std::size_t workers_of(const RecordedDay& day) {
+std::size_t workers_of(const RecordedRun& day) {
     return static_cast<std::size_t>(std::count_if(
-        day.world.moves.begin(), day.world.moves.end(), [](const scenario::TimedMove& m) {
+        day.input.moves.begin(), day.input.moves.end(), [](const scenario::TimedMove& m) {
             return m.opening && m.what.kind == scenario::MoveKind::AddWorker;
         }));
 }
 
-class TrialReader {
+class VariantReader {
 public:
-    TrialReader(const RecordedDay& day, Trial& trial, std::vector<ConfigError>& mistakes)
+    VariantReader(const RecordedRun& day, Variant& variant, std::vector<ConfigError>& mistakes)
         : day_(day),
-          trial_(trial),
+          variant_(variant),
           mistakes_(mistakes) {}
 
     void set(const std::string& file, int line, const std::string& section, const std::string& key,
@@ -93,7 +93,7 @@
                 }
                 return;
             case Whose::User:
-                trial_.settings.set(section, key, value);
+                variant_.settings.set(section, key, value);
         }
     }
 
@@ -109,12 +109,12 @@
             if (!n || *n < 0.01 || *n > 10) {
                 return wrong("is a factor from 0.01 to 10; for example: traffic = 1.2");
             }
-            trial_.traffic = *n;
+            variant_.traffic_factor = *n;
         } else if (key == "startup") {
             if (!n || *n < 1 || *n > 1000 || *n != std::floor(*n)) {
                 return wrong("is a whole number from 1 to 1000; for example: startup = 5");
             }
-            trial_.startup = static_cast<int>(*n);
+            variant_.startup_servers = static_cast<int>(*n);
         } else {
             wrong("is none of: workers, traffic, startup");
         }
@@ -143,11 +143,11 @@
             return wrong("is more than ten times the recorded " +
                          std::to_string(std::llround(now)));
         }
-        trial_.more_workers = static_cast<int>(more);
+        variant_.added_servers = static_cast<int>(more);
     }
 
-    const RecordedDay& day_;
-    Trial& trial_;
+    const RecordedRun& day_;
+    Variant& variant_;
     std::vector<ConfigError>& mistakes_;
 };
 
@@ -236,7 +236,7 @@
 
 }  // namespace
 
-std::optional<std::pair<std::string, std::string>> read_set(const std::string& text) {
+std::optional<std::pair<std::string, std::string>> parse_override(const std::string& text) {
     const auto equals = text.find('=');
     if (equals == std::string::npos) {
         return std::nullopt;
@@ -251,11 +251,11 @@
     return std::pair{name, value};
 }
 
-Trial read_trial(const RecordedDay& day, const std::optional<config::IniFile>& file,
-                 const Sets& sets, std::vector<ConfigError>& mistakes) {
-    Trial out;
+Variant read_variant(const RecordedRun& day, const std::optional<config::IniFile>& file,
+                     const SettingOverrides& sets, std::vector<ConfigError>& mistakes) {
+    Variant out;
     out.settings = day.settings;
-    TrialReader reader(day, out, mistakes);
+    VariantReader reader(day, out, mistakes);
     if (file) {
         out.name = file->name();
         for (const auto& entry : file->entries()) {
@@ -277,40 +277,40 @@
     return out;
 }
 
-scenario::DayScript make_script(const RecordedDay& day, const Trial& trial,
+scenario::DayScript make_script(const RecordedRun& day, const Variant& variant,
                                 std::vector<ConfigError>& mistakes) {
-    auto out = scenario::parse_script(day.header.made_by(), day.script, trial.settings, mistakes);
+    auto out = scenario::parse_script(day.header.made_by(), day.script, variant.settings, mistakes);
     if (!mistakes.empty()) {
         return out;
     }
     out.name = day.header.made_by();
     out.seed = day.header.seed();
     out.length = day.length;
-    out.startup = trial.startup.value_or(out.startup);
-    out.workers += trial.more_workers;
-    out.rate *= trial.traffic;
+    out.startup = variant.startup_servers.value_or(out.startup);
+    out.workers += variant.added_servers;
+    out.rate *= variant.traffic_factor;
     const auto& columns = out.governor.settings.load_metric_names;
-    const bool told = std::any_of(day.world.moves.begin(), day.world.moves.end(),
+    const bool told = std::any_of(day.input.moves.begin(), day.input.moves.end(),
                                   [](const auto& m) { return m.what.worker.reports_load; });
     if (!columns.empty() && !told) {
-        mistakes.push_back({trial.name, 0, "[reports] load_columns",
+        mistakes.push_back({variant.name, 0, "[reports] load_columns",
                             "asks for what no worker of the recorded day reported"});
     }
     return out;
 }
 
-Playable make_playable(const RecordedDay& day, const Trial& trial,
-                       std::vector<ConfigError>& mistakes) {
-    Playable out{make_script(day, trial, mistakes), {}};
+ReplayInput make_replay_input(const RecordedRun& day, const Variant& variant,
+                              std::vector<ConfigError>& mistakes) {
+    ReplayInput out{make_script(day, variant, mistakes), {}};
     if (!mistakes.empty()) {
         return out;
     }
-    out.world = day.world;
-    if (trial.more_workers != 0) {
-        change_workers(out.world, trial.more_workers, out.script.seed);
+    out.input = day.input;
+    if (variant.added_servers != 0) {
+        change_workers(out.input, variant.added_servers, out.script.seed);
     }
-    if (trial.traffic != 1) {
-        change_traffic(out.world, trial.traffic, out.script.seed, day.length);
+    if (variant.traffic_factor != 1) {
+        change_traffic(out.input, variant.traffic_factor, out.script.seed, day.length);
     }
     return out;
 }
--- a/src/replay/trial.h
+++ b/src/replay/variant.h
@@ -15,38 +15,38 @@
 #include <vector>
 
 #include "config/ini.h"
-#include "replay/recorded_day.h"
+#include "replay/recorded_run.h"
 #include "scenario/script.h"
 
 namespace badgergrade::replay {
 
-struct Trial {
+struct Variant {
     std::string name;          // of its file, or of what was set
     config::IniFile settings;  // the recorded ones with the changes
-    int more_workers = 0;      // below 0: fewer
-    double traffic = 1;
-    std::optional<int> startup;
+    int added_servers = 0;     // below 0: fewer
+    double traffic_factor = 1;
+    std::optional<int> startup_servers;
 };
 
-using Sets = std::vector<std::pair<std::string, std::string>>;  // "section.key", value
+using SettingOverrides = std::vector<std::pair<std::string, std::string>>;  // "section.key", value
 
 // Every mistake is told; the trial is good only where there is none.
-Trial read_trial(const RecordedDay& day, const std::optional<config::IniFile>& file,
-                 const Sets& sets, std::vector<config::ConfigError>& mistakes);
+Variant read_variant(const RecordedRun& day, const std::optional<config::IniFile>& file,
+                     const SettingOverrides& sets, std::vector<config::ConfigError>& mistakes);
 // "section.key=value"; nothing where it is not of that form.
-std::optional<std::pair<std::string, std::string>> read_set(const std::string& text);
+std::optional<std::pair<std::string, std::string>> parse_override(const std::string& text);
 
 // The day's script under the trial's settings, checked against the day once more.
-scenario::DayScript make_script(const RecordedDay& day, const Trial& trial,
+scenario::DayScript make_script(const RecordedRun& day, const Variant& variant,
                                 std::vector<config::ConfigError>& mistakes);
 
-struct Playable {
+struct ReplayInput {
     scenario::DayScript script;
-    scenario::GivenWorld world;
+    scenario::GivenWorld input;
 };
 
 // That script, and the recorded world with the ready-made changes.
-Playable make_playable(const RecordedDay& day, const Trial& trial,
-                       std::vector<config::ConfigError>& mistakes);
+ReplayInput make_replay_input(const RecordedRun& day, const Variant& variant,
+                              std::vector<config::ConfigError>& mistakes);
 
 }  // namespace badgergrade::replay
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -7,12 +7,12 @@
 #include <fstream>
 #include <sstream>
 
-#include "folder.h"
 #include "replay/compare.h"
 #include "replay/merge.h"
 #include "replay/recorder.h"
 #include "replay/report.h"
 #include "support.h"
+#include "temporary_directory.h"
 #include "xds_server/xds_server.h"
 
 namespace badgergrade::replay {
@@ -20,7 +20,7 @@
 
 using namespace std::chrono_literals;
 
-using test::Folder;
+using test::TemporaryDirectory;
 
 // A governor that dies, a cold return, a lost site and broken streams, in ten seconds.
 const char* const kShortDay = R"(settings governor.ini
@@ -55,76 +55,76 @@
 scenario::DayRun record(const scenario::DayScript& script, const std::string& path,
                         recording::WriterOptions how = {}) {
     how.when_full = recording::WhenFull::Wait;
-    recording::WriterFigures figures;
-    auto out = record_day(script, {}, path, how, figures);
-    EXPECT_EQ(figures.failed, "");
+    recording::WriterStats figures;
+    auto out = record_scenario(script, {}, path, how, figures);
+    EXPECT_EQ(figures.error, "");
     return out;
 }
 
-Trial trial(const RecordedDay& day, const Sets& sets) {
+Variant trial(const RecordedRun& day, const SettingOverrides& sets) {
     std::vector<config::ConfigError> mistakes;
-    auto out = read_trial(day, std::nullopt, sets, mistakes);
+    auto out = read_variant(day, std::nullopt, sets, mistakes);
     for (const auto& mistake : mistakes) {
         ADD_FAILURE() << config::to_text(mistake);
     }
     return out;
 }
 
-std::string refused(const RecordedDay& day, const std::string& name, const std::string& value) {
+std::string refused(const RecordedRun& day, const std::string& name, const std::string& value) {
     std::vector<config::ConfigError> mistakes;
-    read_trial(day, std::nullopt, {{name, value}}, mistakes);
+    read_variant(day, std::nullopt, {{name, value}}, mistakes);
     return mistakes.empty() ? std::string{} : config::to_text(mistakes.front());
 }
 
 // A day is recorded and played again under its own settings. Figures, rules and decisions must be
 // the same, each time.
 TEST(Replay, ADayPlayedAgainUnderItsOwnSettingsIsTheSameToTheByte) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     const auto script = short_day();
     const auto lived = record(script, folder.file("day"));
     const auto day = load_recording(folder.file("day"));
     EXPECT_TRUE(day.damage.empty());
     EXPECT_EQ(day.length, 10s);
-    EXPECT_EQ(day.troubles.size(), script.troubles.size());
+    EXPECT_EQ(day.faults.size(), script.troubles.size());
     EXPECT_EQ(day.figures["whole_day"], lived.result["figures"]["whole_day"]);
     EXPECT_EQ(day.figures["by_operation"], lived.result["figures"]["by_operation"]);
     EXPECT_EQ(day.figures["by_zone"], lived.result["figures"]["by_zone"]);
     EXPECT_EQ(day.figures["worst_10_s"], lived.result["figures"]["worst_10_s"]);
-    const auto again = play(day, trial(day, {}), {});
+    const auto again = run_replay(day, trial(day, {}), {});
     EXPECT_EQ(again.run.result["figures"].dump(), lived.result["figures"].dump());
     EXPECT_EQ(again.run.result["rules"].dump(), lived.result["rules"].dump());
-    EXPECT_FALSE(again.trail.empty());
+    EXPECT_FALSE(again.trace.empty());
     for (int n = 0; n < 3; ++n) {
-        const auto more = play(day, trial(day, {}), {});
+        const auto more = run_replay(day, trial(day, {}), {});
         ASSERT_EQ(more.run.result.dump(), again.run.result.dump());
-        ASSERT_EQ(more.trail, again.trail);
+        ASSERT_EQ(more.trace, again.trace);
     }
 }
 
 // A day with every kind of fault is recorded and played again. Each fault must act as it did.
 TEST(Replay, EveryKindOfTroubleComesBackAsItWas) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     std::vector<config::ConfigError> mistakes;
     const auto script = scenario::load_script(
         std::string(BADGERGRADE_SOURCE) + "/examples/all-troubles.day", mistakes);
     ASSERT_TRUE(mistakes.empty());
     const auto lived = record(script, folder.file("day"));
     const auto day = load_recording(folder.file("day"));
-    EXPECT_TRUE(day.damage.empty()) << day.damage.front().what;
-    const auto again = play(day, trial(day, {}), {});
+    EXPECT_TRUE(day.damage.empty()) << day.damage.front().description;
+    const auto again = run_replay(day, trial(day, {}), {});
     EXPECT_EQ(again.run.result["figures"].dump(), lived.result["figures"].dump());
 }
 
 // A recording is played with another seed. The random draws must differ; invocations and starts of
 // servers must not.
 TEST(Replay, AnotherSeedIsAnotherLuckInTheSameWorld) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
-    PlayOptions other;
+    ReplayOptions other;
     other.seed = 99;
-    const auto a = play(day, trial(day, {}), {});
-    const auto b = play(day, trial(day, {}), other);
+    const auto a = run_replay(day, trial(day, {}), {});
+    const auto b = run_replay(day, trial(day, {}), other);
     EXPECT_NE(a.run.result["figures"].dump(), b.run.result["figures"].dump());
     EXPECT_EQ(a.run.result["figures"]["whole_day"]["invocations"],
               b.run.result["figures"]["whole_day"]["invocations"]);
@@ -133,14 +133,14 @@
 }
 
 TEST(Replay, TwoSettingsWithAKnownDifference) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
     // The same setting twice parts nowhere and differs in nothing.
     const auto same = compare(day, trial(day, {}), trial(day, {}), 2, {});
-    EXPECT_TRUE(same.a.same && same.b.same);
-    EXPECT_FALSE(same.heard || same.decided);
-    for (const auto& one : differences(same)) {
+    EXPECT_TRUE(same.a.identical && same.b.identical);
+    EXPECT_FALSE(same.event_divergence || same.decision_divergence);
+    for (const auto& one : compare_figures(same)) {
         EXPECT_EQ(one.a, one.b) << one.name;
     }
     // A third of the workers for twice the traffic must cost service; the first list heard is
@@ -148,15 +148,15 @@
     const auto poor =
         compare(day, trial(day, {}),
                 trial(day, {{"replay.workers", "-4"}, {"replay.traffic", "2"}}), 2, {});
-    EXPECT_TRUE(poor.a.same && poor.b.same);
-    const auto all = differences(poor);
+    EXPECT_TRUE(poor.a.identical && poor.b.identical);
+    const auto all = compare_figures(poor);
     EXPECT_EQ(all.front().name, "whole day");
     EXPECT_LT(all.front().b, all.front().a - 0.1);
-    ASSERT_TRUE(poor.heard.has_value());
-    ASSERT_TRUE(poor.heard->b.has_value());
-    EXPECT_EQ(poor.heard->b->text, "list: worker-000 worker-001");
-    const auto invocations = [](const SettingResult& s) {
-        return s.first.run.result["figures"]["whole_day"]["invocations"].get<int>();
+    ASSERT_TRUE(poor.event_divergence.has_value());
+    ASSERT_TRUE(poor.event_divergence->b.has_value());
+    EXPECT_EQ(poor.event_divergence->b->text, "list: worker-000 worker-001");
+    const auto invocations = [](const VariantResult& s) {
+        return s.first_replay.run.result["figures"]["whole_day"]["invocations"].get<int>();
     };
     EXPECT_EQ(invocations(poor.b), 2 * invocations(poor.a));
     const auto json = to_json(day, poor);
@@ -168,39 +168,39 @@
 // taken for an event.
 TEST(Replay, PartingIsTheFirstStepThatDiffersAndTellsDecisionsFromWhatWasHeard) {
     const auto step = [](int at, bool decision, const char* text) {
-        return Trail::Step{Micros(at), "g", decision, text};
+        return Trace::Entry{Micros(at), "g", decision, text};
     };
-    const std::vector<Trail::Step> a{step(1, false, "list"), step(2, true, "x"),
-                                     step(3, false, "sums"), step(4, true, "y")};
+    const std::vector<Trace::Entry> a{step(1, false, "list"), step(2, true, "x"),
+                                      step(3, false, "sums"), step(4, true, "y")};
     auto b = a;
-    EXPECT_FALSE(first_parting(a, b, true));
+    EXPECT_FALSE(first_divergence(a, b, true));
     b[3].text = "z";
-    ASSERT_TRUE(first_parting(a, b, true));
-    EXPECT_EQ(first_parting(a, b, true)->step, 1u);
-    EXPECT_EQ(first_parting(a, b, true)->b->text, "z");
-    EXPECT_FALSE(first_parting(a, b, false));
+    ASSERT_TRUE(first_divergence(a, b, true));
+    EXPECT_EQ(first_divergence(a, b, true)->index, 1u);
+    EXPECT_EQ(first_divergence(a, b, true)->b->text, "z");
+    EXPECT_FALSE(first_divergence(a, b, false));
     b.pop_back();
-    ASSERT_TRUE(first_parting(a, b, true));
-    EXPECT_FALSE(first_parting(a, b, true)->b);
-    EXPECT_EQ(first_parting(a, b, true)->at(), Micros(4));
+    ASSERT_TRUE(first_divergence(a, b, true));
+    EXPECT_FALSE(first_divergence(a, b, true)->b);
+    EXPECT_EQ(first_divergence(a, b, true)->at(), Micros(4));
 }
 
 // Only four seconds of a day are counted. They must hold the same invocations and figures as in the
 // whole day; a span that ends before it begins or after the day is refused.
 TEST(Replay, ASpanCountsWhatCameInItAndIsAsTheDayWasWithTheWholeLead) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     const auto lived = record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
     int came = 0;
-    for (const auto& [forwarder, list] : day.world.traffic) {
+    for (const auto& [forwarder, list] : day.input.traffic) {
         for (const auto& one : list) {
             came += one.came >= 3s && one.came < 7s;
         }
     }
-    PlayOptions span;
+    ReplayOptions span;
     span.from = 3s;
     span.to = 7s;
-    const auto part = play(day, trial(day, {}), span);
+    const auto part = run_replay(day, trial(day, {}), span);
     EXPECT_EQ(part.run.result["figures"]["whole_day"]["invocations"], came);
     // The same seconds of the whole day, one by one.
     for (std::size_t k = 0; k < 3; ++k) {
@@ -210,16 +210,16 @@
     }
     span.from = 7s;
     span.to = 3s;
-    EXPECT_THROW(play(day, trial(day, {}), span), std::runtime_error);
+    EXPECT_THROW(run_replay(day, trial(day, {}), span), std::runtime_error);
     span.from = 0s;
     span.to = 11s;
-    EXPECT_THROW(play(day, trial(day, {}), span), std::runtime_error);
+    EXPECT_THROW(run_replay(day, trial(day, {}), span), std::runtime_error);
 }
 
 // A replay is asked for with settings that contradict the recorded day. Each must be refused before
 // the run, with a message.
 TEST(Replay, SettingsThatMakeNoSenseForTheDayAreRefused) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
     const std::pair<const char*, const char*> wrong[] = {{"governor.zones", "a, b"},
@@ -248,27 +248,27 @@
                                       {"reports.period", "1 s"}}) {
         EXPECT_EQ(refused(day, name, value), "") << name;
     }
-    EXPECT_FALSE(read_set("reports.period"));
-    EXPECT_FALSE(read_set(".x=1"));
-    EXPECT_EQ(read_set("operation.look.effect=idempotent")->first, "operation.look.effect");
+    EXPECT_FALSE(parse_override("reports.period"));
+    EXPECT_FALSE(parse_override(".x=1"));
+    EXPECT_EQ(parse_override("operation.look.effect=idempotent")->first, "operation.look.effect");
 }
 
 TEST(Replay, WorkersAndTrafficAreChangedByTheSameLuckEveryTime) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
     std::vector<config::ConfigError> none;
-    const auto more =
-        make_playable(day, trial(day, {{"replay.workers", "+2"}, {"replay.traffic", "1.5"}}), none);
+    const auto more = make_replay_input(
+        day, trial(day, {{"replay.workers", "+2"}, {"replay.traffic", "1.5"}}), none);
     int workers = 0;
-    for (const auto& move : more.world.moves) {
+    for (const auto& move : more.input.moves) {
         workers += move.opening && move.what.kind == scenario::MoveKind::StartWorker;
     }
     EXPECT_EQ(workers, 8);
     std::size_t count = 0;
     std::size_t recorded = 0;
     std::set<std::uint64_t> ids;
-    for (const auto& [forwarder, list] : more.world.traffic) {
+    for (const auto& [forwarder, list] : more.input.traffic) {
         count += list.size();
         EXPECT_TRUE(std::is_sorted(list.begin(), list.end(),
                                    [](const auto& a, const auto& b) { return a.came < b.came; }));
@@ -276,14 +276,14 @@
             ids.insert(one.id);
         }
     }
-    for (const auto& [forwarder, list] : day.world.traffic) {
+    for (const auto& [forwarder, list] : day.input.traffic) {
         recorded += list.size();
     }
     EXPECT_EQ(ids.size(), count);
     EXPECT_NEAR(static_cast<double>(count) / static_cast<double>(recorded), 1.5, 0.1);
     // Thinned traffic is a part of the recorded one.
-    const auto less = make_playable(day, trial(day, {{"replay.traffic", "0.5"}}), none);
-    for (const auto& [forwarder, list] : less.world.traffic) {
+    const auto less = make_replay_input(day, trial(day, {{"replay.traffic", "0.5"}}), none);
+    for (const auto& [forwarder, list] : less.input.traffic) {
         for (const auto& one : list) {
             EXPECT_TRUE(ids.contains(one.id));
         }
@@ -295,7 +295,7 @@
 struct HandMade {
     explicit HandMade(const std::string& path)
         : script(short_day()),
-          writer(recording::file_sink(path), header_of(script, 0us)) {
+          writer(recording::open_file_sink(path), make_header(script, 0us)) {
         auto& move = *writer.add(0us).mutable_move();
         move.set_kind(static_cast<std::uint32_t>(scenario::MoveKind::AddForwarder));
         move.set_opening(true);
@@ -305,8 +305,8 @@
 
     void came(std::int64_t id, int operation, Micros at) {
         auto& to = *writer.add(at).mutable_came();
-        to.set_id_more(id - writer.last_id());
-        writer.last_id() = id;
+        to.set_id_more(id - writer.last_invocation_id());
+        writer.last_invocation_id() = id;
         to.set_forwarder(writer.name("forwarder-000"));
         to.set_operation(static_cast<std::uint32_t>(operation));
         to.set_work_us(1000);
@@ -314,7 +314,7 @@
 
     void ended(std::int64_t id, testbed::Result result, std::uint32_t client_tries, Micros at) {
         auto& to = *writer.add(at).mutable_ended();
-        to.set_id_less(writer.last_id() - id);
+        to.set_id_less(writer.last_invocation_id() - id);
         to.set_result(static_cast<std::uint32_t>(result));
         to.set_client_tries(client_tries);
     }
@@ -326,7 +326,7 @@
 // Invocations of a hand-made day are retried, late, rate-limited or served. The figures must count
 // each once, from its first attempt, at its billed value.
 TEST(Replay, RetriesCountWithTheirFirstTryAndPlaceJobsThreefold) {
-    const Folder folder;
+    const TemporaryDirectory folder;
 
     using enum testbed::Result;
     {
@@ -366,7 +366,7 @@
 // The clock went back by two seconds in the middle of a recording. Records must keep their order,
 // and the jump must be reported as damage.
 TEST(Replay, AClockThatWentBackWhileRecordingDoesNotTurnTheDayAround) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     {
         HandMade day(folder.file("jump"));
         day.came(1, 0, 1s);
@@ -376,10 +376,10 @@
     }
     const auto day = load_recording(folder.file("jump"));
     ASSERT_EQ(day.damage.size(), 1u);
-    EXPECT_NE(day.damage[0].what.find("went back by 2000000 us"), std::string::npos)
-        << day.damage[0].what;
+    EXPECT_NE(day.damage[0].description.find("went back by 2000000 us"), std::string::npos)
+        << day.damage[0].description;
     std::vector<Micros> came;
-    for (const auto& one : day.world.traffic.at("forwarder-000")) {
+    for (const auto& one : day.input.traffic.at("forwarder-000")) {
         came.push_back(one.came);
     }
     EXPECT_EQ(came, (std::vector<Micros>{1s, 4s, 4s, 5s}));
@@ -388,9 +388,9 @@
 // A recording was cut off, or has one flipped bit. What is whole must be played, without a crash,
 // whichever block is lost.
 TEST(Replay, ACutDayIsPlayedToTheCutAndADamagedOneWithoutItsBlock) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     recording::WriterOptions how;
-    how.block_span = 1s;
+    how.max_block_duration = 1s;
     record(short_day(), folder.file("day"), how);
     const auto whole = load_recording(folder.file("day"));
     recording::Reader reader(folder.file("day"));
@@ -402,11 +402,11 @@
         std::ofstream(folder.file(name), std::ios::binary) << text;
     };
 
-    put("cut", bytes.str().substr(0, reader.blocks()[5].at + 30));
+    put("cut", bytes.str().substr(0, reader.blocks()[5].offset + 30));
     const auto cut = load_recording(folder.file("cut"));
     EXPECT_EQ(cut.length, reader.blocks()[4].last + 1us);
     EXPECT_FALSE(cut.damage.empty());
-    const auto played = play(cut, trial(cut, {}), {});
+    const auto played = run_replay(cut, trial(cut, {}), {});
     EXPECT_EQ(played.run.result["figures"]["whole_day"]["invocations"], cut.invocations);
     EXPECT_LT(cut.invocations, whole.invocations);
 
@@ -414,22 +414,23 @@
     // crash.
     for (std::size_t k = 1; k < reader.blocks().size(); ++k) {
         std::string bad = bytes.str();
-        bad[reader.blocks()[k].at + 40] ^= 1;
+        bad[reader.blocks()[k].offset + 40] ^= 1;
         put("bad", bad);
         const auto day = load_recording(folder.file("bad"));
         ASSERT_FALSE(day.damage.empty()) << k;
-        EXPECT_NE(day.damage[0].what.find("checksum"), std::string::npos) << day.damage[0].what;
-        play(day, trial(day, {}), {});
+        EXPECT_NE(day.damage[0].description.find("checksum"), std::string::npos)
+            << day.damage[0].description;
+        run_replay(day, trial(day, {}), {});
     }
     std::string bad = bytes.str();
-    bad[reader.blocks()[0].at + 40] ^= 1;
+    bad[reader.blocks()[0].offset + 40] ^= 1;
     put("bad", bad);
     EXPECT_THROW(load_recording(folder.file("bad")), std::runtime_error);
 }
 
 // ---- days put together from what governors heard
 
-scenario::DayRun record_governors(const scenario::DayScript& script, GovernorFiles& files) {
+scenario::DayRun record_governors(const scenario::DayScript& script, InstanceRecorder& files) {
     scenario::DayOptions options;
     options.before = [&](scenario::World& world) {
         world.governor_watcher = &files;
@@ -442,9 +443,9 @@
 // Two instances recorded one day with clocks 3.7 s apart, and one of them restarted. The merged day
 // must align the clocks and come near the real day in invocations, starts and service.
 TEST(Merge, TwoGovernorsWithClocksApartMakeOneDayNearTheLivedOne) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     const auto script = short_day("governors 2\nset registry wait 500 ms\n");
-    GovernorFiles files(folder.file(""), script, {{"governor-1", 3700ms}});
+    InstanceRecorder files(folder.file(""), script, {{"governor-1", 3700ms}});
     const auto lived = record_governors(script, files);
     ASSERT_EQ(files.paths().size(), 3u);  // governor-0 died once
     const auto merged = merge_recordings(files.paths(), folder.file("day"));
@@ -463,7 +464,7 @@
     int starts = 0;
     int stops = 0;
     int governor_stops = 0;
-    for (const auto& move : day.world.moves) {
+    for (const auto& move : day.input.moves) {
         starts += move.what.kind == scenario::MoveKind::StartWorker && move.what.on;
         stops += move.what.kind == scenario::MoveKind::StopWorker;
         governor_stops += move.what.kind == scenario::MoveKind::StopGovernor && !move.opening;
@@ -471,35 +472,35 @@
     EXPECT_EQ(starts, 5);  // two that crashed and the lost site's three
     EXPECT_EQ(stops, 5);
     EXPECT_EQ(governor_stops, 1);
-    const auto played = play(day, trial(day, {}), {});
+    const auto played = run_replay(day, trial(day, {}), {});
     EXPECT_NEAR(played.run.result["figures"]["whole_day"]["service"].get<double>(),
                 lived.result["figures"]["whole_day"]["service"].get<double>(), 0.15);
-    EXPECT_EQ(play(day, trial(day, {}), {}).run.result.dump(), played.run.result.dump());
+    EXPECT_EQ(run_replay(day, trial(day, {}), {}).run.result.dump(), played.run.result.dump());
 }
 
 // Two instances received the same lists at different clock times. The offset must come from the
 // lists that agree in order, and not from one that merely looks alike.
 TEST(Merge, ClocksAreAlignedByWhatBothHeardInOneOrder) {
-    const std::vector<HeardList> base{
+    const std::vector<ReceivedList> base{
         {1s, "a", {}}, {2s, "ab", {}}, {3s, "a", {}}, {9s, "abc", {}}};
-    std::vector<HeardList> other{
+    std::vector<ReceivedList> other{
         {11s, "a", {}}, {12s + 40ms, "ab", {}}, {13s, "a", {}}, {19s, "abc", {}}};
-    auto clock = align(base, other);
+    auto clock = align_clocks(base, other);
     EXPECT_EQ(clock.exchanges, 4);
     EXPECT_EQ(clock.offset, -10s);
     EXPECT_EQ(clock.spread, 40ms);
     other.erase(other.begin() + 1);
-    EXPECT_EQ(align(base, other).exchanges, 3);
-    EXPECT_EQ(align(base, {{5s, "x", {}}}).exchanges, 0);
+    EXPECT_EQ(align_clocks(base, other).exchanges, 3);
+    EXPECT_EQ(align_clocks(base, {{5s, "x", {}}}).exchanges, 0);
     // A life that began late hears the list of the beginning again: that one alone would put it 8 s
     // off.
-    const std::vector<HeardList> late{{0s, "a", {}}, {6s, "abc", {}}, {7s, "abcd", {}}};
+    const std::vector<ReceivedList> late{{0s, "a", {}}, {6s, "abc", {}}, {7s, "abcd", {}}};
     auto longer = base;
     longer.push_back({10s, "abcd", {}});
-    EXPECT_EQ(align(longer, late).offset, 3s);
+    EXPECT_EQ(align_clocks(longer, late).offset, 3s);
     // Starts that both heard of outweigh a list that merely looks alike.
-    EXPECT_EQ(align({{1s, "ab", {}}, {30s, "abc", {{"b", 28s}, {"c", 29s}}}},
-                    {{0s, "ab", {{"b", -5s}, {"c", -4s}}}})
+    EXPECT_EQ(align_clocks({{1s, "ab", {}}, {30s, "abc", {{"b", 28s}, {"c", 29s}}}},
+                           {{0s, "ab", {{"b", -5s}, {"c", -4s}}}})
                   .offset,
               33s);
 }
@@ -507,7 +508,7 @@
 // Recordings of a whole day, of another fleet, or without records are given to merge. Each must be
 // refused.
 TEST(Merge, RefusesWhatBelongsToOtherFleetsOrHoldsNothing) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     const auto script = short_day();
     record(script, folder.file("day"));
     EXPECT_THROW(merge_recordings({folder.file("day")}, folder.file("out")),
@@ -515,16 +516,17 @@
     auto config = script.governor;
     {
         recording::Writer empty(
-            recording::file_sink(folder.file("empty")),
-            header_of(config, script.settings.to_text(), 0us, "2026-11-30T08:00:00.5Z"));
+            recording::open_file_sink(folder.file("empty")),
+            make_header(config, script.settings.to_text(), 0us, "2026-11-30T08:00:00.5Z"));
     }
     EXPECT_THROW(merge_recordings({folder.file("empty")}, folder.file("out")), std::runtime_error);
     auto other = script.settings;
     other.set("governor", "zones", "east, west");
     other.set("governor", "zone", "east");
     {
-        recording::Writer empty(recording::file_sink(folder.file("other")),
-                                header_of(config, other.to_text(), 0us, "2026-11-30T08:00:00.5Z"));
+        recording::Writer empty(
+            recording::open_file_sink(folder.file("other")),
+            make_header(config, other.to_text(), 0us, "2026-11-30T08:00:00.5Z"));
     }
     EXPECT_THROW(merge_recordings({folder.file("empty"), folder.file("other")}, folder.file("out")),
                  std::runtime_error);
@@ -532,7 +534,7 @@
 }
 
 TEST(Replay, ReportsHoldTheirFiguresAndEscapeWhatTheyName) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     record(short_day(), folder.file("day"));
     const auto day = load_recording(folder.file("day"));
     auto other = trial(day, {{"reports.period", "250 ms"}});
--- a/tests/record/record_test.cpp
+++ b/tests/record/record_test.cpp
@@ -11,15 +11,15 @@
 #include <random>
 #include <sstream>
 
-#include "folder.h"
 #include "recording/reader.h"
+#include "temporary_directory.h"
 
 namespace badgergrade::recording {
 namespace {
 
 using namespace std::chrono_literals;
 
-using test::Folder;
+using test::TemporaryDirectory;
 
 std::string bytes_of(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
@@ -128,7 +128,7 @@
 
 std::vector<std::pair<Micros, std::string>> read_all(Reader& reader) {
     std::vector<std::pair<Micros, std::string>> out;
-    reader.each(Micros::min(), Micros::max(), [&](const pb::Block& block) {
+    reader.for_each_block(Micros::min(), Micros::max(), [&](const pb::Block& block) {
         Micros at(block.first_us());
         for (auto record : block.records()) {
             at += Micros(record.after_us());
@@ -141,7 +141,7 @@
 
 WriterOptions small_blocks() {
     WriterOptions out;
-    out.block_bytes = 400;
+    out.target_block_bytes = 400;
     out.when_full = WhenFull::Wait;
     return out;
 }
@@ -149,14 +149,14 @@
 // Recordings of many lengths are written and read back. All records must come back in order, by the
 // index and by a scan.
 TEST(Record, WhatIsWrittenIsRead) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         const auto path = folder.file("a");
-        Writer writer(file_sink(path), header(), small_blocks());
+        Writer writer(open_file_sink(path), header(), small_blocks());
         const auto written =
             write(writer, static_cast<int>(seed * 7 % 200), Micros(seed * 1000), seed);
         Reader reader(path);
-        ASSERT_TRUE(reader.finished());
+        ASSERT_TRUE(reader.is_complete());
         ASSERT_EQ(read_all(reader), written) << "seed " << seed;
         EXPECT_TRUE(reader.damage().empty());
         const auto by_index = reader.blocks().size();
@@ -169,18 +169,18 @@
 // The process dies or the disk fills up in the middle of a write: the file is cut at every possible
 // byte. All whole blocks before the cut must be read, and the damage be reported.
 TEST(Record, CutAtEveryByteIsGoodToItsLastWholeBlock) {
-    const Folder folder;
-    Writer writer(file_sink(folder.file("whole")), header(), small_blocks());
+    const TemporaryDirectory folder;
+    Writer writer(open_file_sink(folder.file("whole")), header(), small_blocks());
     const auto written = write(writer, 40, 1ms, 3);
     const std::string whole = bytes_of(folder.file("whole"));
     Reader all(folder.file("whole"));
     ASSERT_GT(all.blocks().size(), 2u);
     const auto ends_at = [&](std::size_t block) {
-        return block + 1 < all.blocks().size() ? all.blocks()[block + 1].at : whole.size();
+        return block + 1 < all.blocks().size() ? all.blocks()[block + 1].offset : whole.size();
     };
     for (std::size_t cut = 0; cut < whole.size(); ++cut) {
         put_bytes(folder.file("cut"), std::string_view(whole).substr(0, cut));
-        if (cut < all.blocks()[0].at) {
+        if (cut < all.blocks()[0].offset) {
             EXPECT_THROW(Reader(folder.file("cut")), std::runtime_error) << cut;
             continue;
         }
@@ -191,7 +191,7 @@
         }
         // The last one ends where the index begins.
         ASSERT_GE(reader.blocks().size(), good) << cut;
-        ASSERT_FALSE(reader.finished()) << cut;
+        ASSERT_FALSE(reader.is_complete()) << cut;
         ASSERT_FALSE(reader.damage().empty()) << cut;
         const auto got = read_all(reader);
         ASSERT_TRUE(std::equal(got.begin(), got.end(), written.begin())) << cut;
@@ -201,26 +201,26 @@
 // One byte of the file is flipped, each in turn. At most the block with that byte may be lost, and
 // the damage must name its place.
 TEST(Record, AFlippedByteCostsItsBlockAloneAndIsNamed) {
-    const Folder folder;
-    Writer writer(file_sink(folder.file("whole")), header(), small_blocks());
+    const TemporaryDirectory folder;
+    Writer writer(open_file_sink(folder.file("whole")), header(), small_blocks());
     const auto written = write(writer, 40, 1ms, 3);
     const std::string whole = bytes_of(folder.file("whole"));
     Reader all(folder.file("whole"));
     const auto& places = all.blocks();
-    for (std::size_t at = places[0].at; at < whole.size(); ++at) {
+    for (std::size_t at = places[0].offset; at < whole.size(); ++at) {
         std::string bad = whole;
         bad[at] = static_cast<char>(bad[at] ^ 0x10);
         put_bytes(folder.file("bad"), bad);
         Reader reader(folder.file("bad"));
         reader.scan();
         std::size_t hit = 0;
-        while (hit + 1 < places.size() && places[hit + 1].at <= at) {
+        while (hit + 1 < places.size() && places[hit + 1].offset <= at) {
             ++hit;
         }
         ASSERT_FALSE(reader.damage().empty()) << at;
         ASSERT_GE(reader.blocks().size() + 1, places.size()) << at;
         if (reader.blocks().size() < places.size()) {
-            ASSERT_EQ(reader.damage().front().at, places[hit].at) << at;
+            ASSERT_EQ(reader.damage().front().offset, places[hit].offset) << at;
         }
         for (std::size_t k = 0; k < reader.blocks().size(); ++k) {
             EXPECT_NO_THROW(reader.read(k));
@@ -231,7 +231,7 @@
 // A file has an unknown format, is no recording, or is missing: it must be refused. A record of an
 // unknown kind must be skipped.
 TEST(Record, OtherFormatsAreRefusedAndUnknownRecordsSkipped) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     for (const std::uint32_t format : {0u, kFormat + 1}) {
         pb::Header other = header();
         other.set_format(format);
@@ -278,54 +278,54 @@
 // The disk stands still while records come. Whole blocks are lost, the loop never waits, and the
 // file must tell how many records are missing.
 TEST(Record, ASlowDiskLosesWholeBlocksAndTheFileTellsHowMany) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     std::promise<void> go;
     WriterOptions options;
-    options.block_bytes = 100;
-    options.blocks_waiting_most = 3;
-    options.when_full = WhenFull::Lose;
+    options.target_block_bytes = 100;
+    options.max_queued_blocks = 3;
+    options.when_full = WhenFull::Drop;
     Writer writer(
-        std::make_unique<StuckSink>(file_sink(folder.file("slow")), go.get_future().share()),
+        std::make_unique<StuckSink>(open_file_sink(folder.file("slow")), go.get_future().share()),
         header(), options);
     constexpr int kAll = 500;
     for (int n = 0; n < kAll; ++n) {
         writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
     }
     writer.flush();
-    EXPECT_GT(writer.figures().lost, 0u);
+    EXPECT_GT(writer.stats().lost_records, 0u);
     go.set_value();
     writer.finish();
-    const auto figures = writer.figures();
-    EXPECT_EQ(figures.records + figures.lost, static_cast<std::uint64_t>(kAll));
+    const auto figures = writer.stats();
+    EXPECT_EQ(figures.records + figures.lost_records, static_cast<std::uint64_t>(kAll));
     Reader reader(folder.file("slow"));
     std::uint64_t read = 0;
     std::uint64_t lost = 0;
-    reader.each(Micros::min(), Micros::max(), [&](const pb::Block& block) {
+    reader.for_each_block(Micros::min(), Micros::max(), [&](const pb::Block& block) {
         read += static_cast<std::uint64_t>(block.records_size());
         lost += block.lost();
     });
     EXPECT_EQ(read, figures.records);
-    EXPECT_EQ(lost, figures.lost);
+    EXPECT_EQ(lost, figures.lost_records);
 }
 
 // The disk is slow and the writer may wait for it. No record may be lost.
 TEST(Record, AWriterThatMayWaitLosesNothingOnASlowDisk) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     std::promise<void> go;
     WriterOptions options;
-    options.block_bytes = 100;
-    options.blocks_waiting_most = 2;
+    options.target_block_bytes = 100;
+    options.max_queued_blocks = 2;
     options.when_full = WhenFull::Wait;
     Writer writer(
-        std::make_unique<StuckSink>(file_sink(folder.file("slow")), go.get_future().share()),
+        std::make_unique<StuckSink>(open_file_sink(folder.file("slow")), go.get_future().share()),
         header(), options);
     auto later = std::async(std::launch::async, [&] { go.set_value(); });
     for (int n = 0; n < 500; ++n) {
         writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
     }
     writer.finish();
-    EXPECT_EQ(writer.figures().records, 500u);
-    EXPECT_EQ(writer.figures().lost, 0u);
+    EXPECT_EQ(writer.stats().records, 500u);
+    EXPECT_EQ(writer.stats().lost_records, 0u);
 }
 
 class FullSink final : public Sink {
@@ -346,30 +346,30 @@
 // counted as written or lost.
 TEST(Record, AFullDiskEndsTheRecordingAndCountsWhatIsLost) {
     WriterOptions options;
-    options.block_bytes = 100;
+    options.target_block_bytes = 100;
     options.when_full = WhenFull::Wait;
     Writer writer(std::make_unique<FullSink>(), header(), options);
     for (int n = 0; n < 500; ++n) {
         writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
     }
     writer.finish();
-    const auto figures = writer.figures();
-    EXPECT_EQ(figures.failed, "no space left");
-    EXPECT_EQ(figures.records + figures.lost, 500u);
+    const auto figures = writer.stats();
+    EXPECT_EQ(figures.error, "no space left");
+    EXPECT_EQ(figures.records + figures.lost_records, 500u);
     EXPECT_EQ(figures.blocks, 2u);
 }
 
 // The clock goes back while a block is open. A search by time must still find the block.
 TEST(Record, AClockThatGoesBackKeepsItsBlocksFindable) {
-    const Folder folder;
-    Writer writer(file_sink(folder.file("back")), header(), small_blocks());
+    const TemporaryDirectory folder;
+    Writer writer(open_file_sink(folder.file("back")), header(), small_blocks());
     for (const Micros at : {10s, 11s, 5s, 6s}) {
         writer.add(at).mutable_came()->set_id_more(1);
     }
     writer.finish();
     Reader reader(folder.file("back"));
     int found = 0;
-    reader.each(4s, 5s, [&](const pb::Block&) { ++found; });
+    reader.for_each_block(4s, 5s, [&](const pb::Block&) { ++found; });
     EXPECT_EQ(found, 1);
     Micros first = Micros::max();
     for (const auto& block : reader.blocks()) {
--- a/tests/folder.h
+++ b/tests/temporary_directory.h
@@ -7,14 +7,14 @@
 
 namespace badgergrade::test {
 
-struct Folder {
-    Folder() {
+struct TemporaryDirectory {
+    TemporaryDirectory() {
         std::string name =
             (std::filesystem::temp_directory_path() / "badgergrade-test-XXXXXX").string();
         path = mkdtemp(name.data());
     }
 
-    ~Folder() { std::filesystem::remove_all(path); }
+    ~TemporaryDirectory() { std::filesystem::remove_all(path); }
 
     std::string file(const std::string& name) const {
         return (std::filesystem::path(path) / name).string();
