--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -79,7 +79,7 @@
     const auto config = load_governor(ini);
     settings.operations = config.settings.operations;
     settings.retry_mode = config.settings.default_retry_mode;
-    settings.pick_policy = config.settings.pick_policy;
+    settings.pick_policy = config.settings.load_balancing_policy;
     settings.ejection_failures = config.settings.proxy_ejection_failures;
     settings.ejection_time = config.ejection_time;
     settings.connection_idle_timeout = config.settings.connection_idle_timeout;
@@ -87,7 +87,7 @@
     settings.dial_timeout = 2s;
     settings.min_reconnect_delay = 500ms;
     settings.max_reconnect_delay = 2s;
-    settings.keepalive_interval = config.keepalive;
+    settings.keepalive_interval = config.keepalive_interval;
     for (const auto& one : governors) {
         settings.instance_addresses.push_back(address(one));
         settings.instance_names.push_back(one);
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -13,13 +13,13 @@
     : random_(static_cast<std::ranlux24_base::result_type>(seed ^ seed >> 32)),
       equal_weights_(settings.listed_weights == ListedWeights::None ||
                      settings.listed_weights == ListedWeights::Live),
-      vanished_may_stay_(settings.vanished_may_stay && settings.shard_count == 0) {}
+      keep_unlisted_servers_(settings.keep_unlisted_servers && settings.shard_count == 0) {}
 
 void EndpointList::apply(Micros now, const event::EndpointListUpdate& update, FleetState& fleet,
                          OutlierDetector& outliers) {
     if (update.kind != UpdateKind::Delta) {
         for (auto& [id, server] : fleet.servers) {
-            remove(server);
+            mark_missing(server);
         }
     }
     for (const Endpoint& endpoint : update.endpoints) {
@@ -30,24 +30,24 @@
         }
         const bool same_start = server.started_at == endpoint.started_at;
         if (endpoint.state == ServerState::Ready && !same_start) {
-            outliers.forget(endpoint.server);
+            outliers.reset(endpoint.server);
         }
         if (endpoint.state == ServerState::Gone) {
-            remove(server);
+            mark_missing(server);
             continue;
         }
         server.zone = endpoint.zone;
         server.state = endpoint.state;
         server.weight = equal_weights_ || !(endpoint.weight > 0) ? 1.0 : endpoint.weight;
         server.started_at = endpoint.started_at;
-        server.start_heard_at = same_start ? server.start_heard_at : now;
-        server.vanished = false;
+        server.start_reported_at = same_start ? server.start_reported_at : now;
+        server.unlisted = false;
     }
 }
 
-void EndpointList::remove(Server& server) const {
-    server.vanished = vanished_may_stay_ && server.state == ServerState::Ready;
-    if (!server.vanished) {
+void EndpointList::mark_missing(Server& server) const {
+    server.unlisted = keep_unlisted_servers_ && server.state == ServerState::Ready;
+    if (!server.unlisted) {
         server.state = ServerState::Gone;
     }
 }
@@ -55,7 +55,7 @@
 void EndpointList::remove_unresponsive(Micros now, FleetState& fleet,
                                        const OutlierDetector& outliers) const {
     for (auto& [id, server] : fleet.servers) {
-        if (!server.vanished) {
+        if (!server.unlisted) {
             continue;
         }
         const AttemptStats kept = outliers.server_stats(now, id, kReportBuckets);
@@ -64,7 +64,7 @@
         if (answers && newest.failed_fraction() < kFailingFraction) {
             continue;
         }
-        server.vanished = false;
+        server.unlisted = false;
         server.state = ServerState::Gone;
     }
 }
--- a/src/scenario/auditor.cpp
+++ b/src/scenario/auditor.cpp
@@ -29,7 +29,7 @@
     return out.str();
 }
 
-Auditor::Auditor(base::Clock& clock, const config::GovernorConfig& config)
+Auditor::Auditor(base::Clock& clock, const config::InstanceConfig& config)
     : clock_(clock),
       config_(config),
       tick_(clock, base::ActorId{1}) {
@@ -145,7 +145,7 @@
     GovernorSight& sight = governors_[name];
     // What the settings let a governor refuse has not told it anything: an empty list after a full
     // one, and one older than what the same registry gave before.
-    if (config_.empty_list == config::EmptyList::Refuse && list.servers.empty() &&
+    if (config_.empty_list_policy == config::EmptyListPolicy::Refuse && list.servers.empty() &&
         sight.servers_told > 0) {
         return;
     }
@@ -178,7 +178,7 @@
         }
         server.ready = false;
         // Where only a stated drain binds, a server that merely vanished may stay.
-        if (!config_.settings.vanished_may_stay) {
+        if (!config_.settings.keep_unlisted_servers) {
             sight.gone.try_emplace(key, now);
         }
     }
--- a/src/scenario/script.h
+++ b/src/scenario/script.h
@@ -21,8 +21,8 @@
 #include <string>
 #include <vector>
 
-#include "config/governor_config.h"
 #include "config/ini.h"
+#include "config/instance_config.h"
 
 namespace badgergrade::scenario {
 
@@ -98,7 +98,7 @@
     std::uint64_t seed = 1;
     Micros length{};
     config::IniFile settings;
-    config::GovernorConfig instance_config;
+    config::InstanceConfig instance_config;
     int server_count = 0, proxy_count = 0, instance_count = 1;
     double invocations_per_second = 0;
     std::vector<MachineKind> machine_kinds;
--- a/src/scenario/simulated_fleet.cpp
+++ b/src/scenario/simulated_fleet.cpp
@@ -489,7 +489,7 @@
 void SimulatedFleet::start_governor(std::size_t k) {
     stop_governor(k);
     GovernorSlot& slot = governors_[k];
-    config::GovernorConfig config = script_.instance_config;
+    config::InstanceConfig config = script_.instance_config;
     config.id = slot.name;
     config.seed = base::seed_for(script_.seed, slot.name + "/" + std::to_string(slot.life)) >> 12;
     config.settings.ordinal = static_cast<int>(k);
@@ -531,22 +531,22 @@
     return out;
 }
 
-std::vector<xds::TableLine> SimulatedFleet::draw_startup(const std::string& zone,
-                                                         base::SequentialRandom& chance) const {
-    std::vector<xds::TableLine> here;
-    std::vector<xds::TableLine> all;
+std::vector<xds::TableEndpoint> SimulatedFleet::draw_startup(const std::string& zone,
+                                                             base::SequentialRandom& chance) const {
+    std::vector<xds::TableEndpoint> here;
+    std::vector<xds::TableEndpoint> all;
     for (const auto& [id, row] : registry_->entries()) {
         if (row.server.state != ServerState::Ready) {
             continue;
         }
-        const xds::TableLine line{row.server.address, row.server.zone, 1, false};
+        const xds::TableEndpoint line{row.server.address, row.server.zone, 1, false};
         all.push_back(line);
         if (row.server.zone == zone) {
             here.push_back(line);
         }
     }
     auto& from = here.size() >= 3 ? here : all;
-    std::vector<xds::TableLine> out;
+    std::vector<xds::TableEndpoint> out;
     while (!from.empty() && out.size() < static_cast<std::size_t>(script_.startup_table_size)) {
         const std::size_t k = chance.below(from.size());
         out.push_back(from[k]);
@@ -587,7 +587,7 @@
         s.instance_names.push_back(governors_[g].name);
     }
     s.startup_table = draw_startup(slot.plan.zone, chance);
-    s.pick_policy = told.pick_policy;
+    s.pick_policy = told.load_balancing_policy;
     s.retry_mode = told.default_retry_mode;
     s.ejection_failures = told.proxy_ejection_failures;
     s.ejection_time = script_.instance_config.ejection_time;
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -11,7 +11,7 @@
 #include <set>
 #include <sstream>
 
-#include "host.h"
+#include "instance_host.h"
 
 using namespace badgergrade;
 
@@ -193,7 +193,7 @@
     void site(const Words& w) {
         static const std::map<std::string, double Settings::*> kReals = {
             {"rate", &Settings::channel_lines_per_second},
-            {"head", &Settings::message_head_lines},
+            {"head", &Settings::message_header_lines},
             {"lines", &Settings::max_queued_lines},
             {"from", &Settings::initial_capacity_fraction},
             {"fall", &Settings::overload_collapse_factor}};
@@ -207,11 +207,11 @@
             {"ask", &Settings::endpoints_on_request},
             {"exclusive", &Settings::exclusive_shards},
             {"probe", &Settings::health_checks_allowed},
-            {"stay", &Settings::vanished_may_stay}};
+            {"stay", &Settings::keep_unlisted_servers}};
         static const std::map<std::string, Micros Settings::*> kTimes = {
             {"cold", &Settings::slow_start_window},
             {"grace", &Settings::drain_grace},
-            {"settle", &Settings::shard_settle_time},
+            {"settle", &Settings::shard_handover_delay},
             {"window", &Settings::message_window},
             {"falltime", &Settings::overload_collapse_time},
             {"bare", &Settings::max_time_without_server},
@@ -524,7 +524,7 @@
     std::istringstream from(input);
     std::ostringstream replies;
     std::ostringstream complaints;
-    wire::Host(replies, complaints).run(from);
+    wire::InstanceHost(replies, complaints).run(from);
     for (const auto& [kind, what] : wanted) {
         const std::string& seen = kind == '!' ? complaints.str() : replies.str();
         const bool there = seen.find(what) != std::string::npos;
