--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -11,29 +11,30 @@
 
 using Json = nlohmann::json;
 
-/// Most instances in a list: more than a platform has, few enough for the memory of an instance.
-constexpr std::size_t kMaxInstances = 65535;
-/// Longest id of an instance, in bytes.
-constexpr std::size_t kMaxInstanceIdBytes = 128;
-/// Deepest nesting of settings: bounds the recursion.
+/// Limit of servers in a list: more than a platform has, and few enough for the memory of a control
+/// plane instance.
+constexpr std::size_t kMaxServers = 65535;
+/// Limit of the length of a server's id.
+constexpr std::size_t kMaxServerIdBytes = 128;
+/// Limit of nested objects in the settings; bounds the recursion.
 constexpr std::size_t kMaxSettingsDepth = 16;
-/// Latest start of an instance, Unix time in milliseconds (the year 5138): keeps the conversion to
+/// Latest start of a server, Unix time in milliseconds (the year 5138). Keeps the conversion to
 /// microseconds in range.
 constexpr double kMaxStartedMs = 1e14;
-/// Largest weight of an instance.
-constexpr double kMaxInstanceWeight = 1e9;
-/// Batch window where the settings name none, and the longest one, in milliseconds.
+/// Largest weight of a server.
+constexpr double kMaxServerWeight = 1e9;
+/// Default and maximum of the batch window, in milliseconds.
 constexpr double kDefaultBatchWindowMs = 4;
 constexpr double kMaxBatchWindowMs = 1000;
-/// Fewest descriptors an instance can work with: its own, and some for peers.
+/// Minimum of the descriptor limit: the process's own descriptors and a few peers.
 constexpr int kMinSockets = 16;
-/// Bytes of a wrong value that an error text quotes.
+/// Limit of the bytes of an invalid value that an error message quotes.
 constexpr std::size_t kMaxQuotedBytes = 40;
 
-// ---- settings, in the form of the simulator's message
+// ---- settings, converted to the simulator's start message
 
-/// A value within the simulator's line. Characters that would end it turn into '_', as in the
-/// simulator.
+/// Formats a value of the start message. Characters that would end the value are replaced by '_',
+/// as the simulator does.
 std::string line_value(const Json& value) {
     std::string text = value.is_string() ? value.get<std::string>() : value.dump();
     for (char& c : text) {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Objects stand one by one under their index, with their number as `count`.
+/// Adds each object of an array under its index, and the length of the array as `count`.
 void add_objects_to_line(std::string& line, const std::string& path, const std::string& prefix,
                          const Json& objects, std::size_t depth) {
     std::size_t index = 0;
@@ -66,7 +67,7 @@
     line += "\t" + path + ".count=" + std::to_string(objects.size());
 }
 
-/// Plain values stand as one list with commas.
+/// Adds an array of plain values as one comma-separated list.
 void add_values_to_line(std::string& line, const std::string& path, const Json& values) {
     std::string list;
     bool is_first = true;
@@ -79,7 +80,8 @@
 
 void add_to_line(std::string& line, const std::string& path, const Json& value, std::size_t depth) {
     if (depth > kMaxSettingsDepth) {
-        throw ParseError("settings are nested too deeply at " + path);
+        throw ParseError("field \"settings." + path +
+                         "\": expected at most 16 levels of nesting, got more");
     }
     if (value.is_null()) {
         return;
@@ -105,14 +107,16 @@
 Micros parse_batch_window(const Json& settings) {
     const double ms = settings.value("quantum", kDefaultBatchWindowMs);
     if (!(ms >= 0) || ms > kMaxBatchWindowMs) {
-        throw ParseError("settings.quantum is out of range");
+        throw ParseError("field \"settings.quantum\": expected 0 to 1000 ms, got " +
+                         std::to_string(ms));
     }
     return Micros(std::llround(ms * 1000));
 }
 
 // ---- names
 
-/// The strings of a list, or the strings under `key` of its objects.
+/// Returns the strings of an array, or, if `key` is not null, the string under `key` of each of its
+/// objects.
 std::vector<std::string> parse_strings(const Json& list, const char* key) {
     std::vector<std::string> strings;
     for (const Json& element : list) {
@@ -121,8 +125,8 @@
     return strings;
 }
 
-/// The platform's name of a load metric. The settings use the simulator's names, the platform's
-/// reports others.
+/// Returns the platform's name of a load metric: the settings use the simulator's names, while the
+/// platform's reports use names of their own.
 std::string platform_metric_name(const std::string& simulator_name) {
     struct NamePair {
         const char* simulator;
@@ -140,8 +144,8 @@
     return simulator_name;
 }
 
-/// The names themselves, with blanks and commas: read from the JSON since the simulator's line
-/// replaces these characters.
+/// Reads the names from the JSON itself: the simulator's start message can't hold the blanks and
+/// commas in them, so that `settings` has them replaced.
 ProtocolNames parse_protocol_names(const Json& json, const Settings& settings) {
     ProtocolNames names;
     names.zones = parse_strings(json.at("zones"), nullptr);
@@ -151,17 +155,18 @@
         names.load_metrics.push_back(platform_metric_name(metric));
     }
     if (names.zones.empty()) {
-        throw ParseError("settings.zones is empty");
+        throw ParseError("field \"settings.zones\": expected at least one zone, got none");
     }
     if (names.operations.empty()) {
-        throw ParseError("settings.request_classes is empty");
+        throw ParseError(
+            "field \"settings.request_classes\": expected at least one operation, got none");
     }
     return names;
 }
 
-// ---- instances
+// ---- list of servers
 
-ServerState parse_lifecycle(const std::string& instance_id, const std::string& lifecycle) {
+ServerState parse_lifecycle(const std::string& server_id, const std::string& lifecycle) {
     if (lifecycle == "Ready") {
         return ServerState::Ready;
     }
@@ -171,56 +176,63 @@
     if (lifecycle == "Gone") {
         return ServerState::Gone;
     }
-    throw ParseError(instance_id + ": lifecycle '" + lifecycle.substr(0, kMaxQuotedBytes) + "'");
+    throw ParseError("server '" + server_id +
+                     "': field \"lifecycle\": expected Ready, Terminating or Gone, got '" +
+                     lifecycle.substr(0, kMaxQuotedBytes) + "'");
 }
 
-Instance parse_instance(const Json& row) {
-    Instance instance;
-    instance.id = row.at("instanceId").get<std::string>();
-    if (instance.id.empty() || instance.id.size() > kMaxInstanceIdBytes) {
-        throw ParseError("an instanceId is 1 to 128 bytes");
+ServerEntry parse_server_entry(const Json& row) {
+    ServerEntry server;
+    server.id = row.at("instanceId").get<std::string>();
+    if (server.id.empty() || server.id.size() > kMaxServerIdBytes) {
+        throw ParseError("field \"instanceId\": expected 1 to 128 bytes, got " +
+                         std::to_string(server.id.size()));
     }
-    instance.zone = row.value("zone", "");
-    instance.state = parse_lifecycle(instance.id, row.at("lifecycle").get<std::string>());
-    instance.weight = row.value("weight", 1.0);
-    if (!std::isfinite(instance.weight) || instance.weight < 0 ||
-        instance.weight > kMaxInstanceWeight) {
-        throw ParseError(instance.id + ": weight is out of range");
+    server.zone = row.value("zone", "");
+    server.state = parse_lifecycle(server.id, row.at("lifecycle").get<std::string>());
+    server.weight = row.value("weight", 1.0);
+    if (!std::isfinite(server.weight) || server.weight < 0 || server.weight > kMaxServerWeight) {
+        throw ParseError("server '" + server.id + "': field \"weight\": expected 0 to 1e9, got " +
+                         std::to_string(server.weight));
     }
-    instance.started_ms = row.value("startedAtMs", 0.0);
-    if (!(instance.started_ms >= 0) || instance.started_ms > kMaxStartedMs) {
-        throw ParseError(instance.id + ": startedAtMs is out of range");
+    server.started_ms = row.value("startedAtMs", 0.0);
+    if (!(server.started_ms >= 0) || server.started_ms > kMaxStartedMs) {
+        throw ParseError("server '" + server.id +
+                         "': field \"startedAtMs\": expected 0 to 1e14, got " +
+                         std::to_string(server.started_ms));
     }
-    return instance;
+    return server;
 }
 
-// Failure guarded against: one entry that can't be read makes the whole list unusable, or takes its
-// server away from all proxies. The entry is skipped alone, and its id is kept.
-void skip_entry(InstanceList& list, const Json& row, const char* why) {
-    list.skipped_entries.emplace_back(why);
+// An entry that is not valid must neither make the whole list unusable nor remove its server from
+// the tables of all proxies. Only this entry is skipped, and its id is kept.
+void skip_entry(ServerList& list, const Json& row, const char* reason) {
+    list.skip_reasons.emplace_back(reason);
     if (!row.is_object()) {
         return;
     }
     const auto id = row.find("instanceId");
     if (id != row.end() && id->is_string()) {
-        list.unreadable_ids.push_back(id->get<std::string>());
+        list.skipped_ids.push_back(id->get<std::string>());
     }
 }
 
-InstanceList parse_instances(const Json& json) {
-    InstanceList list;
+ServerList parse_server_list(const Json& json) {
+    ServerList list;
     list.generation = json.at("generation").get<std::uint64_t>();
     list.is_snapshot = json.value("reset", false);
     const Json& rows = json.at("instances");
     if (!rows.is_array()) {
-        throw ParseError("instances is no list");
+        throw ParseError(std::string("field \"instances\": expected an array, got ") +
+                         rows.type_name());
     }
-    if (rows.size() > kMaxInstances) {
-        throw ParseError("a list names more than 65535 instances");
+    if (rows.size() > kMaxServers) {
+        throw ParseError("field \"instances\": expected at most 65535 entries, got " +
+                         std::to_string(rows.size()));
     }
     for (const Json& row : rows) {
         try {
-            list.instances.push_back(parse_instance(row));
+            list.servers.push_back(parse_server_entry(row));
         } catch (const Json::exception& error) {
             skip_entry(list, row, error.what());
         } catch (const ParseError& error) {
@@ -240,8 +252,8 @@
     std::uint64_t seed = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
     if (error != std::errc{} || end != text.data() + text.size()) {
-        throw ParseError("seed is no hexadecimal number: '" + text.substr(0, kMaxQuotedBytes) +
-                         "'");
+        throw ParseError("field \"seed\": expected a hexadecimal number of up to 64 bits, got '" +
+                         text.substr(0, kMaxQuotedBytes) + "'");
     }
     return seed;
 }
@@ -257,24 +269,26 @@
     if (const auto limits = json.find("limits"); limits != json.end()) {
         config.max_sockets = limits->value("sockets", config.max_sockets);
         if (config.max_sockets < kMinSockets) {
-            throw ParseError("limits.sockets is below 16");
+            throw ParseError("field \"limits.sockets\": expected at least 16, got " +
+                             std::to_string(config.max_sockets));
         }
     }
     const Json& settings = json.at("settings");
     if (!settings.is_object()) {
-        throw ParseError("settings is no object");
+        throw ParseError(std::string("field \"settings\": expected an object, got ") +
+                         settings.type_name());
     }
     config.settings = parse_settings(settings);
     config.batch_window = parse_batch_window(settings);
     config.protocol_names = parse_protocol_names(settings, config.settings);
     if (const auto known = json.find("known"); known != json.end() && !known->is_null()) {
-        config.initial_list = parse_instances(*known);
+        config.initial_list = parse_server_list(*known);
     }
     return config;
 }
 
-/// Parses the text and hands the JSON to `parse`. All failures, those of the JSON library included,
-/// come out as ParseError.
+/// Parses `text` as JSON and passes it to `parse`. All failures, those of the JSON library
+/// included, are thrown as ParseError.
 template <class Parse>
 auto parse_json(const std::string& text, Parse parse) {
     try {
@@ -294,8 +308,8 @@
     return parse_json(json, parse_config);
 }
 
-InstanceList read_instances(const std::string& json) {
-    return parse_json(json, parse_instances);
+ServerList read_server_list(const std::string& json) {
+    return parse_json(json, parse_server_list);
 }
 
 }  // namespace badgergrade::platform
--- a/src/platform/config_writer.cpp
+++ b/src/platform/config_writer.cpp
@@ -11,15 +11,15 @@
 namespace badgergrade::platform {
 namespace {
 
-/// Parts of one update: the protocol's bound.
+/// Limit of the protocol for the parts of one update.
 constexpr std::size_t kMaxParts = 64;
-/// Rows of one part: ids are 128 bytes at most, so that a part stays well under the 1 MiB that a
-/// message may have.
-constexpr std::size_t kMaxRowsPerPart = 4000;
-/// Characters of the longest finite double without an exponent.
+/// Limit of the weights in one part. Server ids have at most 128 bytes, so that a part stays well
+/// under the limit of 1 MiB for a message.
+constexpr std::size_t kMaxWeightsPerPart = 4000;
+/// Enough characters for any finite double without an exponent.
 constexpr std::size_t kMaxNumberChars = 400;
 
-/// The words of one message.
+/// The bulk strings of one message.
 using Words = std::vector<std::string>;
 
 void add_field(Words& words, const char* name, std::string value) {
@@ -27,8 +27,7 @@
     words.push_back(std::move(value));
 }
 
-/// Without an exponent, and with all the digits that the number has. `value` is finite and not
-/// negative.
+/// Formats a number without an exponent and without loss. `value` must be finite and not negative.
 std::string format_number(double value) {
     char buffer[kMaxNumberChars];
     const auto end =
@@ -54,50 +53,50 @@
     return joined;
 }
 
-/// The head of a part for these operations; 0 stands for all of them.
+/// Begins a part that applies to these operations; 0 stands for all operations.
 Words begin_part(OperationMask operations, const ProtocolNames& names) {
     Words part{words::kConfig};
     if (operations != 0) {
-        add_field(part, words::kFor, join_operations(operations, names));
+        add_field(part, words::kOperations, join_operations(operations, names));
     }
     return part;
 }
 
-/// Adds the weights of a table, in as many parts as their number takes. An empty table that is sent
-/// whole takes a part too: it replaces what the proxy has.
+/// Adds the weights of a table, split over several parts if there are too many for one. An empty
+/// table with `replace_all` needs a part too, because it replaces the table that the proxy has.
 void add_weights(std::vector<Words>& parts, const runtime::TableUpdate& update,
                  const ProtocolNames& names, const ServerIds& server_ids) {
     if (!update.replace_all && update.weights.empty()) {
         return;
     }
-    auto line = update.weights.begin();
+    auto weight = update.weights.begin();
     bool is_first = true;
     do {
         std::string rows;
-        for (std::size_t count = 0; line != update.weights.end() && count < kMaxRowsPerPart;
-             ++line, ++count) {
-            rows += (rows.empty() ? "" : ",") + server_ids.text_id(line->first) + ":" +
-                    format_number(line->second);
+        for (std::size_t count = 0; weight != update.weights.end() && count < kMaxWeightsPerPart;
+             ++weight, ++count) {
+            rows += (rows.empty() ? "" : ",") + server_ids.text_id(weight->first) + ":" +
+                    format_number(weight->second);
         }
         Words part = begin_part(update.operations, names);
         if (update.replace_all && is_first) {
-            add_field(part, words::kReplace, words::kYes);
+            add_field(part, words::kReplaceTable, words::kTrue);
         }
         if (!rows.empty()) {
-            add_field(part, words::kRows, std::move(rows));
+            add_field(part, words::kWeights, std::move(rows));
         }
         parts.push_back(std::move(part));
         is_first = false;
-    } while (line != update.weights.end());
+    } while (weight != update.weights.end());
 }
 
-/// Operations that have one admission setting.
+/// Operations that share an admission setting.
 struct AdmissionGroup {
     runtime::AdmissionSetting setting;
     OperationMask operations = 0;
 };
 
-/// Groups operations by their setting, in the order in which the settings first stand.
+/// Groups operations by their setting, in the order of the first operation with each setting.
 std::vector<AdmissionGroup> group_by_setting(const runtime::AdmissionSettings& settings) {
     std::vector<AdmissionGroup> groups;
     for (const auto& [operation, setting] : settings) {
@@ -115,28 +114,30 @@
     return groups;
 }
 
-/// Adds admission limits and retry modes. Operations with the same setting share a part.
+/// Adds admission limits and retry modes, one part for each different setting.
 void add_admission(std::vector<Words>& parts, const runtime::TableUpdate& update,
                    const ProtocolNames& names) {
     for (const AdmissionGroup& group : group_by_setting(update.admission)) {
         Words part = begin_part(group.operations, names);
-        add_field(part, words::kGate, format_number(group.setting.limit));
-        add_field(part, words::kAgain, std::to_string(static_cast<int>(group.setting.retry_mode)));
+        add_field(part, words::kAdmissionLimit, format_number(group.setting.limit));
+        add_field(part, words::kRetryMode,
+                  std::to_string(static_cast<int>(group.setting.retry_mode)));
         parts.push_back(std::move(part));
     }
 }
 
-/// Adds what concerns the whole proxy: any part may carry it, the last one does.
+/// Adds the fields that concern the whole proxy. The protocol allows them in any part; they are
+/// added to the last one.
 void add_proxy_fields(Words& last_part, const runtime::ProxyUpdate& update,
                       const ServerIds& server_ids) {
     if (!update.eject.empty()) {
-        add_field(last_part, words::kDrop, join_servers(update.eject, server_ids));
+        add_field(last_part, words::kEject, join_servers(update.eject, server_ids));
     }
     if (!update.restore.empty()) {
-        add_field(last_part, words::kUndrop, join_servers(update.restore, server_ids));
+        add_field(last_part, words::kRestore, join_servers(update.restore, server_ids));
     }
     if (update.ack_version) {
-        add_field(last_part, words::kStamp, std::to_string(update.ack_version->value));
+        add_field(last_part, words::kAckVersion, std::to_string(update.ack_version->value));
     }
 }
 
@@ -160,7 +161,7 @@
     for (std::size_t k = 0; k < parts.size(); ++k) {
         const bool more_follow = k + 1 < parts.size();
         if (more_follow) {
-            add_field(parts[k], words::kPart, words::kYes);
+            add_field(parts[k], words::kMoreParts, words::kTrue);
         }
         resp::write(bytes, parts[k]);
     }
--- a/src/platform/config_writer.h
+++ b/src/platform/config_writer.h
@@ -1,4 +1,5 @@
-/// A configuration update for one proxy as the bytes of its CONFIG messages. No I/O, no decision.
+/// Encodes a configuration update for one proxy as CONFIG messages of the platform's protocol.
+/// Stateless, no I/O, no decisions.
 #pragma once
 
 #include <optional>
@@ -10,8 +11,8 @@
 
 namespace badgergrade::platform {
 
-/// The bytes of an update: its parts as one CONFIG message each, to be written in one piece.
-/// Nothing where the update takes more parts than the protocol allows (64).
+/// Encodes an update as one or more parts, each a CONFIG message. The parts must be sent together
+/// and in order. Returns nothing if the update needs more parts than the protocol allows (64).
 std::optional<std::string> write_config(const runtime::ProxyUpdate& update,
                                         const ProtocolNames& names, const ServerIds& server_ids);
 
--- a/src/platform/message_reader.cpp
+++ b/src/platform/message_reader.cpp
@@ -13,7 +13,8 @@
 namespace badgergrade::platform {
 namespace {
 
-// Bounds of numbers. No peer that works comes near them, and all sums of them stay in range.
+// Upper limits of numbers. Peers that work correctly stay far below them, and sums of values within
+// the limits do not overflow.
 
 /// Attempts or failures in one report.
 constexpr double kMaxCount = 1e8;
@@ -21,48 +22,51 @@
 constexpr double kMaxTimeMs = 1e8;
 /// Announced rate of a proxy, requests per second.
 constexpr double kMaxRatePerSecond = 1e7;
-/// Largest configuration version.
+/// Configuration version.
 constexpr double kMaxVersion = 65535;
-/// Any load metric.
+/// Value of any load metric.
 constexpr double kMaxLoadMetric = 1e12;
-/// Bytes of a wrong value that an error text quotes.
+/// Limit of the bytes of an invalid value that an error message quotes.
 constexpr std::size_t kMaxQuotedBytes = 40;
 
 std::string quoted(std::string_view text) {
     return "'" + std::string(text.substr(0, kMaxQuotedBytes)) + "'";
 }
 
-/// Parses a finite number from 0 to `max`; throws InvalidMessage that names the field.
+/// Parses a finite number from 0 to `max`. Throws InvalidMessage, which names the field.
 double parse_number(std::string_view name, std::string_view text, double max) {
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value)) {
-        throw InvalidMessage(std::string(name) + " is no number: " + quoted(text));
+        throw InvalidMessage("field \"" + std::string(name) + "\": expected a number, got " +
+                             quoted(text));
     }
     if (value < 0 || value > max) {
-        throw InvalidMessage(std::string(name) + " is out of range: " + quoted(text));
+        throw InvalidMessage("field \"" + std::string(name) + "\": expected 0 to " +
+                             std::to_string(std::llround(max)) + ", got " + quoted(text));
     }
     return value;
 }
 
-/// A message as its kind and name-value pairs. All members throw InvalidMessage.
+/// A message split into its kind and its name-value pairs. All members throw InvalidMessage.
 class MessageFields {
 public:
     explicit MessageFields(const resp::Message& message) : words_(message.words) {
         if (!message.only_strings) {
-            throw InvalidMessage("holds something other than strings");
+            throw InvalidMessage("expected bulk strings only, got another kind of element");
         }
         if (words_.empty()) {
-            throw InvalidMessage("is empty");
+            throw InvalidMessage("expected a message kind, got an empty message");
         }
         if (words_.size() % 2 == 0) {
-            throw InvalidMessage("has a name without a value");
+            throw InvalidMessage(
+                "expected a value for each field name, got a name without a value");
         }
     }
 
     const std::string& kind() const { return words_.front(); }
 
-    /// The value of a field, or null where there is none.
+    /// Returns the value of a field, or null if the field is missing.
     const std::string* find(std::string_view name) const {
         const std::string* found = nullptr;
         for (std::size_t k = 1; k + 1 < words_.size(); k += 2) {
@@ -70,56 +74,60 @@
                 continue;
             }
             if (found) {
-                throw InvalidMessage(std::string(name) + " stands twice");
+                throw InvalidMessage("field \"" + std::string(name) +
+                                     "\": expected once, got twice");
             }
             found = &words_[k + 1];
         }
         return found;
     }
 
-    /// The value of a field that must be there.
+    /// Returns the value of a required field.
     const std::string& text(std::string_view name) const {
         const std::string* found = find(name);
         if (!found) {
-            throw InvalidMessage(std::string(name) + " is missing");
+            throw InvalidMessage("field \"" + std::string(name) + "\" is missing");
         }
         return *found;
     }
 
-    /// A number from 0 to `max`.
+    /// Returns a required number from 0 to `max`.
     double number(std::string_view name, double max) const {
         return parse_number(name, text(name), max);
     }
 
-    /// A whole number from 0 to `max`.
+    /// Returns a required integer from 0 to `max`.
     std::int64_t integer(std::string_view name, double max) const {
         const double value = number(name, max);
         if (value != std::floor(value)) {
-            throw InvalidMessage(std::string(name) + " is no whole number: " + quoted(text(name)));
+            throw InvalidMessage("field \"" + std::string(name) + "\": expected an integer, got " +
+                                 quoted(text(name)));
         }
         return static_cast<std::int64_t>(value);
     }
 
-    /// A time that stands in milliseconds.
+    /// Returns a required time, given in decimal milliseconds.
     Micros milliseconds(std::string_view name) const {
         return Micros(std::llround(number(name, kMaxTimeMs) * 1000));
     }
 
-    /// 0 or 1.
+    /// Returns a required flag, given as 0 or 1.
     bool flag(std::string_view name) const {
         const std::string& value = text(name);
-        if (value != words::kNo && value != words::kYes) {
-            throw InvalidMessage(std::string(name) + " is neither 0 nor 1: " + quoted(value));
+        if (value != words::kFalse && value != words::kTrue) {
+            throw InvalidMessage("field \"" + std::string(name) + "\": expected 0 or 1, got " +
+                                 quoted(value));
         }
-        return value == words::kYes;
+        return value == words::kTrue;
     }
 
-    /// The index of the value in a list of known names.
+    /// Returns the index of a required value in a list of known names.
     int index_in(std::string_view name, const std::vector<std::string>& known) const {
         const std::string& value = text(name);
         const auto it = std::find(known.begin(), known.end(), value);
         if (it == known.end()) {
-            throw InvalidMessage(std::string(name) + " is not known: " + quoted(value));
+            throw InvalidMessage("field \"" + std::string(name) +
+                                 "\": expected a name from the settings, got " + quoted(value));
         }
         return static_cast<int>(it - known.begin());
     }
@@ -134,22 +142,22 @@
 
 ProxyId read_proxy(const MessageFields& fields, const ProtocolNames& names) {
     if (names.proxy_count < 1) {
-        throw InvalidMessage("proxy is out of range: there is none");
+        throw InvalidMessage("field \"proxy\": the settings have no proxies");
     }
     return {static_cast<int>(fields.integer(words::kProxy, names.proxy_count - 1))};
 }
 
-/// The length of a report's interval: above 0, since counts are divided by it.
+/// Reads the length of a report's interval. It must be above 0 because counts are divided by it.
 Micros read_interval(const MessageFields& fields) {
-    const Micros interval = fields.milliseconds(words::kSpanMs);
+    const Micros interval = fields.milliseconds(words::kIntervalMs);
     if (interval <= Micros{0}) {
-        throw InvalidMessage("span_ms is out of range: '0'");
+        throw InvalidMessage("field \"span_ms\": expected a time above 0, got 0");
     }
     return interval;
 }
 
-/// Load metrics: name:value pairs by commas, put into the order of the settings. Unknown names are
-/// skipped, missing ones are 0; no metrics at all are an empty list.
+/// Reads load metrics, comma-separated name:value pairs, into the order of the settings. Unknown
+/// names are ignored, missing ones are 0; an empty text gives an empty list.
 std::vector<double> read_load_metrics(std::string_view text, const ProtocolNames& names) {
     if (text.empty()) {
         return {};
@@ -160,7 +168,7 @@
         const std::string_view pair = text.substr(begin, end - begin);
         const std::size_t colon = pair.find(':');
         if (colon == std::string_view::npos || colon == 0) {
-            throw InvalidMessage("load is no list of pairs: " + quoted(text));
+            throw InvalidMessage("field \"load\": expected name:value pairs, got " + quoted(text));
         }
         const double value =
             parse_number(words::kLoadMetrics, pair.substr(colon + 1), kMaxLoadMetric);
@@ -177,17 +185,17 @@
 event::ProxyConnected read_subscribe(const MessageFields& fields, const ProtocolNames& names) {
     event::ProxyConnected connected{};
     connected.proxy = read_proxy(fields, names);
-    connected.fresh_start = fields.flag(words::kFresh);
+    connected.fresh_start = fields.flag(words::kFreshStart);
     connected.zone = read_zone(fields, names);
-    connected.announced_rate = fields.number(words::kWeight, kMaxRatePerSecond);
+    connected.announced_rate = fields.number(words::kAnnouncedRate, kMaxRatePerSecond);
     return connected;
 }
 
 event::ConfigAcknowledged read_ack(const MessageFields& fields, const ProtocolNames& names) {
     event::ConfigAcknowledged ack{};
-    ack.version = {static_cast<int>(fields.integer(words::kMark, kMaxVersion))};
+    ack.version = {static_cast<int>(fields.integer(words::kAckedVersion, kMaxVersion))};
     ack.proxy = read_proxy(fields, names);
-    ack.delay = fields.milliseconds(words::kTookMs);
+    ack.delay = fields.milliseconds(words::kAckDelayMs);
     return ack;
 }
 
@@ -196,14 +204,15 @@
     const std::string& server_text = fields.text(words::kServer);
     const auto server = server_ids.find(server_text);
     if (!server) {
-        throw InvalidMessage("server is not known: " + quoted(server_text));
+        throw InvalidMessage("field \"server\": expected a server known from discovery, got " +
+                             quoted(server_text));
     }
     event::ServerLoadReport report{};
     report.zone = read_zone(fields, names);
     report.server = *server;
-    report.attempts = fields.integer(words::kTries, kMaxCount);
-    report.failures = fields.integer(words::kFailed, kMaxCount);
-    report.mean_latency = fields.milliseconds(words::kMeanMs);
+    report.attempts = fields.integer(words::kAttempts, kMaxCount);
+    report.failures = fields.integer(words::kFailures, kMaxCount);
+    report.mean_latency = fields.milliseconds(words::kMeanLatencyMs);
     report.interval = read_interval(fields);
     if (const std::string* metrics = fields.find(words::kLoadMetrics)) {
         report.load_metrics = read_load_metrics(*metrics, names);
@@ -214,9 +223,9 @@
 event::ProxyDemandReport read_rate(const MessageFields& fields, const ProtocolNames& names) {
     event::ProxyDemandReport report{};
     report.proxy = read_proxy(fields, names);
-    report.operation = {fields.index_in(words::kClass, names.operations)};
-    report.attempts = fields.integer(words::kTries, kMaxCount);
-    report.failures = fields.integer(words::kFailed, kMaxCount);
+    report.operation = {fields.index_in(words::kOperation, names.operations)};
+    report.attempts = fields.integer(words::kAttempts, kMaxCount);
+    report.failures = fields.integer(words::kFailures, kMaxCount);
     report.interval = read_interval(fields);
     return report;
 }
@@ -245,7 +254,8 @@
     if (kind == words::kRate) {
         return read_rate(fields, names);
     }
-    throw InvalidMessage("is of no known kind: " + quoted(kind));
+    throw InvalidMessage(
+        "expected PING, SOURCE, SUBSCRIBE, ACK, LOAD or RATE as message kind, got " + quoted(kind));
 }
 
 }  // namespace badgergrade::platform
--- a/src/platform/message_reader.h
+++ b/src/platform/message_reader.h
@@ -1,5 +1,5 @@
-/// The platform's messages, read and checked: what a proxy or a collector says, as events of the
-/// decision module. No I/O, no state.
+/// Decodes and validates the messages that proxies and collectors send over the platform's
+/// protocol. Reports and acknowledgements become events of the policy. Stateless, no I/O.
 #pragma once
 
 #include <stdexcept>
@@ -13,16 +13,16 @@
 
 namespace badgergrade::platform {
 
-/// A message whose frame is good but whose contents can't be used; the text says why. It is dropped
-/// alone: the messages around it count, since their bytes are not in doubt.
+/// A message that is well-formed RESP but whose contents are not valid; what() says why. Only this
+/// message is dropped: since the framing is intact, the messages around it are still valid.
 struct InvalidMessage : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// A health check of this instance, to be answered.
+/// A health check of this instance, to be answered with PONG.
 struct Ping {};
 
-/// A collector identifies itself: it reports the load of this zone.
+/// Identifies the sender as the collector that reports the load of this zone.
 struct Source {
     ZoneId zone;
 };
@@ -30,8 +30,9 @@
 using Message = std::variant<Ping, Source, event::ProxyConnected, event::ConfigAcknowledged,
                              event::ServerLoadReport, event::ProxyDemandReport>;
 
-/// Reads one message. Unknown fields are skipped. Throws InvalidMessage where a field is missing,
-/// stands twice, is no number, is out of range, or names what does not exist.
+/// Decodes one message. Unknown fields are ignored. Throws InvalidMessage if a field is missing,
+/// duplicated, not a number, out of range, or names a zone, operation, proxy or server that does
+/// not exist.
 Message read_message(const resp::Message& message, const ProtocolNames& names,
                      const ServerIds& server_ids);
 
--- a/src/platform/protocol_words.h
+++ b/src/platform/protocol_words.h
@@ -1,52 +1,54 @@
-/// The words of the platform's protocol as they stand on the wire. Each is mapped to a term of this
-/// program in `platform/` and nowhere else; they must not change, since the proxies and collectors
-/// of the platform speak them.
+/// The words of the platform's protocol as they appear on the wire.
+///
+/// Proxies and collectors of the platform depend on these words: the strings must not change. They
+/// are used in `platform/` and `platform_server/` only; the rest of the program uses the names of
+/// the constants.
 #pragma once
 
 namespace badgergrade::platform::words {
 
-// ---- kinds of messages from peers
+// ---- message kinds from peers
 constexpr const char* kPing = "PING";            ///< Health check of this instance.
-constexpr const char* kSource = "SOURCE";        ///< A collector identifies itself.
-constexpr const char* kSubscribe = "SUBSCRIBE";  ///< A proxy identifies itself.
+constexpr const char* kSource = "SOURCE";        ///< Identifies a collector.
+constexpr const char* kSubscribe = "SUBSCRIBE";  ///< Identifies a proxy (event::ProxyConnected).
 constexpr const char* kAck = "ACK";              ///< event::ConfigAcknowledged
 constexpr const char* kLoad = "LOAD";            ///< event::ServerLoadReport
 constexpr const char* kRate = "RATE";            ///< event::ProxyDemandReport
 
-// ---- kinds of messages to peers
+// ---- message kinds to peers
 constexpr const char* kPong = "PONG";      ///< Answer to PING.
-constexpr const char* kNack = "NACK";      ///< Rejection, with a reason.
-constexpr const char* kConfig = "CONFIG";  ///< A configuration update (runtime::ProxyUpdate).
+constexpr const char* kNack = "NACK";      ///< The connection is rejected, with a reason.
+constexpr const char* kConfig = "CONFIG";  ///< A part of a runtime::ProxyUpdate.
 
 // ---- fields from peers
-constexpr const char* kZone = "zone";         ///< Zone, by name.
-constexpr const char* kProxy = "proxy";       ///< Proxy number.
-constexpr const char* kWeight = "weight";     ///< Announced rate of a proxy, requests per second.
-constexpr const char* kFresh = "fresh";       ///< 1: the proxy has just started.
-constexpr const char* kMark = "mark";         ///< Acknowledged configuration version.
-constexpr const char* kTookMs = "took_ms";    ///< Delay of an acknowledgement, milliseconds.
-constexpr const char* kServer = "server";     ///< Server, by its text id.
-constexpr const char* kClass = "class";       ///< Operation, by name.
-constexpr const char* kTries = "tries";       ///< Attempts in the interval.
-constexpr const char* kFailed = "failed";     ///< Failures in the interval.
-constexpr const char* kMeanMs = "mean_ms";    ///< Mean latency, milliseconds.
-constexpr const char* kSpanMs = "span_ms";    ///< Length of the interval, milliseconds.
-constexpr const char* kLoadMetrics = "load";  ///< Load metrics: name:value pairs by commas.
+constexpr const char* kZone = "zone";              ///< Name of a zone.
+constexpr const char* kProxy = "proxy";            ///< Number of a proxy.
+constexpr const char* kAnnouncedRate = "weight";   ///< Announced rate of a proxy, requests/s.
+constexpr const char* kFreshStart = "fresh";       ///< 1: the proxy has just started.
+constexpr const char* kAckedVersion = "mark";      ///< Acknowledged configuration version.
+constexpr const char* kAckDelayMs = "took_ms";     ///< Delay of an acknowledgement, milliseconds.
+constexpr const char* kServer = "server";          ///< Text id of a server.
+constexpr const char* kOperation = "class";        ///< Name of an operation.
+constexpr const char* kAttempts = "tries";         ///< Attempts in the interval.
+constexpr const char* kFailures = "failed";        ///< Failures in the interval.
+constexpr const char* kMeanLatencyMs = "mean_ms";  ///< Mean latency, milliseconds.
+constexpr const char* kIntervalMs = "span_ms";     ///< Length of the interval, milliseconds.
+constexpr const char* kLoadMetrics = "load";       ///< Comma-separated name:value pairs.
 
 // ---- fields to peers
-constexpr const char* kWhy = "why";          ///< Reason of a NACK.
-constexpr const char* kFor = "for";          ///< Operations of a part, by names with '+'.
-constexpr const char* kReplace = "replace";  ///< 1: the rows are the whole table.
-constexpr const char* kRows = "rows";        ///< Weights: id:weight pairs by commas.
-constexpr const char* kGate = "gate";        ///< Admission limit, requests per second or fraction.
-constexpr const char* kAgain = "again";      ///< Retry mode (RetryMode as a number).
-constexpr const char* kDrop = "drop";        ///< Ejected servers, ids by commas.
-constexpr const char* kUndrop = "undrop";    ///< Servers no longer ejected, ids by commas.
-constexpr const char* kStamp = "stamp";      ///< Configuration version to acknowledge.
-constexpr const char* kPart = "part";        ///< 1: more parts of this update follow.
+constexpr const char* kReason = "why";            ///< Reason of a NACK.
+constexpr const char* kOperations = "for";        ///< Operations of a part, names joined by '+'.
+constexpr const char* kReplaceTable = "replace";  ///< 1: the weights are the complete table.
+constexpr const char* kWeights = "rows";          ///< Comma-separated server:weight pairs.
+constexpr const char* kAdmissionLimit = "gate";   ///< Requests per second or fraction.
+constexpr const char* kRetryMode = "again";       ///< RetryMode as a number.
+constexpr const char* kEject = "drop";            ///< Ejected servers, comma-separated ids.
+constexpr const char* kRestore = "undrop";        ///< Servers no longer ejected, likewise.
+constexpr const char* kAckVersion = "stamp";      ///< Configuration version to acknowledge.
+constexpr const char* kMoreParts = "part";        ///< 1: more parts of this update follow.
 
-// ---- values
-constexpr const char* kYes = "1";
-constexpr const char* kNo = "0";
+// ---- values of flags
+constexpr const char* kTrue = "1";
+constexpr const char* kFalse = "0";
 
 }  // namespace badgergrade::platform::words
--- a/src/platform/server_ids.cpp
+++ b/src/platform/server_ids.cpp
@@ -6,20 +6,20 @@
 namespace badgergrade::platform {
 
 namespace {
-/// How long a gone server keeps its number: longer than any report, ejection or message that is on
-/// its way can still name it.
-constexpr Micros kGoneServerKept = std::chrono::seconds(120);
-/// The zone of a server whose zone the settings don't name.
+/// How long a gone server keeps its number. Longer than a report, ejection or message in transit
+/// can still name the server.
+constexpr Micros kGoneServerRetention = std::chrono::seconds(120);
+/// The zone of a server whose zone name is not in the settings.
 constexpr ZoneId kUnknownZone{-1};
 }  // namespace
 
-// The planner takes 0 for "long ago". A start before the loop's clock began is just as long ago,
-// but it stays a start: 1 us, the same in every list that repeats it.
+// For the planner 0 means "long ago". A start before the origin of the loop's clock is clamped to
+// 1 us, so that it stays a known start with the same value in every list that repeats it.
 Micros ServerIds::start_time(double started_ms) const {
     if (!(started_ms > 0)) {
         return Micros{0};
     }
-    return std::max(Micros{1}, Micros(std::llround(started_ms * 1000)) - wall_ahead_);
+    return std::max(Micros{1}, Micros(std::llround(started_ms * 1000)) - wall_clock_offset_);
 }
 
 ZoneId ServerIds::zone_id(const std::string& zone) const {
@@ -59,41 +59,41 @@
     }
 }
 
-void ServerIds::apply_instance(Server& server, const Instance& instance, Micros now) {
-    const bool is_gone = instance.state == ServerState::Gone;
+void ServerIds::apply_entry(Server& server, const ServerEntry& entry, Micros now) {
+    const bool is_gone = entry.state == ServerState::Gone;
     if (is_gone && !server.is_gone) {
         server.gone_since = now;
     }
     server.is_gone = is_gone;
-    server.endpoint = {server.endpoint.server, zone_id(instance.zone), instance.state,
-                       instance.weight, start_time(instance.started_ms)};
+    server.endpoint = {server.endpoint.server, zone_id(entry.zone), entry.state, entry.weight,
+                       start_time(entry.started_ms)};
 }
 
-event::EndpointListUpdate ServerIds::update(const InstanceList& list, UpdateKind kind, Micros now) {
+event::EndpointListUpdate ServerIds::update(const ServerList& list, UpdateKind kind, Micros now) {
     event::EndpointListUpdate update{kind, {}};
-    const bool names_all = kind != UpdateKind::Delta;
-    if (names_all) {
+    const bool is_complete = kind != UpdateKind::Delta;
+    if (is_complete) {
         mark_all_gone(now);
     }
-    for (const Instance& instance : list.instances) {
-        // A server that was never known and is gone already needs no number.
-        if (instance.state == ServerState::Gone && !find(instance.id)) {
+    for (const ServerEntry& entry : list.servers) {
+        // A server that is not known and already gone needs no number.
+        if (entry.state == ServerState::Gone && !find(entry.id)) {
             continue;
         }
-        Server& server = find_or_add(instance.id);
-        apply_instance(server, instance, now);
+        Server& server = find_or_add(entry.id);
+        apply_entry(server, entry, now);
         update.endpoints.push_back(server.endpoint);
     }
-    if (names_all) {
-        keep_unreadable(list, update);
+    if (is_complete) {
+        keep_skipped(list, update);
     }
     return update;
 }
 
-// Failure guarded against: an entry of a snapshot can't be read, its server counts as gone, and all
-// proxies drop a server that works. A server whose entry can't be read is listed as it was.
-void ServerIds::keep_unreadable(const InstanceList& list, event::EndpointListUpdate& update) {
-    for (const std::string& text_id : list.unreadable_ids) {
+// A snapshot marks every server that it does not name as gone. A server whose entry was skipped
+// because it is not valid must not be removed from all tables: it is listed in its previous state.
+void ServerIds::keep_skipped(const ServerList& list, event::EndpointListUpdate& update) {
+    for (const std::string& text_id : list.skipped_ids) {
         const auto it = servers_.find(text_id);
         if (it == servers_.end() || !it->second.is_gone ||
             it->second.endpoint.state == ServerState::Gone) {
@@ -106,7 +106,7 @@
 
 bool ServerIds::has_servers() const {
     return std::any_of(servers_.begin(), servers_.end(),
-                       [](const auto& entry) { return !entry.second.is_gone; });
+                       [](const auto& server) { return !server.second.is_gone; });
 }
 
 std::optional<ServerId> ServerIds::find(std::string_view text_id) const {
@@ -124,7 +124,8 @@
     for (auto it = servers_.begin(); it != servers_.end();) {
         const Server& server = it->second;
         const ServerId number = server.endpoint.server;
-        if (!server.is_gone || now - server.gone_since < kGoneServerKept || is_in_use(number)) {
+        if (!server.is_gone || now - server.gone_since < kGoneServerRetention ||
+            is_in_use(number)) {
             ++it;
             continue;
         }
--- a/src/platform/server_ids.h
+++ b/src/platform/server_ids.h
@@ -1,4 +1,5 @@
-/// Numbers for the text ids of servers, and the times of their starts on the loop's clock.
+/// Maps the text ids of servers, which the platform uses, to the numeric ids of the policy, and
+/// converts discovery's lists of servers to the policy's events.
 #pragma once
 
 #include <cstddef>
@@ -16,41 +17,44 @@
 
 namespace badgergrade::platform {
 
-/// Every server that a report, a table or a message can still name. A server keeps its number as
-/// long as it is known here, also while it is gone; released numbers are given out again.
+/// The servers that a report, a table or a message can still name.
+///
+/// Invariants: a server keeps its numeric id as long as it is in this table, also while it is gone.
+/// A gone server is removed, and its number becomes free for another server, once it has been gone
+/// for two minutes and no table or ejection refers to it (see release_unused()).
 class ServerIds {
 public:
-    /// `wall_ahead` is Unix time less the loop's clock, read once, so that each start has one
-    /// stable time. `names` must outlive this object.
-    ServerIds(const ProtocolNames& names, Micros wall_ahead)
+    /// `wall_clock_offset` is Unix time minus the loop's clock. It is read once, so that a server's
+    /// start time converts to the same value each time. `names` must outlive this object.
+    ServerIds(const ProtocolNames& names, Micros wall_clock_offset)
         : names_(names),
-          wall_ahead_(wall_ahead) {}
+          wall_clock_offset_(wall_clock_offset) {}
 
-    /// Takes in a list of discovery and gives it as the planner's event. `now` is the loop's clock.
-    event::EndpointListUpdate update(const InstanceList& list, UpdateKind kind, Micros now);
+    /// Applies a list of discovery and returns it as an event for the planner. `now` is the time of
+    /// the loop's clock.
+    event::EndpointListUpdate update(const ServerList& list, UpdateKind kind, Micros now);
 
-    /// The number of a server, or nothing where its text id is not known.
+    /// Returns the number of a server, or nothing if its text id is not known.
     std::optional<ServerId> find(std::string_view text_id) const;
 
-    /// The text id of a server; empty where the number is not in use.
+    /// Returns the text id of a server, or an empty string if the number is not in use.
     const std::string& text_id(ServerId server) const;
 
-    /// Servers that have a number, gone ones included.
+    /// Number of servers in this table, gone ones included.
     std::size_t size() const { return servers_.size(); }
 
-    /// Whether any server is not gone.
+    /// Returns whether any server is not gone.
     bool has_servers() const;
 
-    /// Releases the numbers of servers that have been gone for a while and of which `is_in_use` is
-    /// false.
+    /// Removes the servers that have been gone for two minutes and for which `is_in_use` is false.
     ///
-    /// Failure guarded against: over a day on which all servers are replaced again and again,
-    /// memory here and in the planner grows with every server that ever was.
+    /// Without it, memory here and in the planner would grow with every server that ever existed
+    /// when all servers are replaced again and again over a long run.
     void release_unused(Micros now, const std::function<bool(ServerId)>& is_in_use);
 
 private:
     struct Server {
-        Endpoint endpoint;  // as the planner got it last
+        Endpoint endpoint;  // the state that the planner got last
         bool is_gone = false;
         Micros gone_since{};
     };
@@ -58,13 +62,13 @@
     Server& find_or_add(const std::string& text_id);
     ServerId allocate_number();
     void mark_all_gone(Micros now);
-    void apply_instance(Server& server, const Instance& instance, Micros now);
-    void keep_unreadable(const InstanceList& list, event::EndpointListUpdate& update);
+    void apply_entry(Server& server, const ServerEntry& entry, Micros now);
+    void keep_skipped(const ServerList& list, event::EndpointListUpdate& update);
     ZoneId zone_id(const std::string& zone) const;
     Micros start_time(double started_ms) const;
 
     const ProtocolNames& names_;
-    Micros wall_ahead_;
+    Micros wall_clock_offset_;
     std::map<std::string, Server, std::less<>> servers_;  // by text id
     std::map<ServerId, std::string> text_ids_;
     std::set<ServerId> released_numbers_;
--- a/src/platform_server/collector_registry.h
+++ b/src/platform_server/collector_connections.h
@@ -1,4 +1,4 @@
-/// Which connections are collectors, by zone.
+/// Tracks the connections of collectors (the senders of load reports) by zone.
 #pragma once
 
 #include <algorithm>
@@ -12,21 +12,22 @@
 
 namespace badgergrade::platform_server {
 
-/// A bounded set of collectors for each zone.
+/// A bounded set of collector connections for each zone.
 ///
-/// Failure guarded against: each zone has one collector, but the end of an older one's connection
-/// may never be seen (its host is gone). Such connections would add up; the one that was silent
-/// longest is therefore given up for a new one.
-class CollectorRegistry {
+/// Each zone has one collector, but the end of an earlier connection may never be seen, for example
+/// when its host is gone. So that such connections do not accumulate, the one that has been silent
+/// for the longest time is closed for a new one once a zone has four.
+class CollectorConnections {
 public:
-    /// The collector of `zone` to close before another one is added; nothing while there is space.
-    std::optional<ConnectionId> to_evict(ZoneId zone, ConnectionTable& table) const {
+    /// Returns the collector of `zone` that must be closed before another one is added, or nothing
+    /// if the zone has fewer than the maximum.
+    std::optional<ConnectionId> connection_to_evict(ZoneId zone, ConnectionTable& table) const {
         const auto it = collectors_.find(zone);
         if (it == collectors_.end() || it->second.size() < kMaxCollectorsPerZone) {
             return std::nullopt;
         }
         const auto silent_longer = [&](ConnectionId a, ConnectionId b) {
-            return table.at(a).since < table.at(b).since;
+            return table.at(a).timeout_start < table.at(b).timeout_start;
         };
         return *std::min_element(it->second.begin(), it->second.end(), silent_longer);
     }
@@ -38,7 +39,7 @@
     void clear() { collectors_.clear(); }
 
 private:
-    /// One that works, and some whose ends were not seen.
+    /// The working collector, and a few stale connections whose ends were not seen.
     static constexpr std::size_t kMaxCollectorsPerZone = 4;
 
     std::map<ZoneId, std::set<ConnectionId>> collectors_;
--- a/src/platform_server/config_reload.h
+++ b/src/platform_server/config_reload.h
@@ -1,8 +1,8 @@
-/// Reads the configuration file again on SIGHUP.
+/// Reloads the configuration file on SIGHUP.
 ///
-/// Failure guarded against: the file may be in the middle of its replacement (half written, or
-/// missing for a moment), and no second signal need follow. A file that can't be read is therefore
-/// read again for a while; the previous configuration stays in force until a read succeeds.
+/// The signal may arrive while the file is being replaced (half written, or missing for a moment),
+/// and no second signal need follow. A read that fails is therefore retried every 50 ms for 3 s.
+/// The previous configuration stays in force until a read succeeds.
 #pragma once
 
 #include <exception>
@@ -16,10 +16,11 @@
 
 namespace badgergrade::platform_server {
 
-/// Retries a reload until the file can be read or the time is up. Used on the loop's thread only.
+/// Retries a reload until the file is valid or the time limit is reached. Not thread-safe: used on
+/// the loop's thread only.
 class ConfigReload {
 public:
-    /// Reads and checks the file; throws a std::exception whose text says why it can't.
+    /// Reads and validates the file. Throws a std::exception whose what() gives the reason.
     using Read = std::function<platform::NodeConfig()>;
     /// Called once per successful reload, on the loop's thread. Must not destroy this object.
     using Apply = std::function<void(const platform::NodeConfig&)>;
@@ -31,19 +32,19 @@
           apply_(std::move(apply)),
           retry_timer_(clock, actor) {}
 
-    /// Handles one SIGHUP: reads the file at once. A signal during the retries starts their time
-    /// limit anew.
+    /// Handles one SIGHUP: reads the file immediately. A signal during the retries restarts their
+    /// time limit.
     void begin() {
         retry_deadline_ = clock_.now() + kRetryPeriod;
         failure_logged_ = false;
         attempt();
     }
 
-    /// Ends the retries.
+    /// Cancels the retries.
     void stop() { retry_timer_.stop(); }
 
 private:
-    /// How long an unreadable file is read again: longer than any replacement of a file takes.
+    /// How long a failed read is retried. Longer than the replacement of a file takes.
     static constexpr base::Micros kRetryPeriod = std::chrono::seconds(3);
     /// Pause between two reads.
     static constexpr base::Micros kRetryInterval = std::chrono::milliseconds(50);
@@ -69,7 +70,7 @@
         }
         log_.error("config.refused",
                    {{"why", error.what()},
-                    {"kept", "the one before"},
+                    {"kept", "the previous configuration"},
                     {"again_for_ms", kRetryPeriod / std::chrono::milliseconds(1)}});
     }
 
--- a/src/platform_server/connection_table.cpp
+++ b/src/platform_server/connection_table.cpp
@@ -10,23 +10,24 @@
 
 namespace {
 
-/// Whoever has not identified itself by then is rejected, so that idle connections don't hold
-/// descriptors without bound.
+/// A connection that is not identified within this time is rejected, so that idle connections do
+/// not occupy descriptors forever.
 constexpr Micros kIdentifyTimeout = 1200ms;
-/// How often the time-outs are checked.
+/// How often the timeouts are checked.
 constexpr Micros kTimeoutCheckInterval = 100ms;
-/// A rejected peer has this long to end its side, so that no input of its own turns our close into
-/// a reset.
+/// How long a rejected peer may keep its side open. Its input is read meanwhile, because unread
+/// input would turn the close into a reset.
 constexpr Micros kRejectedTimeout = 500ms;
-/// Longest message of an unidentified peer, in bytes: a SUBSCRIBE or SOURCE is far shorter.
+/// Limit for a message of an unidentified peer. SUBSCRIBE and SOURCE are far shorter.
 constexpr std::size_t kMaxUnidentifiedMessageBytes = 16 * 1024;
-/// Most words in a message of an unidentified peer.
-constexpr std::size_t kMaxUnidentifiedWords = 64;
-/// Unfinished messages of all connections together, in bytes: bounds the memory.
+/// Limit of the elements in a message of an unidentified peer.
+constexpr std::size_t kMaxUnidentifiedElements = 64;
+/// Limit for the incomplete messages of all connections together; bounds the memory.
 constexpr std::size_t kMaxBufferedBytes = 4 * 1024 * 1024;
-/// What one peer may leave unread, in bytes: a peer that reads nothing must not cost memory.
+/// Limit for the bytes that wait to be sent to one peer, so that a peer that does not read uses
+/// bounded memory.
 constexpr std::size_t kMaxUnsentBytes = 512 * 1024;
-/// Longest reason in a NACK, in bytes.
+/// Limit for the reason in a NACK.
 constexpr std::size_t kMaxNackReasonBytes = 200;
 
 }  // namespace
@@ -55,39 +56,39 @@
     stream->on_data = [this, id](std::string_view bytes) {
         on_data(id, bytes);
     };
-    stream->on_end = [this, id](std::string why) {
-        close(id, why);
+    stream->on_end = [this, id](std::string reason) {
+        close(id, reason);
     };
     Connection& connection = connections_[id];
     connection.stream = std::move(stream);
-    connection.reader.set_limits({kMaxUnidentifiedMessageBytes, kMaxUnidentifiedWords});
-    connection.since = clock_.now();
+    connection.reader.set_limits({kMaxUnidentifiedMessageBytes, kMaxUnidentifiedElements});
+    connection.timeout_start = clock_.now();
     unidentified_.insert(id);
 }
 
-// Failure guarded against: silent connections take all descriptors, and a proxy that wants to join
-// is refused. Rejected and unidentified connections are ended for new ones, the oldest first.
+// Silent connections must not occupy all descriptors, because then no proxy could connect. At the
+// limit, rejected and unidentified connections are closed for a new one, the oldest first.
 void ConnectionTable::evict_unidentified() {
     while (connections_.size() >= max_connections_) {
         if (!rejected_.empty()) {
-            close(rejected_.front(), "its place is wanted");
+            close(rejected_.front(), "connection limit: closed for a new connection");
             continue;
         }
         if (unidentified_.empty()) {
             return;
         }
         const ConnectionId oldest = *unidentified_.begin();
-        if (has_not_identified(oldest)) {
-            reject(oldest, "its place is wanted");
+        if (is_unidentified_after_read(oldest)) {
+            reject(oldest, "connection limit: closed for a new connection");
         }
     }
 }
 
-// Failure guarded against: where hundreds of proxies dial at once and this process has only a part
-// of a core, their messages lie unread for as long as a whole time-out, and proxies that identified
-// themselves in time would be rejected. The socket is therefore read before the peer is judged.
-bool ConnectionTable::has_not_identified(ConnectionId id) {
-    // A copy of the pointer: reading may close the connection.
+// Reads the socket before deciding: when hundreds of proxies connect at once and this process gets
+// only a part of a core, their messages may wait unread in the kernel for longer than the timeout,
+// and proxies that sent SUBSCRIBE in time would be rejected.
+bool ConnectionTable::is_unidentified_after_read(ConnectionId id) {
+    // Copies the pointer, because reading may close the connection.
     const net::StreamPtr stream = connections_.at(id).stream;
     stream->take_unread();
     return unidentified_.contains(id);
@@ -99,19 +100,19 @@
     const Micros now = clock_.now();
     while (!unidentified_.empty()) {
         const ConnectionId oldest = *unidentified_.begin();
-        if (now - connections_.at(oldest).since < kIdentifyTimeout) {
+        if (now - connections_.at(oldest).timeout_start < kIdentifyTimeout) {
             return;
         }
-        if (has_not_identified(oldest)) {
-            reject(oldest, "did not join in time");
+        if (is_unidentified_after_read(oldest)) {
+            reject(oldest, "no SUBSCRIBE or SOURCE within the identification timeout");
         }
     }
 }
 
 void ConnectionTable::close_rejected() {
     while (!rejected_.empty() &&
-           clock_.now() - connections_.at(rejected_.front()).since >= kRejectedTimeout) {
-        close(rejected_.front(), "was refused");
+           clock_.now() - connections_.at(rejected_.front()).timeout_start >= kRejectedTimeout) {
+        close(rejected_.front(), "rejected");
     }
 }
 
@@ -119,61 +120,61 @@
     unidentified_.erase(id);
     Connection& connection = connections_.at(id);
     connection.role = role;
-    connection.since = clock_.now();
+    connection.timeout_start = clock_.now();
     connection.reader.set_limits({});
 }
 
 // ---- ends of connections
 
-void ConnectionTable::reject(ConnectionId id, const std::string& why) {
+void ConnectionTable::reject(ConnectionId id, const std::string& reason) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) {
         return;
     }
     ++rejected_total_;
     Connection& connection = it->second;
-    warnings_.warn("connection.refused", {{"peer", connection.stream->peer()}, {"why", why}});
-    release_connection(id, connection, why);
+    warnings_.warn("connection.refused", {{"peer", connection.stream->peer()}, {"why", reason}});
+    release_connection(id, connection, reason);
     connection.role = ConnectionRole::Rejected;
-    connection.since = clock_.now();
+    connection.timeout_start = clock_.now();
     connection.reader = resp::Reader();
     rejected_.push_back(id);
     std::string bytes;
-    resp::write(
-        bytes, {platform::words::kNack, platform::words::kWhy, why.substr(0, kMaxNackReasonBytes)});
+    resp::write(bytes, {platform::words::kNack, platform::words::kReason,
+                        reason.substr(0, kMaxNackReasonBytes)});
     connection.stream->write(bytes);
     connection.stream->finish_sending();
 }
 
-void ConnectionTable::close(ConnectionId id, const std::string& why) {
+void ConnectionTable::close(ConnectionId id, const std::string& reason) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) {
         return;
     }
-    // Taken out first: the callback must find a table without this connection.
+    // Removed first, because the callback must not find this connection in the table.
     const Connection connection = std::move(it->second);
     connections_.erase(it);
     if (connection.role == ConnectionRole::Rejected) {
         std::erase(rejected_, id);
     } else {
-        release_connection(id, connection, why);
+        release_connection(id, connection, reason);
     }
     connection.stream->close(connection.stream->unsent() > 0);
 }
 
 void ConnectionTable::release_connection(ConnectionId id, const Connection& connection,
-                                         const std::string& why) {
+                                         const std::string& reason) {
     unidentified_.erase(id);
     buffered_bytes_ -= connection.reader.buffered_bytes();
     if (connection.role != ConnectionRole::Unidentified) {
-        on_released(id, connection, why);
+        on_released(id, connection, reason);
     }
 }
 
 void ConnectionTable::close_all() {
     timeout_timer_.stop();
-    // What the kernel has taken still reaches its peer. Bytes that are queued here can't be sent
-    // any more: a reset shows the peer that its last message is not complete.
+    // Bytes that the kernel has accepted still reach the peer. Bytes that are queued here can no
+    // longer be sent: a reset shows the peer that the last message is incomplete.
     for (auto& [id, connection] : connections_) {
         connection.stream->close(connection.stream->unsent() > 0);
     }
@@ -186,7 +187,8 @@
 
 void ConnectionTable::on_data(ConnectionId id, std::string_view bytes) {
     for (;;) {
-        // Found anew for each message: the one before may have closed or rejected the connection.
+        // Looked up again for each message: the previous one may have closed or rejected the
+        // connection.
         const auto it = connections_.find(id);
         if (it == connections_.end() || it->second.role == ConnectionRole::Rejected) {
             return;
@@ -204,21 +206,21 @@
 
 void ConnectionTable::check_reader(ConnectionId id, const resp::Reader& reader) {
     if (reader.error()) {
-        return reject(id, "can't be read: " + reader.error()->text);
+        return reject(id, "invalid RESP: " + reader.error()->text);
     }
     if (buffered_bytes_ > kMaxBufferedBytes &&
         reader.buffered_bytes() > kMaxUnidentifiedMessageBytes) {
-        reject(id, "too many unfinished messages");
+        reject(id, "memory limit for incomplete messages of all connections exceeded");
     }
 }
 
 void ConnectionTable::write(ConnectionId id, std::string_view bytes,
-                            const std::string& why_unread) {
-    // A copy of the pointer: the stream must outlive a close during the write.
+                            const std::string& overflow_reason) {
+    // Copies the pointer, because the stream must outlive a close during the write.
     const net::StreamPtr stream = connections_.at(id).stream;
     stream->write(bytes);
     if (stream->unsent() > kMaxUnsentBytes) {
-        close(id, why_unread);
+        close(id, overflow_reason);
     }
 }
 
--- a/src/platform_server/connection_table.h
+++ b/src/platform_server/connection_table.h
@@ -1,9 +1,15 @@
-/// All connections of peers, from accept to close: which are admitted, which are ended, and what
-/// the bytes on them say.
+/// All connections of peers, from accept to close: admission, identification timeout, message
+/// framing, send buffer limit, rejection and closing.
 ///
-/// Re-entrance: reading a socket (take_unread), a message handler, or a write can close any
-/// connection, the current one included. Code that keeps working on a connection after one of these
-/// finds it by its id again.
+/// Life of a connection: Unidentified until it sends SUBSCRIBE or SOURCE, then Proxy or Collector.
+/// A rejected connection is sent NACK and closed shortly after; rejected are those whose bytes are
+/// not valid RESP, and unidentified ones that send anything but PING or do not identify themselves
+/// in time. At the connection limit a new connection evicts rejected ones first, then the oldest
+/// unidentified one; identified connections are never evicted for it.
+///
+/// Re-entrancy: reading a socket (take_unread), a message handler, or a write can close any
+/// connection, including the current one. Code that continues to use a connection after one of
+/// these must look it up by its id again.
 #pragma once
 
 #include <cstddef>
@@ -24,93 +30,98 @@
 
 namespace badgergrade::platform_server {
 
-/// Rises with each connection: the smallest id is the oldest connection.
+/// Increases with each connection: the smallest id is the oldest connection.
 using ConnectionId = std::uint64_t;
 
 enum class ConnectionRole {
-    Unidentified,  ///< Has not said yet who it is.
+    Unidentified,  ///< Has not sent SUBSCRIBE or SOURCE yet.
     Collector,     ///< Sends the load reports of one zone.
-    Proxy,         ///< Carries the configuration of one proxy.
-    Rejected,      ///< Was sent NACK and half-closed; what it still sends is read and dropped, so
-                   ///< that our close does not become a reset that costs it the NACK.
+    Proxy,         ///< Receives the configuration of one proxy.
+    Rejected,      ///< Was sent NACK and half-closed. Its further input is read and discarded:
+                   ///< closing a socket with unread input sends a reset, which may destroy the
+                   ///< NACK before the peer reads it.
 };
 
 struct Connection {
     net::StreamPtr stream;
     resp::Reader reader;
     ConnectionRole role = ConnectionRole::Unidentified;
-    /// When it was accepted (unidentified), last sent a message (collector) or was rejected.
-    Micros since{};
-    ProxyId proxy;               ///< Of a proxy's connection.
-    ZoneId zone;                 ///< Of a collector's connection.
-    PendingAcks pending_acks{};  ///< Of a proxy's connection: versions sent on this very stream.
+    /// When the connection was accepted (Unidentified), identified (Proxy), last sent a message
+    /// (Collector) or was rejected (Rejected). Timeouts and the eviction of collectors start here.
+    Micros timeout_start{};
+    ProxyId proxy;               ///< set if role is Proxy
+    ZoneId zone;                 ///< set if role is Collector
+    PendingAcks pending_acks{};  ///< Proxy only: versions sent on this connection
 };
 
-/// Admission, identification time-out, rejection and closing of connections. Everything runs on
-/// the loop's one thread.
+/// Owns the connections. Not thread-safe: used on the loop's thread only.
 class ConnectionTable {
 public:
-    /// At most `max_connections` are open at a time.
+    /// \param max_connections  limit of simultaneously open connections
+    /// \param warnings         log for events that peers can cause
     ConnectionTable(base::Clock& clock, base::ActorId actor, std::size_t max_connections,
                     log::RateLimitedLogger& warnings);
     ConnectionTable(const ConnectionTable&) = delete;
     ConnectionTable& operator=(const ConnectionTable&) = delete;
 
     /// Called for each complete message of a connection that is not rejected. May close or reject
-    /// any connection, this one included.
+    /// any connection, including this one.
     std::function<void(ConnectionId, Connection&, const resp::Message&)> on_message;
-    /// Called once for an identified connection when it is rejected or closed, before its stream
-    /// is; not called by close_all(). May not close connections.
-    std::function<void(ConnectionId, const Connection&, const std::string& why)> on_released;
+    /// Called once for a connection that had been identified, when it is rejected or closed and
+    /// before its stream is closed. Not called by close_all(). Must not close connections.
+    std::function<void(ConnectionId, const Connection&, const std::string& reason)> on_released;
 
-    /// Begins the periodic check of the time-outs.
+    /// Starts the periodic check of the timeouts.
     void start();
-    /// Admits a connection, at the expense of one that holds a place without having identified
-    /// itself; closes it where there is none.
+    /// Admits a new connection. At the connection limit, a rejected or unidentified one is closed
+    /// for it; if there is none, the new connection is reset.
     void accept(net::StreamPtr stream);
     /// Marks a connection as identified: it no longer times out and may send large messages.
     void identify(ConnectionId id, ConnectionRole role);
-    /// Sends NACK with the reason, half-closes, and closes a little later. No-op on unknown ids.
-    void reject(ConnectionId id, const std::string& why);
-    /// Closes at once: gracefully where all bytes have left, with a reset otherwise. No-op on
-    /// unknown ids.
-    void close(ConnectionId id, const std::string& why);
-    /// Writes to a connection, and closes it for the reason `why_unread` where its peer has left
-    /// too much unread. The connection must exist.
-    void write(ConnectionId id, std::string_view bytes, const std::string& why_unread);
-    /// Closes all connections and stops the checks; no callback is called any more.
+    /// Sends NACK with the reason, half-closes the connection, and closes it when the peer does or
+    /// after a timeout. Unknown ids are ignored.
+    void reject(ConnectionId id, const std::string& reason);
+    /// Closes a connection immediately: gracefully if all bytes have been passed to the kernel,
+    /// otherwise with a reset. Unknown ids are ignored.
+    void close(ConnectionId id, const std::string& reason);
+    /// Writes to a connection, which must exist. Closes it with `overflow_reason` if more bytes are
+    /// then unsent than a peer that does not read may occupy.
+    void write(ConnectionId id, std::string_view bytes, const std::string& overflow_reason);
+    /// Closes all connections and stops the checks. Calls no callbacks.
     void close_all();
 
-    /// The connection, which must exist. The reference is valid until the connection is closed.
+    /// Returns a connection, which must exist. The reference is valid until it is closed.
     Connection& at(ConnectionId id) { return connections_.at(id); }
 
     std::size_t size() const { return connections_.size(); }
 
     std::size_t max_size() const { return max_connections_; }
 
-    std::size_t unidentified() const { return unidentified_.size(); }
+    /// Number of connections that have not identified themselves.
+    std::size_t unidentified_count() const { return unidentified_.size(); }
 
-    /// Connections rejected so far.
+    /// Number of connections rejected since the start.
     std::int64_t rejected_total() const { return rejected_total_; }
 
-    /// Bytes of unfinished messages of all connections together.
+    /// Bytes of incomplete messages of all connections.
     std::size_t buffered_bytes() const { return buffered_bytes_; }
 
 private:
     void on_data(ConnectionId id, std::string_view bytes);
     void check_reader(ConnectionId id, const resp::Reader& reader);
     void evict_unidentified();
-    bool has_not_identified(ConnectionId id);
+    bool is_unidentified_after_read(ConnectionId id);
     void check_timeouts();
     void close_rejected();
-    void release_connection(ConnectionId id, const Connection& connection, const std::string& why);
+    void release_connection(ConnectionId id, const Connection& connection,
+                            const std::string& reason);
 
     base::Clock& clock_;
     log::RateLimitedLogger& warnings_;
     std::size_t max_connections_;
     std::map<ConnectionId, Connection> connections_;
     std::set<ConnectionId> unidentified_;
-    std::deque<ConnectionId> rejected_;  // in the order of their rejection
+    std::deque<ConnectionId> rejected_;  // in the order of rejection
     ConnectionId last_id_ = 0;
     std::size_t buffered_bytes_ = 0;
     std::int64_t rejected_total_ = 0;
--- a/src/platform_server/discovery_watch.cpp
+++ b/src/platform_server/discovery_watch.cpp
@@ -11,25 +11,26 @@
 
 namespace {
 
-// A change counts as announced 6 s after it happened, or 2 s after a waiting call was to end,
-// whether its answer arrived or not. With a hold of 2 s a connection that fell silent is noticed
-// and another call is answered before those 6 s are over.
+// A change counts as announced to this instance 6 s after it happened, or 2 s after a held call
+// should have ended, whether or not its answer arrived. With a hold time of 2 s, a silent connection
+// is detected and another call is answered within those 6 s.
 
-/// How long discovery may hold a call that has no news.
+/// How long discovery may hold a call if it has no changes.
 constexpr Micros kHoldTime = 2s;
-/// How much later than that the answer may begin.
+/// How much later than the hold time the answer may begin.
 constexpr Micros kAnswerSlack = 400ms;
-/// Time to connect.
+/// Timeout for establishing a connection.
 constexpr Micros kConnectTimeout = 400ms;
-/// How long an unused connection is kept.
+/// How long an unused connection is kept open.
 constexpr Micros kIdleTimeout = 60s;
-/// Longest pause within an answer. A long list may arrive in many pieces: only a pause ends it.
+/// Longest pause within an answer. A long list may arrive in many pieces over any time: only a
+/// pause between two pieces is a timeout.
 constexpr Micros kMaxPauseInAnswer = 1s;
-/// First pause before a retry; it doubles with each failure.
+/// Delay before the first retry. It doubles with each consecutive failure.
 constexpr Micros kFirstRetryDelay = 30ms;
-/// Longest pause before a retry: the list must not get old once discovery works again.
+/// Longest delay before a retry, so that the list is soon current once discovery works again.
 constexpr Micros kMaxRetryDelay = 500ms;
-/// Retries are made after this fraction of the delay at least, so that instances spread.
+/// Lower end of the jitter as a fraction of the delay; it spreads the retries of several instances.
 constexpr double kMinRetryFraction = 0.5;
 
 }  // namespace
@@ -58,9 +59,9 @@
     }
 }
 
-void DiscoveryWatch::move(const net::Address& address) {
-    // An answer that lies unread in the kernel would be lost with its connection, and its changes
-    // be asked for a second time.
+void DiscoveryWatch::change_address(const net::Address& address) {
+    // Uses an answer that is still unread in the kernel: it would be lost with its connection, and
+    // its changes would be requested a second time.
     pool_->take_unread();
     stop();
     address_ = address;
@@ -78,7 +79,7 @@
         request.target +=
             "?from=" + std::to_string(generation_) + "&hold_ms=" + std::to_string(kHoldTime / 1ms);
     }
-    // The time-out is needed since TCP alone never shows a peer that fell silent.
+    // The timeout is needed because TCP alone does not detect a silent peer.
     current_call_ = pool_->send(
         std::move(request), kHoldTime + kAnswerSlack,
         [this](net::HttpOutcome outcome) {
@@ -88,9 +89,9 @@
         kMaxPauseInAnswer);
 }
 
-void DiscoveryWatch::retry_later(const std::string& why) {
-    if (on_trouble) {
-        on_trouble(why);
+void DiscoveryWatch::retry_later(const std::string& reason) {
+    if (on_failure) {
+        on_failure(reason);
     }
     const Micros delay =
         base::exponential_backoff(kFirstRetryDelay, kMaxRetryDelay, consecutive_failures_++);
@@ -104,43 +105,44 @@
         return retry_later("no answer: " + outcome.why);
     }
     if (outcome.response.status != 200) {
-        return retry_later("HTTP status " + std::to_string(outcome.response.status));
+        return retry_later("expected HTTP status 200, got " +
+                           std::to_string(outcome.response.status));
     }
-    platform::InstanceList list;
+    platform::ServerList list;
     try {
-        list = platform::read_instances(outcome.response.body);
+        list = platform::read_server_list(outcome.response.body);
     } catch (const platform::ParseError& error) {
-        return retry_later(std::string("the answer can't be read: ") + error.what());
+        return retry_later(std::string("invalid answer: ") + error.what());
     }
-    // A discovery that lost its state answers with an empty snapshot: believed, it would take all
-    // servers away from all proxies at once.
-    if (list.is_snapshot && list.instances.empty() && list.unreadable_ids.empty() &&
-        knows_servers && knows_servers()) {
-        return retry_later("a whole list without instances; the one before stays");
+    // Discovery sends an empty snapshot when it has lost its state. Accepting it would remove all
+    // servers from all proxies at once.
+    if (list.is_snapshot && list.servers.empty() && list.skipped_ids.empty() && has_known_servers &&
+        has_known_servers()) {
+        return retry_later("ignored a snapshot without servers; the previous list stays in use");
     }
-    // A discovery that was started anew counts generations from the beginning: its changes are
-    // none to the list held here. Only a snapshot brings both together again.
+    // A restarted discovery counts generations from the beginning. Its changes do not apply to the
+    // list held here: only a snapshot synchronizes the two again.
     if (!list.is_snapshot && list.generation < generation_) {
         request_snapshot_ = true;
-        return retry_later("changes to generation " + std::to_string(list.generation) + " after " +
-                           std::to_string(generation_) + "; the whole list is asked for");
+        return retry_later("expected a generation of at least " + std::to_string(generation_) +
+                           ", got " + std::to_string(list.generation) + "; requesting a snapshot");
     }
     consecutive_failures_ = 0;
     request_snapshot_ = false;
     generation_ = list.generation;
-    // The next call is due within 200 ms of this answer: it goes out before the list is used.
+    // The next call is due within 200 ms of this answer: it is made before the list is processed.
     poll();
     deliver(list);
 }
 
-void DiscoveryWatch::deliver(const platform::InstanceList& list) {
-    for (const std::string& why : list.skipped_entries) {
-        if (on_trouble) {
-            on_trouble("an entry can't be read: " + why);
+void DiscoveryWatch::deliver(const platform::ServerList& list) {
+    for (const std::string& reason : list.skip_reasons) {
+        if (on_failure) {
+            on_failure("skipped an entry: " + reason);
         }
     }
-    const bool has_news = list.is_snapshot || !list.instances.empty();
-    if (has_news && on_list) {
+    const bool has_changes = list.is_snapshot || !list.servers.empty();
+    if (has_changes && on_list) {
         on_list(list);
     }
 }
--- a/src/platform_server/pending_acks.h
+++ b/src/platform_server/pending_acks.h
@@ -1,4 +1,5 @@
-/// The configuration versions that were sent on one stream and that its proxy has not acknowledged.
+/// Tracks the configuration versions that were sent on one connection and that its proxy has not
+/// acknowledged yet.
 #pragma once
 
 #include <algorithm>
@@ -9,18 +10,18 @@
 
 namespace badgergrade::platform_server {
 
-/// A bounded queue of unacknowledged versions, in the order in which they were sent. Version
-/// numbers wrap, so that the smallest number need not be the oldest one.
+/// A bounded queue of unacknowledged versions in the order in which they were sent. Version numbers
+/// wrap around, so that the smallest number is not always the oldest version.
 class PendingAcks {
 public:
     enum class Answer {
-        Awaited,  ///< The version was pending; it no longer is.
-        Late,     ///< Not pending, but it may be one that was dropped from the full queue.
-        Unknown,  ///< Never sent on this stream, or acknowledged already.
+        Awaited,  ///< The version was pending and has been removed.
+        Late,     ///< Not pending, but possibly one that was dropped from the full queue.
+        Unknown,  ///< Never sent on this connection, or acknowledged already.
     };
 
-    /// Records that `version` was sent. The oldest pending version is dropped where there are too
-    /// many: a proxy that never acknowledges must not make memory grow.
+    /// Records that `version` was sent. Drops the oldest pending version if there are too many, so
+    /// that a proxy that never acknowledges uses bounded memory.
     void on_sent(ConfigVersion version) {
         pending_.push_back(version);
         if (pending_.size() > kMaxPending) {
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Matches an acknowledgement. Each version is acknowledged once.
+    /// Matches an acknowledgement with a pending version. Each version can be acknowledged once.
     Answer on_acknowledged(ConfigVersion version) {
         const auto it = std::find(pending_.begin(), pending_.end(), version);
         if (it == pending_.end()) {
@@ -39,15 +40,16 @@
         return Answer::Awaited;
     }
 
-    /// Versions sent and not acknowledged.
+    /// Number of versions that were sent and not acknowledged.
     std::size_t size() const { return pending_.size(); }
 
 private:
-    /// Versions remembered per stream: far more than a proxy that works leaves open.
+    /// Limit of pending versions per connection: far more than a working proxy leaves
+    /// unacknowledged.
     static constexpr std::size_t kMaxPending = 256;
 
     std::deque<ConfigVersion> pending_;
-    bool dropped_any_ = false;
+    bool dropped_any_ = false;  // a version was dropped from the full queue
 };
 
 }  // namespace badgergrade::platform_server
--- a/src/platform_server/platform_server.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -16,19 +16,19 @@
 
 namespace {
 
-/// Descriptors that are no connection of a peer: standard streams, the poll, its wake-ups, the
-/// listener, signals, two for discovery (an old call and a new one), some for files read on reload.
+/// Descriptors not available for peers: standard streams, epoll and its wake-up, the listener,
+/// signals, two for discovery (a previous call and a new one), and some for files read on reload.
 constexpr int kReservedDescriptors = 20;
-/// Fewest connections that are admitted, whatever the limit of descriptors says.
+/// Lower limit of the admitted connections, whatever the descriptor limit is.
 constexpr int kMinConnections = 8;
-/// How long an address that is in use is tried again: the process before this one may take as long
-/// to end.
+/// How long listening is retried while the address is in use. The previous process may take as long
+/// to exit.
 constexpr Micros kListenRetryPeriod = 10s;
-/// Pause between two tries to listen.
+/// Pause between two attempts to listen.
 constexpr Micros kListenRetryInterval = 50ms;
-/// How often old server numbers are released and the state is logged.
+/// How often numbers of gone servers are released and the state is logged.
 constexpr Micros kHousekeepingInterval = 5s;
-/// Bytes of a message's kind that are logged.
+/// Limit of the bytes of an invalid message's kind that are logged.
 constexpr std::size_t kMaxLoggedKindBytes = 20;
 
 std::size_t max_connections(const platform::NodeConfig& config) {
@@ -39,12 +39,13 @@
 }  // namespace
 
 PlatformServer::PlatformServer(net::Loop& loop, base::ActorId actor,
-                               const platform::NodeConfig& config, log::Log& log, Micros wall_ahead)
+                               const platform::NodeConfig& config, log::Log& log,
+                               Micros wall_clock_offset)
     : clock_(loop.clock()),
       log_(log, config.name),
       warnings_(clock_, log_),
       config_(config),
-      server_ids_(config_.protocol_names, wall_ahead),
+      server_ids_(config_.protocol_names, wall_clock_offset),
       config_state_(config.settings),
       policy_runner_(clock_, actor, config.settings, config.seed, config.batch_window),
       connections_(clock_, actor, max_connections(config), warnings_),
@@ -57,9 +58,9 @@
       discovery_(loop, actor, config.name, config.discovery, config.initial_list.generation,
                  config.seed) {
     set_callbacks();
-    // The list in the configuration is the planner's first event: a proxy that connects at once
-    // must get servers.
-    on_instance_list(config_.initial_list, UpdateKind::Cached);
+    // The list in the configuration is the planner's first event, so that a proxy that connects
+    // immediately gets servers.
+    on_server_list(config_.initial_list, UpdateKind::Cached);
     config_.initial_list = {};
     make_listener_ = [this, &loop, actor] {
         return std::make_unique<net::Listener>(
@@ -74,24 +75,24 @@
 
 void PlatformServer::set_callbacks() {
     policy_runner_.on_commands = [this](std::vector<Command> commands) {
-        update_sender_.carry_out(commands);
+        update_sender_.execute(commands);
     };
     connections_.on_message = [this](ConnectionId id, Connection& connection,
                                      const resp::Message& raw) {
         on_message(id, connection, raw);
     };
     connections_.on_released = [this](ConnectionId id, const Connection& connection,
-                                      const std::string& why) {
-        on_connection_released(id, connection, why);
+                                      const std::string& reason) {
+        on_connection_released(id, connection, reason);
     };
-    discovery_.on_list = [this](const platform::InstanceList& list) {
-        on_instance_list(list, list.is_snapshot ? UpdateKind::Snapshot : UpdateKind::Delta);
+    discovery_.on_list = [this](const platform::ServerList& list) {
+        on_server_list(list, list.is_snapshot ? UpdateKind::Snapshot : UpdateKind::Delta);
     };
-    discovery_.on_trouble = [this](const std::string& why) {
+    discovery_.on_failure = [this](const std::string& reason) {
         warnings_.warn("discovery.trouble",
-                       {{"at", net::to_text(discovery_.address())}, {"why", why}});
+                       {{"at", net::to_text(discovery_.address())}, {"why", reason}});
     };
-    discovery_.knows_servers = [this] {
+    discovery_.has_known_servers = [this] {
         return server_ids_.has_servers();
     };
 }
@@ -102,8 +103,8 @@
     } catch (const std::system_error& error) {
         return retry_listen(error.code());
     }
-    listener_->on_trouble([this](std::string why) {
-        warnings_.warn("accept.failed", {{"why", why}, {"connections", connections_.size()}});
+    listener_->on_trouble([this](std::string reason) {
+        warnings_.warn("accept.failed", {{"why", reason}, {"connections", connections_.size()}});
     });
     log_.info("node.started", {{"listen", net::to_text(address())},
                                {"discovery", net::to_text(config_.discovery)},
@@ -113,11 +114,11 @@
                                {"servers", server_ids_.size()}});
 }
 
-// Failure guarded against: a restart comes while the process before still holds the address, and
-// the new one gives up at once. Any other reason does not go away by itself.
+// After a restart the previous process may still hold the address for a while. Retrying does not
+// help with any other error.
 void PlatformServer::retry_listen(const std::error_code& reason) {
     if (reason != asio::error::address_in_use || clock_.now() >= listen_deadline_) {
-        throw ListenError("can't listen on " + net::to_text(config_.listen) + ": " +
+        throw ListenError("cannot listen on " + net::to_text(config_.listen) + ": " +
                           reason.message());
     }
     warnings_.warn("listen.retry",
@@ -151,30 +152,30 @@
     if (stopping_) {
         return;
     }
-    const bool moved = config.discovery != discovery_.address();
+    const bool discovery_changed = config.discovery != discovery_.address();
     log_.info("config.reloaded", {{"discovery", net::to_text(config.discovery)},
-                                  {"moved", moved},
+                                  {"moved", discovery_changed},
                                   {"generation", discovery_.generation()}});
     if (config.listen != config_.listen || config.name != config_.name ||
         config.max_sockets != config_.max_sockets) {
         log_.warn("config.needs_restart",
-                  {{"why", "name, listen and limits are read at the start alone"}});
+                  {{"why", "changes to name, listen and limits take effect only after a restart"}});
     }
-    if (moved) {
-        discovery_.move(config.discovery);
+    if (discovery_changed) {
+        discovery_.change_address(config.discovery);
     }
 }
 
 ServerStatistics PlatformServer::statistics() const {
     ServerStatistics statistics = counters_;
     statistics.updates_sent = update_sender_.sent_total();
-    statistics.rejected = connections_.rejected_total();
+    statistics.rejected_connections = connections_.rejected_total();
     statistics.connections = connections_.size();
-    statistics.unidentified = connections_.unidentified();
+    statistics.unidentified = connections_.unidentified_count();
     statistics.proxies = proxy_connections_.size();
     statistics.servers = server_ids_.size();
     statistics.buffered_bytes = connections_.buffered_bytes();
-    statistics.timers = policy_runner_.timers();
+    statistics.planner_timers = policy_runner_.pending_timers();
     return statistics;
 }
 
@@ -184,7 +185,7 @@
     try {
         dispatch(id, connection, platform::read_message(raw, config_.protocol_names, server_ids_));
     } catch (const platform::InvalidMessage& error) {
-        // Thrown only before a handler has closed anything: the connection still exists.
+        // Handlers throw only before they close any connection, so that this one still exists.
         on_invalid_message(id, connection, raw, error.what());
     }
 }
@@ -207,21 +208,21 @@
 }
 
 void PlatformServer::on_invalid_message(ConnectionId id, const Connection& connection,
-                                        const resp::Message& raw, const std::string& why) {
+                                        const resp::Message& raw, const std::string& reason) {
     ++counters_.invalid_messages;
     const std::string kind =
         raw.words.empty() ? "" : raw.words.front().substr(0, kMaxLoggedKindBytes);
     if (connection.role == ConnectionRole::Unidentified) {
-        return connections_.reject(id, kind + ": " + why);
+        return connections_.reject(id, kind + ": " + reason);
     }
     warnings_.warn("message.invalid",
-                   {{"peer", connection.stream->peer()}, {"kind", kind}, {"why", why}});
+                   {{"peer", connection.stream->peer()}, {"kind", kind}, {"why", reason}});
 }
 
 void PlatformServer::answer_ping(ConnectionId id) {
     std::string pong;
     resp::write(pong, {platform::words::kPong});
-    connections_.write(id, pong, "leaves its answers unread");
+    connections_.write(id, pong, "send buffer limit exceeded: peer leaves answers to PING unread");
 }
 
 void PlatformServer::on_unidentified_message(ConnectionId id, Connection& connection,
@@ -232,7 +233,8 @@
     if (const auto* source = std::get_if<platform::Source>(&message)) {
         return add_collector(id, connection, source->zone);
     }
-    connections_.reject(id, "a report or an answer before joining");
+    connections_.reject(id,
+                        "expected SUBSCRIBE or SOURCE first, got a report or an acknowledgement");
 }
 
 void PlatformServer::add_collector(ConnectionId id, Connection& connection, ZoneId zone) {
@@ -240,23 +242,24 @@
     connection.zone = zone;
     log_.info("collector.connected",
               {{"zone", zone_name(zone)}, {"peer", connection.stream->peer()}});
-    if (const auto evicted = collectors_.to_evict(zone, connections_)) {
-        connections_.close(*evicted, "newer collectors of this zone report");
+    if (const auto evicted = collectors_.connection_to_evict(zone, connections_)) {
+        connections_.close(*evicted, "collector limit of the zone: closed for a new collector");
     }
     collectors_.add(zone, id);
 }
 
-// The planner sees ProxyDisconnected of the older session before ProxyConnected of the newer one.
+// Closes the previous connection first: the planner must see its ProxyDisconnected before the
+// ProxyConnected of the new one.
 void PlatformServer::add_proxy(ConnectionId id, Connection& connection,
                                const event::ProxyConnected& connected) {
     connections_.identify(id, ConnectionRole::Proxy);
     connection.proxy = connected.proxy;
-    if (const auto existing = proxy_connections_.find(connected.proxy)) {
-        connections_.close(*existing, "a newer stream of this proxy");
+    if (const auto previous = proxy_connections_.find(connected.proxy)) {
+        connections_.close(*previous, "replaced by a newer connection of this proxy");
     }
     proxy_connections_.set(connected.proxy, id);
     config_state_.on_proxy_connected(connected.proxy);
-    ++counters_.joins;
+    ++counters_.proxy_connects;
     log_.info("proxy.connected", {{"proxy", connected.proxy.value},
                                   {"zone", connected.zone.value},
                                   {"fresh", connected.fresh_start},
@@ -270,26 +273,33 @@
     }
     const auto* demand = std::get_if<event::ProxyDemandReport>(&message);
     if (!demand) {
-        throw platform::InvalidMessage("a message that is not a proxy's");
+        throw platform::InvalidMessage(
+            "expected ACK or RATE on a proxy's connection, got another message");
     }
     if (demand->proxy != connection.proxy) {
-        throw platform::InvalidMessage("a RATE in another proxy's name");
+        throw platform::InvalidMessage("field \"proxy\": expected " +
+                                       std::to_string(connection.proxy.value) + ", got " +
+                                       std::to_string(demand->proxy.value));
     }
     log_demand(*demand);
     post(*demand);
 }
 
-// Failure guarded against: an acknowledgement of a version that was sent on an older stream counts
-// for the newer one, and lines that never arrived are taken for delivered. Pending versions are
-// therefore kept per stream; the unknown ones are invalid.
+// Pending versions are kept per connection, and an acknowledgement of an unknown version is
+// invalid: if a version that was sent on an earlier connection counted for the current one, lines
+// that never arrived would be taken as delivered.
 void PlatformServer::on_acknowledgement(Connection& connection,
                                         const event::ConfigAcknowledged& ack) {
     if (ack.proxy != connection.proxy) {
-        throw platform::InvalidMessage("an ACK in another proxy's name");
+        throw platform::InvalidMessage("field \"proxy\": expected " +
+                                       std::to_string(connection.proxy.value) + ", got " +
+                                       std::to_string(ack.proxy.value));
     }
     switch (connection.pending_acks.on_acknowledged(ack.version)) {
         case PendingAcks::Answer::Unknown:
-            throw platform::InvalidMessage("an ACK of a mark that was not written on this stream");
+            throw platform::InvalidMessage(
+                "field \"mark\": expected an unacknowledged version sent on this connection, got " +
+                std::to_string(ack.version.value));
         case PendingAcks::Answer::Late:
             return;
         case PendingAcks::Answer::Awaited:
@@ -300,17 +310,20 @@
 
 void PlatformServer::on_collector_message(Connection& connection,
                                           const platform::Message& message) {
-    connection.since = clock_.now();
+    connection.timeout_start = clock_.now();
     if (const auto* load = std::get_if<event::ServerLoadReport>(&message)) {
         if (load->zone != connection.zone) {
-            throw platform::InvalidMessage("a LOAD of another zone");
+            throw platform::InvalidMessage("field \"zone\": expected " +
+                                           zone_name(connection.zone) + ", got " +
+                                           zone_name(load->zone));
         }
         log_load(*load);
         return post(*load);
     }
     const auto* demand = std::get_if<event::ProxyDemandReport>(&message);
     if (!demand) {
-        throw platform::InvalidMessage("a message that is not a collector's");
+        throw platform::InvalidMessage(
+            "expected LOAD or RATE on a collector's connection, got another message");
     }
     post(*demand);
 }
@@ -336,25 +349,26 @@
 // ---- ends of connections
 
 void PlatformServer::on_connection_released(ConnectionId id, const Connection& connection,
-                                            const std::string& why) {
+                                            const std::string& reason) {
     if (connection.role == ConnectionRole::Proxy) {
-        on_proxy_released(id, connection, why);
+        on_proxy_released(id, connection, reason);
     } else if (connection.role == ConnectionRole::Collector) {
-        log_.info("collector.disconnected", {{"zone", zone_name(connection.zone)}, {"why", why}});
+        log_.info("collector.disconnected",
+                  {{"zone", zone_name(connection.zone)}, {"why", reason}});
         collectors_.remove(connection.zone, id);
     }
 }
 
 void PlatformServer::on_proxy_released(ConnectionId id, const Connection& connection,
-                                       const std::string& why) {
+                                       const std::string& reason) {
     log_.info("proxy.disconnected", {{"proxy", connection.proxy.value},
-                                     {"why", why},
+                                     {"why", reason},
                                      {"unanswered", connection.pending_acks.size()}});
     if (!proxy_connections_.remove(connection.proxy, id)) {
         return;
     }
     config_state_.on_proxy_disconnected(connection.proxy);
-    ++counters_.leaves;
+    ++counters_.proxy_disconnects;
     if (!stopping_) {
         post(event::ProxyDisconnected{connection.proxy});
     }
@@ -362,7 +376,7 @@
 
 // ---- planner, discovery, housekeeping
 
-void PlatformServer::on_instance_list(const platform::InstanceList& list, UpdateKind kind) {
+void PlatformServer::on_server_list(const platform::ServerList& list, UpdateKind kind) {
     const event::EndpointListUpdate update = server_ids_.update(list, kind, clock_.now());
     const auto ready =
         std::count_if(update.endpoints.begin(), update.endpoints.end(),
@@ -392,9 +406,9 @@
                              {"orders", now.updates_sent},
                              {"applied", now.acknowledged},
                              {"spoilt", now.invalid_messages},
-                             {"refused", now.rejected},
+                             {"refused", now.rejected_connections},
                              {"held", now.buffered_bytes},
-                             {"timers", now.timers},
+                             {"timers", now.planner_timers},
                              {"queued_lines", std::lround(channel.queued_lines)},
                              {"unacknowledged_lines", std::lround(channel.unacknowledged_lines)},
                              {"ack_delay_us", channel.last_acknowledgement_delay.count()},
--- a/src/platform_server/platform_server.h
+++ b/src/platform_server/platform_server.h
@@ -1,9 +1,23 @@
-/// A control plane instance on the platform: proxies and collectors on one address, the list of
-/// servers from discovery, and the planner between them.
+/// A control plane instance on the platform. It serves proxies and collectors on one listening
+/// address, watches discovery's list of servers, and runs the planner on what they report.
 ///
-/// Everything runs on the loop's one thread. Bytes go: net::Listener -> ConnectionTable (who may
-/// stay) -> PlatformServer (what a message means) -> runtime::PolicyRunner (what to do) ->
-/// UpdateSender (CONFIG messages) -> ConnectionTable.
+/// Data flow: net::Listener -> ConnectionTable (admission and framing) -> PlatformServer (meaning
+/// of messages) -> runtime::PolicyRunner (decisions) -> UpdateSender (CONFIG messages) ->
+/// ConnectionTable. Everything runs on the loop's one thread.
+///
+/// What bounds the memory of a long-running server, however many peers and servers come and go:
+/// - connections: the descriptor limit of the configuration (ConnectionTable, which closes
+///   unidentified and rejected peers after a timeout), and four collectors per zone
+///   (CollectorConnections);
+/// - input: the size limit of one message (resp::Limits), and a limit for the incomplete messages
+///   of all connections together;
+/// - output: a limit of unsent bytes per connection; peers that do not read are closed;
+/// - unacknowledged versions: a fixed number per connection (PendingAcks);
+/// - servers: one that is gone is forgotten, and its number reused, after two minutes unless a
+/// table
+///   or an ejection refers to it (platform::ServerIds::release_unused, every five seconds);
+/// - proxies: their number is fixed by the settings.
+/// ServerStatistics and the log event `node.state` report these sizes.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +33,7 @@
 #include "platform/config.h"
 #include "platform/message_reader.h"
 #include "platform/server_ids.h"
-#include "platform_server/collector_registry.h"
+#include "platform_server/collector_connections.h"
 #include "platform_server/connection_table.h"
 #include "platform_server/discovery_watch.h"
 #include "platform_server/proxy_connections.h"
@@ -29,48 +43,49 @@
 
 namespace badgergrade::platform_server {
 
-/// Counters since the start, and sizes at this moment.
+/// Counters since the start of the server (std::int64_t), and current sizes (std::size_t).
 struct ServerStatistics {
-    std::int64_t joins = 0;             ///< Proxies that connected.
-    std::int64_t leaves = 0;            ///< Proxies that disconnected.
-    std::int64_t updates_sent = 0;      ///< Configuration updates written.
-    std::int64_t acknowledged = 0;      ///< Updates that proxies acknowledged.
-    std::int64_t invalid_messages = 0;  ///< Messages dropped since they can't be used.
-    std::int64_t rejected = 0;          ///< Connections that got NACK.
-    std::size_t connections = 0;        ///< Open connections of any role.
-    std::size_t unidentified = 0;       ///< Of these, those that have not said who they are.
-    std::size_t proxies = 0;            ///< Connected proxies.
-    std::size_t servers = 0;            ///< Servers with a number, gone ones included.
-    std::size_t buffered_bytes = 0;     ///< Bytes of unfinished messages.
-    std::size_t timers = 0;             ///< Timers of the planner.
+    std::int64_t proxy_connects = 0;        ///< SUBSCRIBEs accepted
+    std::int64_t proxy_disconnects = 0;     ///< proxy connections ended or replaced
+    std::int64_t updates_sent = 0;          ///< configuration updates written
+    std::int64_t acknowledged = 0;          ///< updates that proxies acknowledged
+    std::int64_t invalid_messages = 0;      ///< messages dropped because they are not valid
+    std::int64_t rejected_connections = 0;  ///< connections that were sent NACK
+    std::size_t connections = 0;            ///< open connections of any role
+    std::size_t unidentified = 0;           ///< open connections that are not identified yet
+    std::size_t proxies = 0;                ///< connected proxies
+    std::size_t servers = 0;                ///< servers with a number, gone ones included
+    std::size_t buffered_bytes = 0;         ///< bytes of incomplete messages
+    std::size_t planner_timers = 0;         ///< timers of the planner that have not fired
 };
 
-/// The address to listen on can't be had.
+/// Listening on the configured address failed.
 struct ListenError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
+/// Connects the parts named above. The loop must outlive it.
 class PlatformServer {
 public:
-    /// Listens at once or, while a process before this one still holds the address, as soon as it
-    /// is free within a time limit. Throws ListenError: from here where the reason is another one,
-    /// out of the loop where the time is up. `wall_ahead` is Unix time less the loop's clock.
+    /// Starts to listen. If the address is still in use by a previous process, listening is retried
+    /// for 10 s. Throws ListenError from the constructor for any other error, and from the loop
+    /// when the retries end. `wall_clock_offset` is Unix time minus the loop's clock.
     PlatformServer(net::Loop& loop, base::ActorId actor, const platform::NodeConfig& config,
-                   log::Log& log, Micros wall_ahead);
+                   log::Log& log, Micros wall_clock_offset);
     ~PlatformServer();
     PlatformServer(const PlatformServer&) = delete;
     PlatformServer& operator=(const PlatformServer&) = delete;
 
-    /// Where it listens, or will once the address is free.
+    /// The listening address; the configured one until listening succeeds.
     net::Address address() const { return listener_ ? listener_->address() : config_.listen; }
 
-    /// Applies a new configuration: only the address of discovery takes effect. A changed name,
-    /// listening address or limit on sockets is logged (`config.needs_restart`); the other
-    /// settings, the known list and the seed are ignored without a line. Connections, tables and
-    /// the state of the planner stay. No-op after stop().
+    /// Applies a new configuration. Only the address of discovery takes effect. A changed name,
+    /// listening address or descriptor limit is logged (`config.needs_restart`); changes to the
+    /// other settings, the initial list and the seed are ignored silently. Connections, tables and
+    /// the planner's state are kept. No effect after stop().
     void reload(const platform::NodeConfig& config);
 
-    /// Closes all connections; no message is read and no update sent from then on.
+    /// Closes all connections. No message is read and no update is sent afterwards.
     void stop();
 
     ServerStatistics statistics() const;
@@ -83,7 +98,7 @@
     void on_message(ConnectionId id, Connection& connection, const resp::Message& raw);
     void dispatch(ConnectionId id, Connection& connection, const platform::Message& message);
     void on_invalid_message(ConnectionId id, const Connection& connection, const resp::Message& raw,
-                            const std::string& why);
+                            const std::string& reason);
     void answer_ping(ConnectionId id);
     void on_unidentified_message(ConnectionId id, Connection& connection,
                                  const platform::Message& message);
@@ -96,33 +111,34 @@
     void log_load(const event::ServerLoadReport& report);
 
     void on_connection_released(ConnectionId id, const Connection& connection,
-                                const std::string& why);
-    void on_proxy_released(ConnectionId id, const Connection& connection, const std::string& why);
+                                const std::string& reason);
+    void on_proxy_released(ConnectionId id, const Connection& connection,
+                           const std::string& reason);
 
-    void on_instance_list(const platform::InstanceList& list, UpdateKind kind);
+    void on_server_list(const platform::ServerList& list, UpdateKind kind);
     void post(const Event& event);
     void run_housekeeping();
     const std::string& zone_name(ZoneId zone) const;
 
     base::Clock& clock_;
     log::Logger log_;
-    log::RateLimitedLogger warnings_;  // of events that peers can cause
+    log::RateLimitedLogger warnings_;  // for events that peers can cause
     platform::NodeConfig config_;
     platform::ServerIds server_ids_;
     runtime::ConfigState config_state_;
     runtime::PolicyRunner policy_runner_;
     ConnectionTable connections_;
     ProxyConnections proxy_connections_;
-    CollectorRegistry collectors_;
+    CollectorConnections collectors_;
     UpdateSender update_sender_;
     base::Timer housekeeping_timer_;
     base::Timer listen_retry_timer_;
     Micros listen_deadline_;
     DiscoveryWatch discovery_;
-    /// Makes a listener that hands its streams to the table; throws std::system_error.
+    /// Creates a listener that passes new streams to `connections_`; throws std::system_error.
     std::function<std::unique_ptr<net::Listener>()> make_listener_;
     std::unique_ptr<net::Listener> listener_;
-    /// The counters that are counted here; statistics() adds the rest.
+    /// The counters that are kept here; statistics() adds the other fields.
     ServerStatistics counters_;
     bool stopping_ = false;
 };
--- a/src/platform_server/proxy_connections.h
+++ b/src/platform_server/proxy_connections.h
@@ -1,4 +1,13 @@
-/// Which connection carries the configuration of which proxy.
+/// Tracks the current connection of each proxy.
+///
+/// A proxy may reconnect before the end of its previous connection is seen, so that it has two open
+/// connections for a moment. The current one is always the one on which its latest SUBSCRIBE
+/// arrived, whatever the order in which the connections were accepted:
+/// - on SUBSCRIBE the server closes the previous connection, and the planner sees the proxy
+///   disconnect and connect again;
+/// - the new connection gets the complete tables again; acknowledgements of versions that were sent
+///   on the previous one are not valid on it (PendingAcks belongs to one connection);
+/// - the end of a connection that is not the current one does not disconnect the proxy.
 #pragma once
 
 #include <cstddef>
@@ -10,23 +19,19 @@
 
 namespace badgergrade::platform_server {
 
-/// The newest connection of each proxy that has identified itself.
-///
-/// Failure guarded against: a proxy dials anew before the end of its old stream is seen. The end
-/// that then arrives late must not disconnect the proxy: the newest connection stands, and
-/// the end of another one changes nothing.
+/// The current connection of each connected proxy.
 class ProxyConnections {
 public:
-    /// The connection of a proxy, if it has one.
+    /// Returns the current connection of a proxy, if it is connected.
     std::optional<ConnectionId> find(ProxyId proxy) const {
         const auto it = connections_.find(proxy);
         return it == connections_.end() ? std::nullopt : std::optional(it->second);
     }
 
-    /// Makes this connection the one of the proxy.
+    /// Makes this connection the current one of the proxy.
     void set(ProxyId proxy, ConnectionId id) { connections_[proxy] = id; }
 
-    /// Forgets the connection of the proxy if it is this one; whether it was.
+    /// Removes this connection if it is the proxy's current one. Returns whether it was.
     bool remove(ProxyId proxy, ConnectionId id) {
         const auto it = connections_.find(proxy);
         if (it == connections_.end() || it->second != id) {
--- a/src/platform_server/update_sender.h
+++ b/src/platform_server/update_sender.h
@@ -1,5 +1,5 @@
-/// Carries out the planner's commands: turns them into CONFIG messages and writes these to the
-/// proxies' connections.
+/// Executes the planner's commands: applies them to the published configuration, encodes the
+/// resulting updates as CONFIG messages and writes these to the proxies' connections.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,8 @@
 
 namespace badgergrade::platform_server {
 
-/// Sends configuration updates. The dependencies must outlive it; used on the loop's thread.
+/// Sends configuration updates. Not thread-safe: used on the loop's thread only. The dependencies
+/// must outlive it.
 class UpdateSender {
 public:
     struct Dependencies {
@@ -34,10 +35,10 @@
         : dependencies_(dependencies),
           logger_(std::move(logger)) {}
 
-    /// Carries out the commands of one decision. May close connections whose peers read nothing.
-    void carry_out(const std::vector<Command>& commands);
+    /// Executes the commands of one decision. May close connections whose peers do not read.
+    void execute(const std::vector<Command>& commands);
 
-    /// Updates sent so far.
+    /// Number of updates sent since the start.
     std::int64_t sent_total() const { return sent_total_; }
 
 private:
--- a/src/runtime/config_state.cpp
+++ b/src/runtime/config_state.cpp
@@ -5,10 +5,10 @@
 namespace badgergrade::runtime {
 
 ConfigState::ConfigState(const Settings& settings)
-    : head_lines_(settings.message_head_lines),
-      unlimited_(settings.admission_mode == AdmissionMode::Rate
-                     ? command::SetAdmission::kUnlimitedRate
-                     : 1),
+    : message_head_lines_(settings.message_head_lines),
+      unlimited_admission_(settings.admission_mode == AdmissionMode::Rate
+                               ? command::SetAdmission::kUnlimitedRate
+                               : 1),
       default_retry_mode_(settings.default_retry_mode) {
     for (int k = 0; k < static_cast<int>(settings.operations.size()); ++k) {
         operations_.push_back({k});
@@ -19,7 +19,7 @@
 void ConfigState::on_proxy_connected(ProxyId proxy) {
     ProxyConfig& config = proxies_[proxy];
     config.connected = true;
-    config.assigned.clear();
+    config.assigned_tables.clear();
 }
 
 void ConfigState::on_proxy_disconnected(ProxyId proxy) {
@@ -28,7 +28,7 @@
         return;
     }
     it->second.connected = false;
-    it->second.assigned.clear();
+    it->second.assigned_tables.clear();
 }
 
 void ConfigState::set_weight(const command::SetWeight& command, PendingChanges& changes) {
@@ -50,27 +50,28 @@
                                std::vector<RejectedCommand>& rejected) {
     const auto it = proxies_.find(command.proxy);
     if (it == proxies_.end() || !it->second.connected) {
-        rejected.push_back({"a binding for proxy " + std::to_string(command.proxy.value) +
-                            ", which is not joined"});
+        rejected.push_back({"table assignment for proxy " + std::to_string(command.proxy.value) +
+                            " ignored: the proxy is not connected"});
         return;
     }
-    // An operation uses one table: those of this command leave the masks that held them before.
+    // Each operation uses exactly one table: the operations of this command are removed from the
+    // earlier assignments.
     const OperationMask operations =
         command.operations == 0 ? all_operations_ : command.operations & all_operations_;
-    std::map<OperationMask, TableId> assigned;
-    for (const auto& [mask, table] : it->second.assigned) {
-        const OperationMask kept = mask & ~operations;
-        if (kept == 0) {
+    std::map<OperationMask, TableId> assigned_tables;
+    for (const auto& [mask, table] : it->second.assigned_tables) {
+        const OperationMask remaining = mask & ~operations;
+        if (remaining == 0) {
             continue;
         }
-        assigned[kept] = table;
-        if (kept != mask && changes.assigned.erase({command.proxy, mask}) > 0) {
-            changes.assigned.insert({command.proxy, kept});
+        assigned_tables[remaining] = table;
+        if (remaining != mask && changes.new_assignments.erase({command.proxy, mask}) > 0) {
+            changes.new_assignments.insert({command.proxy, remaining});
         }
     }
-    assigned[operations] = command.table;
-    it->second.assigned = std::move(assigned);
-    changes.assigned.insert({command.proxy, operations});
+    assigned_tables[operations] = command.table;
+    it->second.assigned_tables = std::move(assigned_tables);
+    changes.new_assignments.insert({command.proxy, operations});
 }
 
 void ConfigState::set_admission(const command::SetAdmission& command, PendingChanges& changes) {
@@ -98,7 +99,7 @@
 }
 
 AdmissionSetting ConfigState::admission(TableId id, OperationId operation) const {
-    AdmissionSetting setting{unlimited_, default_retry_mode_};
+    AdmissionSetting setting{unlimited_admission_, default_retry_mode_};
     if (const auto it = admission_of_all_tables_.find(operation);
         it != admission_of_all_tables_.end()) {
         setting = it->second;
@@ -107,24 +108,25 @@
     if (table == tables_.end()) {
         return setting;
     }
-    const auto own = table->second.admission.find(operation);
-    if (own == table->second.admission.end()) {
+    const auto table_setting = table->second.admission.find(operation);
+    if (table_setting == table->second.admission.end()) {
         return setting;
     }
-    return {std::min(setting.limit, own->second.limit), own->second.retry_mode};
+    return {std::min(setting.limit, table_setting->second.limit), table_setting->second.retry_mode};
 }
 
 AdmissionSettings ConfigState::changed_admission(TableId id, OperationMask operations,
                                                  bool replace_all,
                                                  const PendingChanges& changes) const {
-    const AdmissionSettings& own = tables_.at(id).admission;
+    const AdmissionSettings& table_settings = tables_.at(id).admission;
     const auto change = changes.tables.find(id);
     AdmissionSettings changed;
     for (const OperationId operation : operations_) {
         if (!includes(operations, operation)) {
             continue;
         }
-        const bool is_set = own.contains(operation) || admission_of_all_tables_.contains(operation);
+        const bool is_set =
+            table_settings.contains(operation) || admission_of_all_tables_.contains(operation);
         const bool is_changed =
             replace_all || changes.admission_of_all_tables ||
             (change != changes.tables.end() && change->second.admission.contains(operation));
@@ -139,14 +141,14 @@
                                              PendingChanges& changes) {
     const auto change = changes.tables.find(id);
     const bool has_change = change != changes.tables.end();
-    const bool replace_all =
-        changes.assigned.contains({proxy, operations}) || (has_change && change->second.cleared);
+    const bool replace_all = changes.new_assignments.contains({proxy, operations}) ||
+                             (has_change && change->second.cleared);
     if (!replace_all && !has_change && !changes.admission_of_all_tables) {
         return nullptr;
     }
-    TableUpdatePtr& built = changes.built[{id, operations, replace_all}];
-    if (built) {
-        return built;
+    TableUpdatePtr& shared_update = changes.table_updates[{id, operations, replace_all}];
+    if (shared_update) {
+        return shared_update;
     }
     auto update = std::make_shared<TableUpdate>();
     update->table = id;
@@ -159,40 +161,42 @@
         update->weights = change->second.weights;
     }
     update->admission = changed_admission(id, operations, replace_all, changes);
-    built = std::move(update);
-    return built;
+    shared_update = std::move(update);
+    return shared_update;
 }
 
-bool ConfigState::may_use(const ProxyConfig& config, ServerId server) const {
-    // Before its first assignment a proxy uses a table that this instance does not know.
-    if (config.assigned.empty()) {
+bool ConfigState::may_use_server(const ProxyConfig& config, ServerId server) const {
+    // Until its first assignment a proxy uses a table that this instance does not know, so that
+    // every server counts as possibly in use.
+    if (config.assigned_tables.empty()) {
         return true;
     }
-    return std::any_of(config.assigned.begin(), config.assigned.end(),
+    return std::any_of(config.assigned_tables.begin(), config.assigned_tables.end(),
                        [&](const auto& entry) { return weights(entry.second).contains(server); });
 }
 
-/// A proxy keeps its ejections across streams, while the policy expects it to follow the ejections
-/// of this instance alone: the difference between the two is sent, and nothing else.
+/// Adds the difference between the ejections that the proxy has and those of this instance. A proxy
+/// keeps its ejections across streams, while the policy expects it to have exactly those of this
+/// instance. An ejected server that the proxy can't use is not sent.
 void ConfigState::add_ejections(ProxyConfig& config, ProxyUpdate& update) {
-    if (config.ejected == ejected_) {
+    if (config.sent_ejections == ejected_) {
         return;
     }
     for (const ServerId server : ejected_) {
-        if (!config.ejected.contains(server) && may_use(config, server)) {
+        if (!config.sent_ejections.contains(server) && may_use_server(config, server)) {
             update.eject.push_back(server);
         }
     }
-    for (const ServerId server : config.ejected) {
+    for (const ServerId server : config.sent_ejections) {
         if (!ejected_.contains(server)) {
             update.restore.push_back(server);
         }
     }
     for (const ServerId server : update.eject) {
-        config.ejected.insert(server);
+        config.sent_ejections.insert(server);
     }
     for (const ServerId server : update.restore) {
-        config.ejected.erase(server);
+        config.sent_ejections.erase(server);
     }
 }
 
@@ -214,19 +218,20 @@
     }
 }
 
-/// Nothing where the decision changes nothing for this proxy and asks it for no acknowledgement.
+/// Returns no update if nothing changes for this proxy and it need not acknowledge a version.
 std::optional<ProxyUpdate> ConfigState::update_for(ProxyId proxy, ProxyConfig& config,
                                                    PendingChanges& changes) {
     ProxyUpdate update;
     update.proxy = proxy;
-    for (const auto& [operations, table] : config.assigned) {
-        const TableUpdatePtr part = table_update_for(proxy, table, operations, changes);
-        if (!part) {
+    for (const auto& [operations, table] : config.assigned_tables) {
+        const TableUpdatePtr table_update = table_update_for(proxy, table, operations, changes);
+        if (!table_update) {
             continue;
         }
-        update.tables.push_back(part);
-        update.line_count += (part->replace_all ? 1.0 : 0.0) +
-                             static_cast<double>(part->weights.size() + part->admission.size());
+        update.tables.push_back(table_update);
+        update.line_count +=
+            (table_update->replace_all ? 1.0 : 0.0) +
+            static_cast<double>(table_update->weights.size() + table_update->admission.size());
     }
     add_ejections(config, update);
     update.line_count += static_cast<double>(update.eject.size() + update.restore.size());
@@ -235,7 +240,7 @@
         return std::nullopt;
     }
     update.ack_version = changes.ack_version;
-    update.line_count += head_lines_ + (changes.ack_version ? 1 : 0);
+    update.line_count += message_head_lines_ + (changes.ack_version ? 1 : 0);
     return update;
 }
 
@@ -257,15 +262,15 @@
 }
 
 const std::map<OperationMask, TableId>& ConfigState::assigned_tables(ProxyId proxy) const {
-    static const std::map<OperationMask, TableId> kNone;
+    static const std::map<OperationMask, TableId> kNoTables;
     const auto it = proxies_.find(proxy);
-    return it == proxies_.end() ? kNone : it->second.assigned;
+    return it == proxies_.end() ? kNoTables : it->second.assigned_tables;
 }
 
 const Weights& ConfigState::weights(TableId table) const {
-    static const Weights kNone;
+    static const Weights kNoWeights;
     const auto it = tables_.find(table);
-    return it == tables_.end() ? kNone : it->second.weights;
+    return it == tables_.end() ? kNoWeights : it->second.weights;
 }
 
 bool ConfigState::references(ServerId server) const {
@@ -278,7 +283,7 @@
         }
     }
     for (const auto& [proxy, config] : proxies_) {
-        if (config.ejected.contains(server)) {
+        if (config.sent_ejections.contains(server)) {
             return true;
         }
     }
--- a/src/runtime/policy_runner.cpp
+++ b/src/runtime/policy_runner.cpp
@@ -7,10 +7,10 @@
 namespace badgergrade::runtime {
 
 PolicyRunner::PolicyRunner(base::Clock& clock, base::ActorId actor, const Settings& settings,
-                           std::uint64_t seed, Micros batch)
+                           std::uint64_t seed, Micros batch_window)
     : clock_(clock),
       actor_(actor),
-      batch_(batch),
+      batch_window_(batch_window),
       planner_(settings, seed, clock.now()),
       decision_timer_(clock, actor) {}
 
@@ -20,7 +20,7 @@
     }
     planner_.on_event(clock_.now(), event);
     if (!decision_timer_.set()) {
-        decision_timer_.after(batch_, [this] { decide(); });
+        decision_timer_.after(batch_window_, [this] { decide(); });
     }
 }
 
@@ -30,26 +30,26 @@
 
 void PolicyRunner::stop() {
     decision_timer_.stop();
-    timers_.clear();
+    pending_timers_.clear();
 }
 
 void PolicyRunner::set_timer(const command::SetTimer& timer) {
-    const auto it = timers_.emplace(timers_.end(), clock_, actor_);
+    const auto it = pending_timers_.emplace(pending_timers_.end(), clock_, actor_);
     it->after(timer.delay, [this, it, token = timer.token] {
         const event::TimerFired fired{token};
-        timers_.erase(it);
+        pending_timers_.erase(it);
         post(fired);
     });
 }
 
 void PolicyRunner::decide() {
     const base::CpuMeter meter(cpu_us_);
-    std::vector<Command> decided = planner_.decide(clock_.now());
+    std::vector<Command> all_commands = planner_.decide(clock_.now());
     if (on_decided) {
-        on_decided(decided);
+        on_decided(all_commands);
     }
     std::vector<Command> commands;
-    for (Command& command : decided) {
+    for (Command& command : all_commands) {
         if (const auto* timer = std::get_if<command::SetTimer>(&command)) {
             set_timer(*timer);
         } else {
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -49,7 +49,7 @@
                 platform::read_config(text);
                 break;
             default:
-                platform::read_instances(text);
+                platform::read_server_list(text);
         }
     } catch (const platform::ParseError&) {}
     return 0;
--- a/tests/program/node_moments_test.cpp
+++ b/tests/program/node_moments_test.cpp
@@ -42,7 +42,7 @@
     });
     stage.run(10ms);
     EXPECT_EQ(stage.server->statistics().proxies, 300u);
-    EXPECT_EQ(stage.server->statistics().rejected, 0);
+    EXPECT_EQ(stage.server->statistics().rejected_connections, 0);
 }
 
 // Failure: reading before rejecting could spare peers that never identify themselves, so that their
@@ -88,7 +88,7 @@
     }
     stage.run(50ms);
     EXPECT_EQ(stage.server->statistics().proxies, 28u);
-    EXPECT_EQ(stage.server->statistics().rejected, 0);
+    EXPECT_EQ(stage.server->statistics().rejected_connections, 0);
 }
 
 // Failure: closing a socket with unread input is a reset, which costs the peer the NACK that says
@@ -360,7 +360,7 @@
     agent.send(RawStage::answer(list(9, true, "")));
     stage.run(100ms);
     EXPECT_EQ(readable(proxy.read()).find(":0"), std::string::npos);
-    EXPECT_EQ(stage.logged("without instances"), 1);
+    EXPECT_EQ(stage.logged("snapshot without servers"), 1);
     agent.read();
     agent.send(RawStage::answer(list(10, true, row("s-a", "north") + "," + row("s-c", "south"))));
     stage.run(700ms);
@@ -526,7 +526,7 @@
             continue;
         }
         servers_most = std::max(servers_most, stage.server->statistics().servers);
-        timers_most = std::max(timers_most, stage.server->statistics().timers);
+        timers_most = std::max(timers_most, stage.server->statistics().planner_timers);
         EXPECT_EQ(stage.server->statistics().connections, 4u);
         EXPECT_EQ(stage.server->statistics().buffered_bytes, 0u);
     }
--- a/tests/program/node_test.cpp
+++ b/tests/program/node_test.cpp
@@ -176,7 +176,7 @@
     proxy->send("what can't be read any more");
     stage.run(100ms);
     EXPECT_EQ(stage.server->statistics().proxies, 0u);
-    EXPECT_EQ(stage.server->statistics().leaves, 1);
+    EXPECT_EQ(stage.server->statistics().proxy_disconnects, 1);
 }
 
 // Failure: a proxy connects anew and acknowledges a version that was sent on its older connection;
@@ -209,8 +209,9 @@
     stage.run(300ms);
     const auto statistics = stage.server->statistics();
     EXPECT_EQ(statistics.proxies, 1u);
-    EXPECT_EQ(statistics.joins, 2);
-    EXPECT_EQ(statistics.leaves, 1) << "left once for the old joining, and not for its late end";
+    EXPECT_EQ(statistics.proxy_connects, 2);
+    EXPECT_EQ(statistics.proxy_disconnects, 1)
+        << "left once for the old joining, and not for its late end";
     EXPECT_NE(fresh->text.find("replace 1"), std::string::npos) << "a new stream is bound anew";
 }
 
@@ -234,7 +235,8 @@
     }
     stage.run(100ms);
     EXPECT_EQ(stage.server->statistics().proxies, 0u);
-    EXPECT_EQ(stage.server->statistics().joins, stage.server->statistics().leaves);
+    EXPECT_EQ(stage.server->statistics().proxy_connects,
+              stage.server->statistics().proxy_disconnects);
 }
 
 // Failure: a peer reads nothing and its answers take more and more memory. Its connection must be
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_EQ(config.settings.max_messages, 20);
     EXPECT_EQ(config.protocol_names.operations, (std::vector<std::string>{"look up", "order"}));
     EXPECT_EQ(config.protocol_names.load_metrics, (std::vector<std::string>{"inflight", "util"}));
-    ASSERT_EQ(config.initial_list.instances.size(), 3u);
+    ASSERT_EQ(config.initial_list.servers.size(), 3u);
     EXPECT_TRUE(config.initial_list.is_snapshot);
 }
 
@@ -85,13 +85,13 @@
 }
 
 TEST(Instances, AnEntryThatCantBeReadIsLeftOutAndNamed) {
-    const auto list = platform::read_instances(
+    const auto list = platform::read_server_list(
         R"({"generation":4,"reset":false,"instances":[{"instanceId":"a","lifecycle":"Odd"},{"instanceId":"b","zone":"north","lifecycle":"Gone"},7]})");
     EXPECT_EQ(list.generation, 4u);
     EXPECT_FALSE(list.is_snapshot);
-    ASSERT_EQ(list.instances.size(), 1u);
-    EXPECT_EQ(list.skipped_entries.size(), 2u);
-    EXPECT_THROW(platform::read_instances(R"({"instances":[]})"), platform::ParseError);
+    ASSERT_EQ(list.servers.size(), 1u);
+    EXPECT_EQ(list.skip_reasons.size(), 2u);
+    EXPECT_THROW(platform::read_server_list(R"({"instances":[]})"), platform::ParseError);
 }
 
 // ---- servers
@@ -99,10 +99,10 @@
 TEST(Servers, KeepTheirNumberThroughAbsenceAndRestart) {
     ProtocolFixture fixture;
     const ServerId a = fixture.server("s-a");
-    platform::InstanceList change{2, false, {{"s-a", "north", ServerState::Gone, 1, 0}}, {}};
+    platform::ServerList change{2, false, {{"s-a", "north", ServerState::Gone, 1, 0}}, {}};
     fixture.servers.update(change, UpdateKind::Delta, 1010s);
     EXPECT_EQ(fixture.server("s-a"), a) << "it can still be named";
-    change.instances = {{"s-a", "north", ServerState::Ready, 1, 1700001020000.0}};
+    change.servers = {{"s-a", "north", ServerState::Ready, 1, 1700001020000.0}};
     const auto list = fixture.servers.update(change, UpdateKind::Delta, 1020s);
     EXPECT_EQ(list.endpoints.at(0).server, a);
     EXPECT_EQ(list.endpoints.at(0).started_at, 1020s);
@@ -344,13 +344,13 @@
     driver.post(
         fixture.servers.update(fixture.config.initial_list, UpdateKind::Cached, clock.now()));
     driver.post(event::ProxyConnected{{1}, true, {0}, 5});
-    EXPECT_EQ(driver.timers(), 0u);
+    EXPECT_EQ(driver.pending_timers(), 0u);
     while (clock.step(1000s + 10ms)) {}
     EXPECT_EQ(decisions, 1) << "one binding for the two events";
-    EXPECT_EQ(driver.timers(), 1u);
+    EXPECT_EQ(driver.pending_timers(), 1u);
     driver.post(event::TimerFired{"beat"});
     while (clock.step(1000s + 20ms)) {}
-    EXPECT_EQ(driver.timers(), 2u) << "the beat that was told by hand set a second one";
+    EXPECT_EQ(driver.pending_timers(), 2u) << "the beat that was told by hand set a second one";
 }
 
 }  // namespace
