--- a/src/runtime/config_state.cpp
+++ b/src/runtime/config_state.cpp
@@ -5,7 +5,7 @@
 namespace badgergrade::runtime {
 
 ConfigState::ConfigState(const Settings& settings)
-    : message_head_lines_(settings.message_head_lines),
+    : message_header_lines_(settings.message_header_lines),
       unlimited_admission_(settings.admission_mode == AdmissionMode::Rate
                                ? command::SetAdmission::kUnlimitedRate
                                : 1),
@@ -240,7 +240,7 @@
         return std::nullopt;
     }
     update.ack_version = changes.ack_version;
-    update.line_count += message_head_lines_ + (changes.ack_version ? 1 : 0);
+    update.line_count += message_header_lines_ + (changes.ack_version ? 1 : 0);
     return update;
 }
 
--- a/src/runtime/config_state.h
+++ b/src/runtime/config_state.h
@@ -62,8 +62,8 @@
     std::vector<ServerId> eject;               ///< servers that the proxy must not use any more
     std::vector<ServerId> restore;             ///< servers that are no longer ejected
     std::optional<ConfigVersion> ack_version;  ///< the version that the proxy must acknowledge
-    /// Size in lines, the unit of the configuration channel's pace: the message head, and one line
-    /// for each weight, admission setting, ejection, restored server, replaced table and
+    /// Size in lines, the unit of the configuration channel's pace: the message header, and one
+    /// line for each weight, admission setting, ejection, restored server, replaced table and
     /// acknowledgement request.
     double line_count = 0;
 };
@@ -160,7 +160,7 @@
 
     std::vector<OperationId> operations_;
     OperationMask all_operations_ = 0;
-    double message_head_lines_;
+    double message_header_lines_;
     double unlimited_admission_;  ///< the limit that admits everything in this admission mode
     RetryMode default_retry_mode_;
     std::map<TableId, Table> tables_;
