--- a/src/config/ini.cpp
+++ b/src/config/ini.cpp
@@ -14,10 +14,11 @@
 namespace badgergrade::config {
 namespace {
 
-/// inih reads lines of up to 200 bytes.
+/// The INI library (inih) reads lines of up to 200 bytes.
 constexpr std::size_t kMaxLineBytes = 190;
+/// Keeps integers within the range of int.
 constexpr double kMaxInteger = 2e9;
-/// Larger numbers are not exact as a double.
+/// Larger integers are not exact as a double.
 constexpr double kMaxTimeUs = 9e15;
 
 std::string trimmed(std::string_view text) {
@@ -28,17 +29,17 @@
     return std::string(text.substr(first, text.find_last_not_of(" \t\r\n") - first + 1));
 }
 
-/// What the callbacks of inih share.
+/// The state that the callbacks of inih share.
 struct ParseState {
     const std::string* text = nullptr;
-    std::size_t offset = 0;  ///< of the next line, in bytes
-    int line = 0;
+    std::size_t offset = 0;  ///< offset of the next line, in bytes
+    int line = 0;            ///< number of the current line, counted from 1
     std::string file;
     std::vector<IniEntry>* entries = nullptr;
     std::vector<ConfigError>* errors = nullptr;
 };
 
-/// Gives inih the next line.
+/// Callback of inih: copies the next line to `to`; null at the end of the text.
 char* next_line(char* to, int size, void* user) {
     auto& state = *static_cast<ParseState*>(user);
     if (state.offset >= state.text->size()) {
@@ -49,15 +50,17 @@
         state.text->substr(state.offset, end == std::string::npos ? end : end - state.offset);
     state.offset = end == std::string::npos ? state.text->size() : end + 1;
     ++state.line;
-    // A line that is too long or holds a zero byte would be cut off silently by the reader below.
+    // inih would silently truncate a line that is too long or contains a zero byte.
     if (line.size() > kMaxLineBytes || line.find('\0') != std::string::npos) {
-        state.errors->push_back({state.file, state.line, "",
-                                 line.size() > kMaxLineBytes
-                                     ? "the line is longer than 190 characters"
-                                     : "the line holds a zero byte"});
+        state.errors->push_back(
+            {state.file, state.line, "",
+             line.size() > kMaxLineBytes
+                 ? "expected at most 190 bytes in a line, got " + std::to_string(line.size())
+                 : "the line contains a zero byte"});
         line.clear();
     }
-    // Continuation by indentation would hide a forgotten key, so indentation means nothing.
+    // inih treats an indented line as the continuation of the previous value, which would hide a
+    // missing key: indentation is removed.
     line = trimmed(line);
     line += '\n';
     const std::size_t n = std::min(line.size(), static_cast<std::size_t>(size) - 1);
@@ -66,7 +69,7 @@
     return to;
 }
 
-/// Gets an entry from inih; 1 means that reading goes on.
+/// Callback of inih: stores an entry. Returns 1 to continue.
 int add_entry(void* user, const char* section, const char* key, const char* value) {
     auto& state = *static_cast<ParseState*>(user);
     if (!key || !value) {
@@ -76,17 +79,17 @@
     return 1;
 }
 
-/// Edit distance (Levenshtein).
+/// Returns the Levenshtein distance.
 std::size_t edit_distance(const std::string& a, const std::string& b) {
     std::vector<std::size_t> row(b.size() + 1);
     for (std::size_t j = 0; j <= b.size(); ++j) {
         row[j] = j;
     }
     for (std::size_t i = 1; i <= a.size(); ++i) {
-        std::size_t before = std::exchange(row[0], i);
+        std::size_t diagonal = std::exchange(row[0], i);
         for (std::size_t j = 1; j <= b.size(); ++j) {
-            before = std::exchange(
-                row[j], std::min({row[j] + 1, row[j - 1] + 1, before + (a[i - 1] != b[j - 1])}));
+            diagonal = std::exchange(
+                row[j], std::min({row[j] + 1, row[j - 1] + 1, diagonal + (a[i - 1] != b[j - 1])}));
         }
     }
     return row[b.size()];
@@ -111,7 +114,7 @@
     return std::to_string(n) + " us";
 }
 
-/// 0 for an unknown unit.
+/// Returns the microseconds in a unit of time, or 0 for an unknown unit.
 double microseconds_in(const std::string& unit) {
     if (unit == "us") {
         return 1;
@@ -157,14 +160,14 @@
     const int error_line = ini_parse_stream(next_line, &state, add_entry, &state);
     if (error_line > 0) {
         errors.push_back(
-            {name, error_line, "", "neither a [section], nor key = value, nor a comment (; or #)"});
+            {name, error_line, "", "expected [section], key = value or a comment (; or #)"});
     }
-    std::map<std::pair<std::string, std::string>, int> seen;
+    std::map<std::pair<std::string, std::string>, int> first_lines;
     for (const IniEntry& entry : file.entries_) {
-        const auto [it, fresh] = seen.try_emplace({entry.section, entry.key}, entry.line);
-        if (!fresh) {
+        const auto [it, is_first] = first_lines.try_emplace({entry.section, entry.key}, entry.line);
+        if (!is_first) {
             errors.push_back({name, entry.line, "[" + entry.section + "] " + entry.key,
-                              "stands already in line " + std::to_string(it->second)});
+                              "is already set in line " + std::to_string(it->second)});
         }
     }
     return file;
@@ -173,12 +176,12 @@
 IniFile IniFile::load(const std::string& path, std::vector<ConfigError>& errors) {
     std::ifstream in(path, std::ios::binary);
     if (!in) {
-        throw std::runtime_error(path + ": can't be read: " + std::strerror(errno));
+        throw std::runtime_error(path + ": cannot open the file: " + std::strerror(errno));
     }
     std::ostringstream text;
     text << in.rdbuf();
     if (in.bad() || text.fail()) {
-        throw std::runtime_error(path + ": can't be read");
+        throw std::runtime_error(path + ": input error while reading the file");
     }
     return parse(path, text.str(), errors);
 }
@@ -194,14 +197,14 @@
 }
 
 std::string IniFile::to_text() const {
-    std::vector<std::string> order;
+    std::vector<std::string> sections;
     for (const IniEntry& entry : entries_) {
-        if (std::find(order.begin(), order.end(), entry.section) == order.end()) {
-            order.push_back(entry.section);
+        if (std::find(sections.begin(), sections.end(), entry.section) == sections.end()) {
+            sections.push_back(entry.section);
         }
     }
     std::string out;
-    for (const auto& section : order) {
+    for (const auto& section : sections) {
         out += (out.empty() ? "[" : "\n[") + section + "]\n";
         for (const IniEntry& entry : entries_) {
             if (entry.section == section) {
@@ -271,12 +274,12 @@
     const std::string& v = entry->value;
     const auto [end, status] = std::from_chars(v.data(), v.data() + v.size(), out);
     if (status != std::errc{} || end != v.data() + v.size() || !std::isfinite(out)) {
-        add_error(section, key, "'" + v + "' is no number");
+        add_error(section, key, "expected a number, got '" + v + "'");
         return default_value;
     }
     if (out < bounds.minimum || out > bounds.maximum) {
         std::ostringstream message;
-        message << v << " is out of range: " << bounds.minimum << " to " << bounds.maximum;
+        message << "expected " << bounds.minimum << " to " << bounds.maximum << ", got " << v;
         add_error(section, key, message.str());
         return default_value;
     }
@@ -290,7 +293,7 @@
     if (out == std::floor(out)) {
         return static_cast<int>(out);
     }
-    add_error(section, key, "must be a whole number");
+    add_error(section, key, "expected an integer, got " + std::to_string(out));
     return default_value;
 }
 
@@ -305,7 +308,7 @@
     if (entry->value == "no") {
         return false;
     }
-    add_error(section, key, "'" + entry->value + "' is neither yes nor no");
+    add_error(section, key, "expected yes or no, got '" + entry->value + "'");
     return default_value;
 }
 
@@ -314,7 +317,7 @@
     double value = 0;
     const auto [end, status] = std::from_chars(all.data(), all.data() + all.size(), value);
     if (status != std::errc{} || !std::isfinite(value)) {
-        error = "'" + all + "' is no time; write for example 800 ms";
+        error = "expected a time, for example 800 ms, got '" + all + "'";
         return std::nullopt;
     }
     const auto number_size = static_cast<std::size_t>(end - all.data());
@@ -324,12 +327,12 @@
     if (factor == 0) {
         error = unit.empty()
                     ? "'" + all + "' has no unit; write " + number + " ms or " + number + " s"
-                    : "'" + unit + "' is no unit of time (us, ms, s, min, h)";
+                    : "expected a unit of time (us, ms, s, min, h), got '" + unit + "'";
         return std::nullopt;
     }
     const double us = value * factor;
     if (us != std::floor(us) || std::abs(us) > kMaxTimeUs) {
-        error = "'" + all + "' is no whole number of microseconds within range";
+        error = "expected a whole number of microseconds of at most 9e15, got '" + all + "'";
         return std::nullopt;
     }
     return Micros(static_cast<std::int64_t>(us));
@@ -348,9 +351,9 @@
         return default_value;
     }
     if (*out < minimum || *out > maximum) {
-        add_error(
-            section, key,
-            entry->value + " is out of range: " + time_text(minimum) + " to " + time_text(maximum));
+        add_error(section, key,
+                  "expected " + time_text(minimum) + " to " + time_text(maximum) + ", got " +
+                      entry->value);
         return default_value;
     }
     return *out;
@@ -367,9 +370,9 @@
     for (std::string part; std::getline(parts, part, ',');) {
         const std::string word = trimmed(part);
         if (word.empty()) {
-            add_error(section, key, "an empty item between commas");
+            add_error(section, key, "expected a word between commas, got none");
         } else if (std::find(out.begin(), out.end(), word) != out.end()) {
-            add_error(section, key, "'" + word + "' stands twice");
+            add_error(section, key, "'" + word + "' is listed twice");
         } else {
             out.push_back(word);
         }
@@ -394,25 +397,26 @@
     return default_value;
 }
 
-void IniReader::finish() {
+void IniReader::report_unknown_keys() {
     for (const IniEntry& entry : file_.entries()) {
         if (known_keys_.contains({entry.section, entry.key})) {
             continue;
         }
-        std::vector<std::string> here;
+        std::vector<std::string> keys_of_section;
         std::vector<std::string> sections;
         for (const auto& [section, key] : known_keys_) {
             if (section == entry.section) {
-                here.push_back(key);
+                keys_of_section.push_back(key);
             }
             if (sections.empty() || sections.back() != section) {
                 sections.push_back(section);
             }
         }
-        const std::string near =
-            closest_word(here.empty() ? entry.section : entry.key, here.empty() ? sections : here);
+        const std::string near = closest_word(keys_of_section.empty() ? entry.section : entry.key,
+                                              keys_of_section.empty() ? sections : keys_of_section);
         errors_.push_back({file_.name(), entry.line, "[" + entry.section + "] " + entry.key,
-                           std::string(here.empty() ? "no such section" : "no such key here") +
+                           std::string(keys_of_section.empty() ? "unknown section"
+                                                               : "unknown key in this section") +
                                (near.empty() ? "" : "; did you mean " + near + "?")});
     }
     std::stable_sort(errors_.begin(), errors_.end(),
--- a/src/config/ini.h
+++ b/src/config/ini.h
@@ -1,7 +1,8 @@
 /// @file
-/// INI files with the place of every value, and typed readers that collect every error with file,
-/// line, key and what would be right. Reading goes on after an error, so that one run shows them
-/// all.
+/// Parses INI files and reads typed values from them.
+///
+/// Every value keeps its line, so that each error names file, line, key, the value found and a
+/// valid one. Parsing and reading continue after an error: one run reports all of them.
 #pragma once
 
 #include <chrono>
@@ -20,35 +21,39 @@
 /// One error in a configuration file.
 struct ConfigError {
     std::string file;
-    int line = 0;     ///< from 1; 0: the file as a whole
-    std::string key;  ///< with its section; empty where the error concerns none
+    int line = 0;     ///< counted from 1; 0: the file as a whole
+    std::string key;  ///< "[section] key" or "[section]"; empty for errors of syntax
     std::string text;
 };
 
-/// "file:12: [channel] lines_per_second: ..."
+/// Formats an error, for example "file:12: [channel] lines_per_second: ...".
 std::string to_text(const ConfigError& error);
 
+/// One `key = value` line.
 struct IniEntry {
     std::string section;
     std::string key;
     std::string value;
-    int line = 0;  ///< from 1; 0: set by the program
+    int line = 0;  ///< counted from 1; 0: set by the program
 };
 
+/// The entries of an INI file, in their order.
 class IniFile {
 public:
-    /// Reads INI text; syntax errors go to `errors`. `name` is the file name in them.
+    /// Parses INI text and appends syntax errors and duplicate keys to `errors`. `name` is the file
+    /// name in them.
     static IniFile parse(const std::string& name, const std::string& text,
                          std::vector<ConfigError>& errors);
-    /// Throws std::runtime_error where the file can't be read.
+    /// Reads and parses the file at `path`. Throws std::runtime_error if it cannot be read.
     static IniFile load(const std::string& path, std::vector<ConfigError>& errors);
 
     const std::string& name() const { return name_; }
 
     const std::vector<IniEntry>& entries() const { return entries_; }
 
-    /// Replaces or adds a value, as from a command line.
+    /// Replaces or adds a value, for example one from the command line.
     void set(const std::string& section, const std::string& key, const std::string& value);
+    /// Formats the entries as INI text, grouped by section.
     std::string to_text() const;
 
 private:
@@ -56,22 +61,22 @@
     std::vector<IniEntry> entries_;
 };
 
-/// Reads typed values from a file. Each reader returns `default_value` where the key is missing,
-/// and also, after adding an error, where its value is not valid. Every key that is read counts as
-/// known; finish() reports all others.
+/// Reads typed values from an IniFile. Each function returns `default_value` if the key is missing,
+/// and also, after adding an error, if its value is not valid. Every key that is read counts as
+/// known; report_unknown_keys() adds an error for the others.
 class IniReader {
 public:
-    /// Both must outlive the reader.
+    /// `file` and `errors` must outlive the reader.
     IniReader(const IniFile& file, std::vector<ConfigError>& errors);
 
-    /// The range of a number, both ends included.
+    /// The valid range of a number, both ends included.
     struct Bounds {
         double minimum = 0;
         double maximum = 1e18;
     };
 
     bool has(const std::string& section, const std::string& key) const;
-    /// The sections whose name begins with `prefix`, in the order of the file.
+    /// Returns the sections whose name begins with `prefix`, in the order of the file.
     std::vector<std::string> sections_with_prefix(const std::string& prefix) const;
 
     std::string text(const std::string& section, const std::string& key,
@@ -80,24 +85,25 @@
                   Bounds bounds);
     int integer(const std::string& section, const std::string& key, int default_value,
                 Bounds bounds);
-    /// "yes" or "no".
+    /// Reads "yes" or "no".
     bool boolean(const std::string& section, const std::string& key, bool default_value);
-    /// "800 ms", "2s", "250us", "1.5 min". A number without a unit is an error.
+    /// Reads a time with its unit, for example "800 ms", "2s", "250us" or "1.5 min". A number
+    /// without a unit is an error.
     Micros time(const std::string& section, const std::string& key, Micros default_value,
                 Micros minimum, Micros maximum);
-    /// Different words between commas.
+    /// Reads comma-separated words, each at most once.
     std::vector<std::string> list(const std::string& section, const std::string& key,
                                   const std::vector<std::string>& default_value);
-    /// The index of the value in `words`.
+    /// Reads one of `words` and returns its index.
     int choice(const std::string& section, const std::string& key, int default_value,
                const std::vector<std::string>& words);
 
-    /// Adds an error, with `example` as a valid value, where the key is missing.
+    /// Adds an error, with `example` as a valid value, if the key is missing.
     void require(const std::string& section, const std::string& key, const std::string& example);
-    /// Adds an error at the line of this key. An empty key means the section.
+    /// Adds an error at the line of this key. An empty key stands for the section.
     void add_error(const std::string& section, const std::string& key, const std::string& text);
-    /// Adds an error for each key that nobody read, and sorts all errors by line.
-    void finish();
+    /// Adds an error for each key of the file that was not read, and sorts all errors by line.
+    void report_unknown_keys();
 
 private:
     const IniEntry* find(const std::string& section, const std::string& key);
@@ -108,9 +114,11 @@
     std::set<std::pair<std::string, std::string>> known_keys_;
 };
 
-/// A time with its unit (us, ms, s, min, h); without a value, `error` says why.
+/// Parses a time with its unit (us, ms, s, min, h). If it is not valid, returns nothing and sets
+/// `error` to the reason.
 std::optional<Micros> parse_time(std::string_view text, std::string& error);
-/// The known word nearest to a mistyped one by edit distance; empty where none is near.
+/// Returns the known word with the smallest edit distance to a mistyped one, or an empty string if
+/// none is close enough to be suggested.
 std::string closest_word(const std::string& word, const std::vector<std::string>& known);
 
 }  // namespace badgergrade::config
--- a/src/config/instance_config.cpp
+++ b/src/config/instance_config.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 constexpr Micros kDay = 24h;
-/// An operation is one bit of an OperationMask.
+/// Each operation is one bit of an OperationMask.
 constexpr std::size_t kMaxOperations = 64;
 constexpr std::size_t kMaxZones = 64;
 constexpr std::size_t kMaxLoadMetrics = 4;
@@ -43,18 +43,20 @@
     operation.local_only = in.boolean(section, "own_zone_only", false);
     if (operation.latency_objective > operation.integration_timeout) {
         in.add_error(section, "latency_objective",
-                     "is longer than integration_timeout: the client would have given up before");
+                     "is longer than integration_timeout: clients give up before the objective");
     }
     if (operation.effect != Effect::Fingerprinted && in.has(section, "fingerprint_scope")) {
         in.add_error(section, "fingerprint_scope",
-                     "says something only where effect = fingerprinted");
+                     "has an effect only with effect = fingerprinted");
     }
-    const bool good =
+    const bool valid_name =
         !operation.name.empty() && operation.name.size() <= 64 &&
         std::all_of(operation.name.begin(), operation.name.end(),
                     [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_'; });
-    if (!good) {
-        in.add_error(section, "", "an operation's name is 1 to 64 letters, digits, - or _");
+    if (!valid_name) {
+        in.add_error(section, "",
+                     "expected an operation name of 1 to 64 letters, digits, '-' or '_', got '" +
+                         operation.name + "'");
     }
     return operation;
 }
@@ -69,13 +71,15 @@
     settings.max_network_delay = in.time("channel", "way_most", 1s, 0s, 1h);
     if (settings.max_messages == 0 && in.has("channel", "messages_window")) {
         in.add_error("channel", "messages_window",
-                     "says something only where messages_most is above 0");
+                     "has an effect only if messages_most is above 0");
     }
     if (settings.max_messages > 0 && settings.max_messages < 5) {
-        in.add_error("channel", "messages_most", "is under 5: removals alone could need more");
+        in.add_error("channel", "messages_most",
+                     "expected 0 or at least 5, got " + std::to_string(settings.max_messages) +
+                         ": removals of servers alone may need more messages");
     }
     if (settings.mean_network_delay > settings.max_network_delay) {
-        in.add_error("channel", "way_mean", "is longer than way_most");
+        in.add_error("channel", "way_mean", "must not be longer than way_most");
     }
 }
 
@@ -94,13 +98,14 @@
     settings.max_time_without_server = in.time("forwarders", "bare_most", 5s, 0s, 1h);
     settings.connection_idle_timeout = in.time("forwarders", "connection_idle", 15s, 100ms, 1h);
     settings.shard_handover_delay = in.time("forwarders", "settle", 4s, 0s, 1h);
-    // An attempt that may have run must not be repeated where that has an effect.
+    // An attempt that the server may have processed must not be retried if the operation is
+    // side-effecting.
     if (settings.default_retry_mode >= RetryMode::Once) {
         for (const Operation& operation : settings.operations) {
             if (operation.effect == Effect::SideEffecting) {
                 in.add_error("forwarders", "further_tries",
-                             "tries again what may have run, but operation " + operation.name +
-                                 " is side-effecting");
+                             "retries attempts that may have been processed, but operation " +
+                                 operation.name + " is side-effecting");
                 break;
             }
         }
@@ -118,51 +123,54 @@
     settings.keep_unlisted_servers = in.boolean("servers", "gone_may_stay", false);
 }
 
-/// Where messages to a proxy are limited, removals of servers wait for one another. With too few
-/// messages, or too long a network delay, a drained server stays in tables past its grace period.
-void check_removals(IniReader& in, const Settings& settings) {
+/// Checks that removals of servers reach the proxies within the drain grace. If the messages to a
+/// proxy are limited, removals wait for each other: with too few messages or too long a network
+/// delay, a drained server stays in tables past its drain grace.
+void check_removal_delay(IniReader& in, const Settings& settings) {
     if (settings.max_messages <= 0) {
         return;
     }
-    const Micros longest_wait = 2 * settings.message_window / settings.max_messages;
-    if (longest_wait + settings.max_network_delay <= settings.drain_grace) {
+    const Micros max_removal_delay = 2 * settings.message_window / settings.max_messages;
+    if (max_removal_delay + settings.max_network_delay <= settings.drain_grace) {
         return;
     }
     const auto ms = [](Micros time) {
         return std::to_string(time.count() / 1000) + " ms";
     };
-    const Micros allowed_wait = settings.drain_grace - settings.max_network_delay;
-    std::string advice = "a grace longer than way_most";
-    if (allowed_wait > 0us) {
-        const auto messages = (2 * settings.message_window + allowed_wait - 1us) / allowed_wait;
-        advice = "at least " + std::to_string(messages) + " messages, or a longer grace";
+    const Micros allowed_delay = settings.drain_grace - settings.max_network_delay;
+    std::string expected = "a grace longer than way_most";
+    if (allowed_delay > 0us) {
+        const auto messages = (2 * settings.message_window + allowed_delay - 1us) / allowed_delay;
+        expected = "at least " + std::to_string(messages) + " messages, or a longer grace";
     }
     in.add_error("channel", "messages_most",
-                 "lets removals wait " + ms(longest_wait) + " and " +
+                 "delays removals of servers by up to " + ms(max_removal_delay) + " plus " +
                      ms(settings.max_network_delay) +
-                     " on the way, past [servers] drain_grace of " + ms(settings.drain_grace) +
-                     "; right would be " + advice);
+                     " of network delay, longer than [servers] drain_grace of " +
+                     ms(settings.drain_grace) + "; expected " + expected);
 }
 
-void read_instance(IniReader& in, Settings& settings, InstanceConfig& config) {
+void read_governor(IniReader& in, Settings& settings, InstanceConfig& config) {
     config.id = in.text("governor", "id", config.id);
     in.require("governor", "zones", "north, south");
     config.zones = in.list("governor", "zones", {});
     settings.zone_count = std::max(1, static_cast<int>(config.zones.size()));
     if (config.zones.size() > kMaxZones) {
-        in.add_error("governor", "zones", "64 zones at most");
+        in.add_error("governor", "zones",
+                     "expected at most 64 zones, got " + std::to_string(config.zones.size()));
     }
     const std::string zone =
         in.text("governor", "zone", config.zones.empty() ? "" : config.zones.front());
-    const auto at = std::find(config.zones.begin(), config.zones.end(), zone);
-    if (at == config.zones.end() && !config.zones.empty()) {
-        in.add_error("governor", "zone", "'" + zone + "' is none of the zones");
+    const auto it = std::find(config.zones.begin(), config.zones.end(), zone);
+    if (it == config.zones.end() && !config.zones.empty()) {
+        in.add_error("governor", "zone", "expected one of [governor] zones, got '" + zone + "'");
     }
-    settings.zone = {static_cast<int>(at - config.zones.begin())};
+    settings.zone = {static_cast<int>(it - config.zones.begin())};
     settings.instance_count = in.integer("governor", "governors", 1, {1, 64});
     settings.ordinal = in.integer("governor", "ordinal", 0, {0, 63});
     if (settings.ordinal >= settings.instance_count) {
-        in.add_error("governor", "ordinal", "counts from 0 and stays under governors");
+        in.add_error("governor", "ordinal",
+                     "expected 0 to governors - 1, got " + std::to_string(settings.ordinal));
     }
     config.seed = static_cast<std::uint64_t>(in.number("governor", "seed", 1, {0, 9e15}));
     config.batch_window = in.time("governor", "batch", 4ms, 0s, 1s);
@@ -195,10 +203,12 @@
     }
     if (settings.operations.empty()) {
         in.add_error("operation.NAME", "",
-                     "no operation is named; for example: [operation.place-job]");
+                     "expected at least one operation section, for example [operation.place-job]");
     }
     if (settings.operations.size() > kMaxOperations) {
-        in.add_error("operation.NAME", "", "64 operations at most");
+        in.add_error(
+            "operation.NAME", "",
+            "expected at most 64 operations, got " + std::to_string(settings.operations.size()));
     }
 }
 
@@ -207,13 +217,17 @@
     settings.max_reports_per_second = in.number("reports", "lines_per_second", 500, {1, 1e9});
     settings.load_metric_names = in.list("reports", "load_columns", {});
     if (settings.load_metric_names.size() > kMaxLoadMetrics) {
-        in.add_error("reports", "load_columns", "four at most");
+        in.add_error(
+            "reports", "load_columns",
+            "expected at most 4 metrics, got " + std::to_string(settings.load_metric_names.size()));
     }
-    const std::vector<std::string> known{"active", "waiting", "cpu", "avg_ms", "rps", "err_rps"};
+    const std::vector<std::string> known_metrics{"active", "waiting", "cpu",
+                                                 "avg_ms", "rps",     "err_rps"};
     for (const std::string& name : settings.load_metric_names) {
-        if (std::find(known.begin(), known.end(), name) == known.end()) {
-            in.add_error("reports", "load_columns",
-                         "'" + name + "' is none of: active, waiting, cpu, avg_ms, rps, err_rps");
+        if (std::find(known_metrics.begin(), known_metrics.end(), name) == known_metrics.end()) {
+            in.add_error(
+                "reports", "load_columns",
+                "expected one of: active, waiting, cpu, avg_ms, rps, err_rps; got '" + name + "'");
         }
     }
 }
@@ -224,7 +238,7 @@
     IniReader in(file, errors);
     InstanceConfig config;
     Settings& settings = config.settings;
-    read_instance(in, settings, config);
+    read_governor(in, settings, config);
     read_xds(in, config);
     read_registry(in, settings, config);
     read_operations(in, settings);
@@ -232,12 +246,12 @@
     read_reports(in, settings);
     read_proxies(in, settings, config);
     read_servers(in, settings);
-    check_removals(in, settings);
+    check_removal_delay(in, settings);
     settings.health_checks_allowed = in.boolean("probes", "allowed", false);
     config.health_check_timeout = in.time("probes", "timeout", 400ms, 1ms, 1min);
     config.log_level = in.choice("log", "level", 1, {"debug", "info", "warning", "error"});
     config.log_json = in.choice("log", "form", 0, {"text", "json"}) == 1;
-    in.finish();
+    in.report_unknown_keys();
     return config;
 }
 
--- a/src/pacing/paced_send_queue.cpp
+++ b/src/pacing/paced_send_queue.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr double kMicrosPerSecond = 1e6;
-/// Keeps the rate above zero, so that a release time can always be computed.
+/// Lower limit of the pace; keeps the rate above zero so that a send time can always be computed.
 constexpr double kMinPaceFraction = 1e-3;
 }  // namespace
 
