--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// This field is the last one of its line and may hold tabs.
-constexpr std::string_view kFreeText = "what";
-/// Lines with more fields than this get an index: a linear search is faster for fewer ones.
-constexpr std::size_t kMaxLinearSearch = 12;
-/// Range of instance, proxy, zone, table and version numbers on the wire.
+/// The free-text field: always the last one of its line, and may contain tabs.
+constexpr std::string_view kFreeTextField = "what";
+/// Lines with more fields than this get an index; for fewer fields a linear search is faster.
+constexpr std::size_t kMaxLinearSearchFields = 12;
+/// Largest instance, proxy, zone, table and version number on the wire.
 constexpr std::int64_t kMaxId = 65535;
 constexpr std::int64_t kMaxServerId = 4294967295LL;
 constexpr std::int64_t kMaxOperations = 64;
 constexpr std::int64_t kMaxCount = 1LL << 40;
-/// Milliseconds; more would overflow whole microseconds.
+/// Larger times would overflow 64-bit microseconds.
 constexpr double kMaxTimeMs = 1e15;
 
 std::string quoted(std::string_view text) {
@@ -28,7 +28,8 @@
     const auto end = text.data() + text.size();
     const auto [at, error] = std::from_chars(text.data(), end, value);
     if (error != std::errc{} || at != end || !std::isfinite(value)) {
-        throw InvalidLine(std::string(name) + " is no number: " + quoted(text));
+        throw InvalidLine("field \"" + std::string(name) + "\": expected a number, got " +
+                          quoted(text));
     }
     return value;
 }
@@ -39,7 +40,8 @@
     const auto end = text.data() + text.size();
     const auto [at, error] = std::from_chars(text.data(), end, value);
     if (error != std::errc{} || at != end) {
-        throw InvalidLine(std::string(name) + " is no whole number: " + quoted(text));
+        throw InvalidLine("field \"" + std::string(name) + "\": expected an integer, got " +
+                          quoted(text));
     }
     return value;
 }
@@ -47,7 +49,8 @@
 Micros parse_time(std::string_view name, std::string_view text) {
     const double ms = parse_number(name, text);
     if (std::abs(ms) > kMaxTimeMs) {
-        throw InvalidLine(std::string(name) + " is out of range: " + quoted(text));
+        throw InvalidLine("field \"" + std::string(name) +
+                          "\": expected a time of at most 1e15 ms, got " + quoted(text));
     }
     return Micros(std::llround(ms * 1000.0));
 }
@@ -60,13 +63,14 @@
             return value;
         }
     }
-    throw InvalidLine(std::string(name) + " is not known: " + quoted(text));
+    throw InvalidLine("field \"" + std::string(name) + "\": expected a known word, got " +
+                      quoted(text));
 }
 
 constexpr std::string_view kBase64Digits =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-/// One line of output, ended by its destructor.
+/// Builds one line of output; the destructor appends the line end.
 class Line {
 public:
     Line(std::string& out, std::string_view word, std::string_view instance_id) : out_(out) {
@@ -95,7 +99,7 @@
     std::string& out_;
 };
 
-/// Writes a command in the simulator's words.
+/// Writes a command as a line with the simulator's words.
 struct CommandWriter {
     std::string& out;
     std::string_view instance_id;
@@ -110,13 +114,13 @@
 
     void operator()(const command::LogMessage& command) const {
         // A line break would end the message.
-        std::string clean = command.text;
-        for (char& c : clean) {
+        std::string single_line = command.text;
+        for (char& c : single_line) {
             if (c == '\n' || c == '\r') {
                 c = ' ';
             }
         }
-        line("record").text("what", clean);
+        line("record").text("what", single_line);
     }
 
     void operator()(const command::WatchEndpoints& command) const {
@@ -320,7 +324,7 @@
         case 4:
             return UpdateKind::Snapshot;
         default:
-            throw InvalidLine("form is not known: '3'");
+            throw InvalidLine("field \"form\": expected 0, 1, 2 or 4, got '3'");
     }
 }
 
@@ -332,7 +336,7 @@
     }
     const auto it = lists.find(static_cast<int>(fields.integer("ref", 0, kMaxListNumber)));
     if (it == lists.end()) {
-        throw InvalidLine("ref names no inventory");
+        throw InvalidLine("field \"ref\": no inventory with this number was announced");
     }
     update.endpoints = it->second;
     return update;
@@ -407,7 +411,7 @@
 
 using EventReader = Event (*)(const WireFields&, const EndpointLists&);
 
-/// The simulator's word for each event.
+/// The simulator's word and the decoder for each event.
 constexpr std::pair<std::string_view, EventReader> kEventReaders[] = {
     {"targets", read_endpoint_list_update},    {"due", read_timer_fired},
     {"ping_result", read_health_check_result}, {"from_peer", read_gossip_message},
@@ -429,10 +433,10 @@
         const std::size_t equals = field.find('=');
         const bool has_name = equals != std::string_view::npos && equals > 0;
         if (!has_name && !field.empty()) {
-            throw InvalidLine("a part has no name=value form: " + quoted(field));
+            throw InvalidLine("expected a field of the form name=value, got " + quoted(field));
         }
-        if (has_name && field.substr(0, equals) == kFreeText) {
-            fields_.emplace_back(kFreeText, line.substr(begin + equals + 1));
+        if (has_name && field.substr(0, equals) == kFreeTextField) {
+            fields_.emplace_back(kFreeTextField, line.substr(begin + equals + 1));
             break;
         }
         if (has_name) {
@@ -440,7 +444,7 @@
         }
         begin = end + 1;
     }
-    if (fields_.size() > kMaxLinearSearch) {
+    if (fields_.size() > kMaxLinearSearchFields) {
         index_.insert(fields_.begin(), fields_.end());
     }
 }
@@ -461,7 +465,7 @@
 std::string_view WireFields::text(std::string_view name) const {
     const auto* value = find(name);
     if (!value) {
-        throw InvalidLine(std::string(name) + " is missing");
+        throw InvalidLine("field \"" + std::string(name) + "\" is missing");
     }
     return *value;
 }
@@ -478,7 +482,9 @@
                                  std::int64_t maximum) const {
     const auto value = parse_integer<std::int64_t>(name, text(name));
     if (value < minimum || value > maximum) {
-        throw InvalidLine(std::string(name) + " is out of range: " + quoted(text(name)));
+        throw InvalidLine("field \"" + std::string(name) + "\": expected " +
+                          std::to_string(minimum) + " to " + std::to_string(maximum) + ", got " +
+                          quoted(text(name)));
     }
     return value;
 }
@@ -575,12 +581,12 @@
     std::string out;
     for (std::size_t at = 0; at < bytes.size(); at += 3) {
         std::uint32_t group = 0;
-        const std::size_t have = std::min<std::size_t>(3, bytes.size() - at);
+        const std::size_t group_bytes = std::min<std::size_t>(3, bytes.size() - at);
         for (std::size_t k = 0; k < 3; ++k) {
-            group = group << 8 | (k < have ? static_cast<unsigned char>(bytes[at + k]) : 0u);
+            group = group << 8 | (k < group_bytes ? static_cast<unsigned char>(bytes[at + k]) : 0u);
         }
         for (std::size_t k = 0; k < 4; ++k) {
-            out.push_back(k <= have ? kBase64Digits[group >> (18 - 6 * k) & 63] : '=');
+            out.push_back(k <= group_bytes ? kBase64Digits[group >> (18 - 6 * k) & 63] : '=');
         }
     }
     return out;
@@ -592,7 +598,9 @@
         return out;
     }
     if (text.size() % 4 != 0) {
-        throw InvalidLine("blob is no base64: its length is no multiple of 4");
+        throw InvalidLine(
+            "field \"blob\": expected base64 with a length that is a multiple of 4, got " +
+            std::to_string(text.size()) + " characters");
     }
     while (!text.empty() && text.back() == '=') {
         text.remove_suffix(1);
@@ -602,7 +610,7 @@
     for (const char c : text) {
         const std::size_t digit = kBase64Digits.find(c);
         if (digit == std::string_view::npos) {
-            throw InvalidLine("blob is no base64: " + quoted({&c, 1}));
+            throw InvalidLine("field \"blob\": expected a base64 digit, got " + quoted({&c, 1}));
         }
         group = group << 6 | static_cast<std::uint32_t>(digit);
         bits += 6;
--- a/src/adapter/instance_host.cpp
+++ b/src/adapter/instance_host.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::int64_t kMaxListRows = 1 << 24;
 constexpr std::int64_t kMaxTurn = 1LL << 62;
-/// Longest part of an unknown word that an error message repeats, in bytes.
-constexpr std::size_t kMaxQuotedWord = 80;
+/// Limit of the bytes of an invalid word that an error message quotes.
+constexpr std::size_t kMaxQuotedBytes = 80;
 
 }  // namespace
 
@@ -31,27 +31,28 @@
         }
     }
     if (in_frame_) {
-        report_error("the input ended inside a frame");
+        report_error("expected flush, got the end of the input");
     }
 }
 
 void InstanceHost::read_line(std::string_view text) {
     const std::string_view word = text.substr(0, text.find('\t'));
     if (missing_rows_ > 0 && word != "row") {
-        report_error("an inventory ended " + std::to_string(missing_rows_) + " rows early");
+        report_error("expected " + std::to_string(missing_rows_) +
+                     " more rows of an inventory, got another line");
         missing_rows_ = 0;
     }
     if (word == "flush") {
         if (!in_frame_) {
-            return report_error("a flush without a frame");
+            return report_error("flush outside a frame");
         }
         return reply();
     }
     if (word == "row") {
         if (missing_rows_ <= 0) {
-            return report_error("a row outside an inventory");
+            return report_error("row outside an inventory");
         }
-        // Also a row that can't be read counts, so that the end of the list is still found.
+        // Invalid rows count too, so that the end of the list is still recognized.
         --missing_rows_;
     }
     const WireFields fields(text);
@@ -59,11 +60,11 @@
         return begin_frame(fields);
     }
     if (!in_frame_) {
-        return report_error("an event outside a frame: '" +
-                            std::string(word.substr(0, kMaxQuotedWord)) + "'");
+        return report_error("event outside a frame: '" +
+                            std::string(word.substr(0, kMaxQuotedBytes)) + "'");
     }
     if (word == "row") {
-        endpoint_lists_[open_list_].push_back(read_endpoint(fields));
+        endpoint_lists_[current_list_].push_back(read_endpoint(fields));
     } else if (word == "inventory") {
         begin_endpoint_list(fields);
     } else {
@@ -73,23 +74,23 @@
 
 void InstanceHost::begin_frame(const WireFields& fields) {
     if (in_frame_) {
-        report_error("a frame began inside another; the earlier one is dropped");
+        report_error("frame inside a frame; the earlier one is discarded");
     }
     now_ = fields.time("time");
     turn_ = std::to_string(fields.integer("turn", 0, kMaxTurn));
-    touched_.clear();
+    notified_.clear();
     failed_.clear();
     in_frame_ = true;
 }
 
 void InstanceHost::begin_endpoint_list(const WireFields& fields) {
-    open_list_ = static_cast<int>(fields.integer("ref", 0, kMaxListNumber));
-    endpoint_lists_[open_list_].clear();
+    current_list_ = static_cast<int>(fields.integer("ref", 0, kMaxListNumber));
+    endpoint_lists_[current_list_].clear();
     missing_rows_ = fields.integer("records", 0, kMaxListRows, 0);
 }
 
-/// A failure of the policy ends the instance that it happened in, not the process: the other
-/// instances go on.
+/// An exception from the policy ends only the instance in which it happened; the other instances
+/// continue.
 void InstanceHost::dispatch(const WireFields& fields) {
     const std::string id(fields.has("governor_id") ? fields.text("governor_id")
                                                    : std::string_view{});
@@ -110,19 +111,19 @@
 
 void InstanceHost::start_instance(const std::string& id, const WireFields& fields) {
     if (id.empty()) {
-        throw InvalidLine("governor_id is missing");
+        throw InvalidLine("field \"governor_id\" is missing");
     }
     const Settings settings = read_settings(fields);
     const std::uint64_t seed = fields.seed("prng");
     remove_instance(id);
-    mark_touched(id);
+    mark_notified(id);
     instances_.emplace(id, policy::Planner(settings, seed, now_));
 }
 
 void InstanceHost::remove_instance(const std::string& id) {
     instances_.erase(id);
     failed_.erase(id);
-    std::erase(touched_, id);
+    std::erase(notified_, id);
 }
 
 void InstanceHost::post_event(const std::string& id, const WireFields& fields) {
@@ -131,28 +132,28 @@
         return;
     }
     if (id.empty()) {
-        throw InvalidLine("governor_id is missing");
+        throw InvalidLine("field \"governor_id\" is missing");
     }
     const auto it = instances_.find(id);
     if (it == instances_.end()) {
         if (!failed_.contains(id)) {
-            report_error(id + " is not up");
+            report_error("instance " + id + " is not running");
         }
         return;
     }
-    mark_touched(id);
+    mark_notified(id);
     it->second.on_event(now_, event);
 }
 
-void InstanceHost::mark_touched(const std::string& id) {
-    if (std::find(touched_.begin(), touched_.end(), id) == touched_.end()) {
-        touched_.push_back(id);
+void InstanceHost::mark_notified(const std::string& id) {
+    if (std::find(notified_.begin(), notified_.end(), id) == notified_.end()) {
+        notified_.push_back(id);
     }
 }
 
 void InstanceHost::reply() {
     std::string out;
-    for (const auto& id : touched_) {
+    for (const auto& id : notified_) {
         const auto it = instances_.find(id);
         if (it == instances_.end()) {
             continue;
@@ -176,7 +177,7 @@
 }
 
 void InstanceHost::fail_instance(const std::string& id, const char* reason) {
-    report_error(id + " broke: " + reason);
+    report_error("instance " + id + " failed: " + reason);
     failed_[id] = reason;
     instances_.erase(id);
 }
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The simulator's adapter: reads the wire from standard input, answers on standard output, reports
-/// errors on standard error.
+/// The adapter between the simulator and the policy: reads the simulator's protocol from standard
+/// input, writes answers to standard output and errors to standard error.
 #include <iostream>
 
 #include "instance_host.h"
--- a/src/platform_server/connection_table.cpp
+++ b/src/platform_server/connection_table.cpp
@@ -112,7 +112,7 @@
 void ConnectionTable::close_rejected() {
     while (!rejected_.empty() &&
            clock_.now() - connections_.at(rejected_.front()).timeout_start >= kRejectedTimeout) {
-        close(rejected_.front(), "rejected");
+        close(rejected_.front(), "timeout after the rejection");
     }
 }
 
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Longest head, in bytes: a kind, a sign, 19 digits, CR and LF; simple strings and errors inside a
-/// message may be a little longer.
-constexpr std::size_t kMaxHeadBytes = 128;
+/// Limit of an element header. A length needs at most a type, a sign, 19 digits, CR and LF; simple
+/// strings and errors, which consist of a header only, may be a little longer.
+constexpr std::size_t kMaxHeaderBytes = 128;
 /// CR and LF.
 constexpr std::size_t kLineEndBytes = 2;
-/// The length that stands for a null string or array.
+/// The length of a null string or array.
 constexpr long long kNullLength = -1;
 
 std::optional<long long> parse_integer(std::string_view text) {
@@ -29,7 +29,7 @@
 
 bool Reader::fail(ErrorCode code, std::string text) {
     error_ = ReadError{code, std::move(text)};
-    head_ = {};
+    header_ = {};
     body_ = {};
     message_ = {};
     message_bytes_ = 0;
@@ -38,9 +38,9 @@
 
 std::optional<Message> Reader::read_message(std::string_view& bytes) {
     while (!error_ && !bytes.empty()) {
-        const bool readable =
-            position_ == Position::Head ? consume_head(bytes) : consume_body(bytes);
-        if (!readable) {
+        const bool succeeded =
+            position_ == Position::Header ? consume_header(bytes) : consume_body(bytes);
+        if (!succeeded) {
             return std::nullopt;
         }
         if (message_complete()) {
@@ -53,48 +53,51 @@
 }
 
 bool Reader::message_complete() const {
-    return in_message_ && position_ == Position::Head && head_.empty() && elements_left_ == 0;
+    return in_message_ && position_ == Position::Header && header_.empty() && elements_left_ == 0;
 }
 
-bool Reader::consume_head(std::string_view& bytes) {
-    if (head_.empty() && !in_message_ && bytes.front() != '*') {
+bool Reader::consume_header(std::string_view& bytes) {
+    if (header_.empty() && !in_message_ && bytes.front() != '*') {
         return fail(ErrorCode::NotAnArray,
-                    "a message begins with '*', this one with byte " +
+                    "expected '*' at the beginning of a message, got byte " +
                         std::to_string(static_cast<unsigned char>(bytes.front())));
     }
     const std::size_t line_end = bytes.find('\n');
-    const bool line_complete = line_end != std::string_view::npos;
-    const std::size_t taken = line_complete ? line_end + 1 : bytes.size();
-    if (head_.size() + taken > kMaxHeadBytes) {
-        return fail(ErrorCode::HeadTooLong, "a head has no end");
+    const bool has_line_end = line_end != std::string_view::npos;
+    const std::size_t taken = has_line_end ? line_end + 1 : bytes.size();
+    if (header_.size() + taken > kMaxHeaderBytes) {
+        return fail(ErrorCode::HeaderTooLong,
+                    "expected an element header of at most 128 bytes, got more");
     }
-    head_.append(bytes.substr(0, taken));
+    header_.append(bytes.substr(0, taken));
     bytes.remove_prefix(taken);
     message_bytes_ += taken;
     if (message_bytes_ > limits_.message_bytes) {
-        return fail(ErrorCode::MessageTooLong, "the message is too long");
+        return fail(ErrorCode::MessageTooLong, "expected a message of at most " +
+                                                   std::to_string(limits_.message_bytes) +
+                                                   " bytes, got more");
     }
-    if (!line_complete) {
+    if (!has_line_end) {
         return true;
     }
-    if (head_.size() <= kLineEndBytes || head_[head_.size() - kLineEndBytes] != '\r') {
-        return fail(ErrorCode::BadLineEnd, "a head ends without CR LF");
+    if (header_.size() <= kLineEndBytes || header_[header_.size() - kLineEndBytes] != '\r') {
+        return fail(ErrorCode::BadLineEnd, "expected CR LF at the end of an element header");
     }
-    head_.resize(head_.size() - kLineEndBytes);
-    const bool readable = parse_head();
-    if (readable) {
-        head_.clear();
+    header_.resize(header_.size() - kLineEndBytes);
+    const bool succeeded = parse_header();
+    if (succeeded) {
+        header_.clear();
     }
-    return readable;
+    return succeeded;
 }
 
-bool Reader::parse_head() {
-    const auto number = parse_integer(std::string_view(head_).substr(1));
+bool Reader::parse_header() {
+    const auto number = parse_integer(std::string_view(header_).substr(1));
     if (!in_message_) {
         return begin_message(number);
     }
     --elements_left_;
-    switch (head_.front()) {
+    switch (header_.front()) {
         case '$':
             return begin_string(number);
         case '*':
@@ -105,7 +108,9 @@
             message_.only_strings = false;
             return true;
         default:
-            return fail(ErrorCode::UnknownKind, "an element of unknown kind");
+            return fail(ErrorCode::UnknownType,
+                        "expected an element type ($ * : + -), got byte " +
+                            std::to_string(static_cast<unsigned char>(header_.front())));
     }
 }
 
@@ -114,14 +119,14 @@
     elements_ = 0;
     elements_left_ = 0;
     if (!element_count) {
-        return fail(ErrorCode::BadLength, "an array's length is no number");
+        return fail(ErrorCode::BadLength, "expected a number as the length of an array");
     }
     return add_elements(*element_count);
 }
 
 bool Reader::begin_string(std::optional<long long> length) {
     if (!length || *length < kNullLength) {
-        return fail(ErrorCode::BadLength, "a string's length is no number");
+        return fail(ErrorCode::BadLength, "expected a number as the length of a string");
     }
     if (*length == kNullLength) {
         message_.only_strings = false;
@@ -130,7 +135,8 @@
     if (static_cast<unsigned long long>(*length) + kLineEndBytes >
         limits_.message_bytes - message_bytes_) {
         return fail(ErrorCode::MessageTooLong,
-                    "the message is too long: a string of " + std::to_string(*length) + " bytes");
+                    "expected a message of at most " + std::to_string(limits_.message_bytes) +
+                        " bytes, got a string of " + std::to_string(*length) + " bytes");
     }
     body_bytes_left_ = static_cast<std::size_t>(*length);
     position_ = body_bytes_left_ > 0 ? Position::Body : Position::BodyCr;
@@ -140,7 +146,7 @@
 bool Reader::begin_nested_array(std::optional<long long> element_count) {
     message_.only_strings = false;
     if (!element_count) {
-        return fail(ErrorCode::BadLength, "an array's length is no number");
+        return fail(ErrorCode::BadLength, "expected a number as the length of an array");
     }
     return *element_count == kNullLength || add_elements(*element_count);
 }
@@ -148,7 +154,8 @@
 bool Reader::add_elements(long long count) {
     if (count < 0 || static_cast<unsigned long long>(count) > limits_.elements - elements_) {
         return fail(ErrorCode::TooManyElements,
-                    "an array of " + std::to_string(count) + " elements");
+                    "expected 0 to " + std::to_string(limits_.elements) +
+                        " elements in a message, got an array of " + std::to_string(count));
     }
     elements_ += static_cast<std::size_t>(count);
     elements_left_ += static_cast<std::size_t>(count);
@@ -170,11 +177,11 @@
     return true;
 }
 
-// CR and LF may arrive in two pieces.
+// Reads the CR LF after a string; it may arrive in two pieces.
 bool Reader::consume_body_end(std::string_view& bytes) {
     const bool expects_cr = position_ == Position::BodyCr;
     if (bytes.front() != (expects_cr ? '\r' : '\n')) {
-        return fail(ErrorCode::BadLineEnd, "a string ends without CR LF");
+        return fail(ErrorCode::BadLineEnd, "expected CR LF at the end of a string");
     }
     bytes.remove_prefix(1);
     ++message_bytes_;
@@ -183,7 +190,7 @@
         return true;
     }
     message_.words.push_back(std::exchange(body_, {}));
-    position_ = Position::Head;
+    position_ = Position::Header;
     return true;
 }
 
--- a/src/resp/resp.h
+++ b/src/resp/resp.h
@@ -1,8 +1,10 @@
-/// RESP2 messages without sockets: bytes in, complete messages out, and words back into bytes.
+/// An incremental parser and a writer for RESP2 (the Redis serialization protocol), independent of
+/// sockets: bytes in, complete messages out, and strings back into bytes.
 ///
-/// A server's side of RESP that owns no socket loop is in no library; this one is small and fuzzed.
-/// What is too large is refused from its head alone, before its body is read: memory is bounded by
-/// the limits, never by what a peer announces.
+/// Written by hand because no library offers the server side of RESP without its own socket loop;
+/// covered by a fuzz test. An array or string over the limits is rejected when its header arrives,
+/// before its body is read: the memory used is bounded by the limits, never by the lengths that a
+/// peer announces.
 #pragma once
 
 #include <cstddef>
@@ -13,68 +15,67 @@
 
 namespace badgergrade::resp {
 
-/// What one message may take.
+/// Limits of one message.
 struct Limits {
-    std::size_t message_bytes = 1024 * 1024;  ///< On the wire, heads and line ends included.
-    std::size_t elements = 4096;              ///< Of one message, nested ones counted too.
+    std::size_t message_bytes = 1024 * 1024;  ///< bytes on the wire, headers and CR LF included
+    std::size_t elements = 4096;              ///< elements, nested ones included
 };
 
 /// One complete message.
 struct Message {
-    /// Its bulk strings, in order.
+    /// The bulk strings, in order.
     std::vector<std::string> words;
-    /// False where the frame could be read but holds something other than bulk strings (numbers,
-    /// nulls, nested arrays), which `words` leaves out.
+    /// False if the message is well-formed but contains elements other than bulk strings (numbers,
+    /// simple strings, errors, nulls, nested arrays). These elements are not in `words`.
     bool only_strings = true;
 };
 
 enum class ErrorCode {
     NotAnArray,       ///< The message does not begin with an array.
-    HeadTooLong,      ///< A line that gives a kind and a length has no end.
-    BadLineEnd,       ///< A head or a string is not followed by CR LF.
-    BadLength,        ///< The length of an array or a string is no number.
-    TooManyElements,  ///< More elements than the limit, or fewer than none.
+    HeaderTooLong,    ///< An element header (type and length) without a line end.
+    BadLineEnd,       ///< A header or a string is not followed by CR LF.
+    BadLength,        ///< The length of an array or a string is not a number.
+    TooManyElements,  ///< More elements than the limit, or a negative number of elements.
     MessageTooLong,   ///< More bytes than the limit.
-    UnknownKind,      ///< An element of a kind that RESP2 does not have.
+    UnknownType,      ///< An element of a type that RESP2 does not have.
 };
 
-/// Why bytes can't be read.
+/// A violation of the protocol or of a limit.
 struct ReadError {
     ErrorCode code;
-    std::string text;  ///< In plain words, for the log and the peer.
+    std::string text;  ///< description for the log and the peer
 };
 
-/// Reads messages from bytes that arrive in pieces of any size.
+/// Parses messages from bytes that arrive in pieces of any size.
 ///
-/// After an error nothing that follows can be trusted, since it is not known where the next message
-/// begins: the connection is to be ended.
+/// After an error the rest of the stream can't be parsed, because it is not known where the next
+/// message begins: the caller must close the connection.
 class Reader {
 public:
     explicit Reader(Limits limits = {}) : limits_(limits) {}
 
-    /// Takes bytes off the front of `bytes` until a message is complete. Nothing where the bytes
-    /// are used up first, or where they can't be read: then error() says why, and no more bytes may
-    /// be handed in.
+    /// Consumes bytes from the front of `bytes` until a message is complete. Returns nothing if the
+    /// bytes end before that, or on an error: error() is then set, and no more bytes may be passed.
     std::optional<Message> read_message(std::string_view& bytes);
 
-    /// Set for good once bytes could not be read.
+    /// The first error, which is permanent.
     const std::optional<ReadError>& error() const { return error_; }
 
-    /// Bytes of the unfinished message.
+    /// Bytes of the incomplete message read so far.
     std::size_t buffered_bytes() const { return message_bytes_; }
 
-    /// Takes effect on the bytes that follow.
+    /// Changes the limits for the bytes that follow.
     void set_limits(Limits limits) { limits_ = limits; }
 
 private:
-    /// Which part of an element the next byte belongs to.
-    enum class Position { Head, Body, BodyCr, BodyLf };
+    /// The part of an element that the next byte belongs to.
+    enum class Position { Header, Body, BodyCr, BodyLf };
 
-    // These return false where the bytes can't be read.
-    bool consume_head(std::string_view& bytes);
+    // These functions return false on an error.
+    bool consume_header(std::string_view& bytes);
     bool consume_body(std::string_view& bytes);
     bool consume_body_end(std::string_view& bytes);
-    bool parse_head();
+    bool parse_header();
     bool begin_message(std::optional<long long> element_count);
     bool begin_string(std::optional<long long> length);
     bool begin_nested_array(std::optional<long long> element_count);
@@ -83,19 +84,19 @@
     bool fail(ErrorCode code, std::string text);
 
     Limits limits_;
-    Position position_ = Position::Head;
-    std::string head_;                 // of the current element, as far as it has come
-    std::string body_;                 // of the current string, as far as it has come
-    std::size_t body_bytes_left_ = 0;  // of the current string
-    std::size_t elements_ = 0;         // of the current message, as announced so far
-    std::size_t elements_left_ = 0;    // of these, not read yet
-    std::size_t message_bytes_ = 0;    // of the current message, read so far
+    Position position_ = Position::Header;
+    std::string header_;               // received part of the current element's header
+    std::string body_;                 // received part of the current string
+    std::size_t body_bytes_left_ = 0;  // missing bytes of the current string
+    std::size_t elements_ = 0;         // announced elements of the current message
+    std::size_t elements_left_ = 0;    // announced elements that have not been read
+    std::size_t message_bytes_ = 0;    // bytes of the current message read so far
     bool in_message_ = false;
     Message message_;
     std::optional<ReadError> error_;
 };
 
-/// Appends a message of bulk strings to `out`.
+/// Appends a message, an array of bulk strings, to `out`.
 void write(std::string& out, const std::vector<std::string>& words);
 
 }  // namespace badgergrade::resp
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -1,5 +1,5 @@
-// The platform's messages, its configuration and discovery's answers from any bytes: read, or
-// refused by the failure that says so, and what is read is in range.
+// Fuzzes the decoders of the platform's messages, configuration file and discovery answers. Input
+// must either be rejected with the documented exception, or give values in range.
 #include <cmath>
 #include <cstdint>
 #include <cstdlib>
@@ -17,9 +17,9 @@
     servers.update({1, true, {{"s-a", "north", ServerState::Ready, 1, 0}}, {}},
                    UpdateKind::Snapshot, std::chrono::seconds(1));
     resp::Reader reader({4096, 64});
-    while (const auto raw = reader.read_message(bytes)) {
+    while (const auto resp_message = reader.read_message(bytes)) {
         try {
-            const auto message = platform::read_message(*raw, kNames, servers);
+            const auto message = platform::read_message(*resp_message, kNames, servers);
             if (const auto* connected = std::get_if<event::ProxyConnected>(&message);
                 connected && (connected->proxy.value < 0 || connected->proxy.value > 3 ||
                               !std::isfinite(connected->announced_rate))) {
--- a/tests/fuzz/resp_fuzz.cpp
+++ b/tests/fuzz/resp_fuzz.cpp
@@ -1,5 +1,5 @@
-// RESP2 in pieces of any size: what is read must not depend on the pieces, and an unfinished
-// message stays bounded.
+// Fuzzes the RESP2 parser: the result must not depend on how the bytes are split, and the buffered
+// part of a message must stay within the limits.
 #include <cstdint>
 #include <cstdlib>
 #include <vector>
@@ -11,19 +11,20 @@
 namespace {
 constexpr resp::Limits kLimits{2048, 64};
 
-std::vector<std::vector<std::string>> read(std::string_view all, std::size_t piece, bool& good) {
+std::vector<std::vector<std::string>> read(std::string_view bytes, std::size_t piece_bytes,
+                                           bool& valid) {
     std::vector<std::vector<std::string>> out;
     resp::Reader reader(kLimits);
-    for (std::size_t at = 0; at < all.size() && !reader.error(); at += piece) {
-        std::string_view bytes = all.substr(at, piece);
-        while (auto message = reader.read_message(bytes)) {
+    for (std::size_t offset = 0; offset < bytes.size() && !reader.error(); offset += piece_bytes) {
+        std::string_view piece = bytes.substr(offset, piece_bytes);
+        while (auto message = reader.read_message(piece)) {
             out.push_back(std::move(message->words));
         }
         if (reader.buffered_bytes() > kLimits.message_bytes) {
             std::abort();
         }
     }
-    good = !reader.error();
+    valid = !reader.error();
     return out;
 }
 }  // namespace
@@ -33,20 +34,20 @@
         return 0;
     }
     const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-    bool whole_good = false, pieces_good = false;
-    const auto whole = read(bytes, bytes.size() + 1, whole_good);
-    const auto pieces = read(bytes, data[0] % 16 + 1, pieces_good);
-    if (whole != pieces || whole_good != pieces_good) {
+    bool whole_valid = false, pieces_valid = false;
+    const auto whole = read(bytes, bytes.size() + 1, whole_valid);
+    const auto pieces = read(bytes, data[0] % 16 + 1, pieces_valid);
+    if (whole != pieces || whole_valid != pieces_valid) {
         std::abort();
     }
-    // What was read can be written and read again.
-    std::string again;
+    // Messages that were read can be written and read again.
+    std::string rewritten;
     for (const auto& words : whole) {
-        resp::write(again, words);
+        resp::write(rewritten, words);
     }
-    bool again_good = false;
-    if (whole.size() < 32 && again.size() < kLimits.message_bytes &&
-        (read(again, again.size() + 1, again_good) != whole || !again_good)) {
+    bool rewritten_valid = false;
+    if (whole.size() < 32 && rewritten.size() < kLimits.message_bytes &&
+        (read(rewritten, rewritten.size() + 1, rewritten_valid) != whole || !rewritten_valid)) {
         std::abort();
     }
     return 0;
--- a/tests/program/node_test.cpp
+++ b/tests/program/node_test.cpp
@@ -1,78 +1,80 @@
 // A control plane instance on the platform: in this process on sockets and the virtual clock, and
-// as a process of its own. Each test begins with the failure that it guards against.
+// as a separate process. The comment at each test names the failure that it guards against.
 #include <gtest/gtest.h>
 
 #include "child.h"
-#include "platform_stage.h"
+#include "platform_fixture.h"
 
 namespace badgergrade::test {
 namespace {
 
 using namespace std::chrono_literals;
 
-// The first configuration version that a proxy was asked to acknowledge; empty where there was
-// none.
+// Returns the first configuration version that a proxy was asked to acknowledge, or an empty string
+// if there is none.
 std::string first_version(const PlatformPeer& proxy) {
-    const auto at = proxy.text.find("stamp ");
-    return at == std::string::npos
+    const auto position = proxy.received.find("stamp ");
+    return position == std::string::npos
                ? ""
-               : proxy.text.substr(at + 6, proxy.text.find_first_of(" \n", at + 6) - at - 6);
+               : proxy.received.substr(
+                     position + 6,
+                     proxy.received.find_first_of(" \n", position + 6) - position - 6);
 }
 
-// Failure: a health check gets no answer, or a proxy that has just connected no configuration. PING
-// must be answered at once, and SUBSCRIBE by a whole table with a version to acknowledge.
-TEST(Node, AnswersPingAndServesAProxyFromItsFirstMessage) {
-    NodeStage stage;
-    stage.start();
-    auto peer = stage.peer();
-    peer->say("PING");
-    stage.run(50ms);
-    EXPECT_EQ(peer->text, "PONG\n");
-    auto proxy = stage.proxy(1);
-    stage.run(1s);
-    EXPECT_NE(proxy->text.find("CONFIG for look up replace 1 rows s-"), std::string::npos)
-        << proxy->text;
-    EXPECT_NE(proxy->text.find("stamp "), std::string::npos);
-    EXPECT_EQ(stage.server->statistics().proxies, 1u);
+// Failure: a health check gets no answer, or a newly connected proxy gets no configuration. PING
+// must be answered at once, and SUBSCRIBE with a complete table and a version to acknowledge.
+TEST(Node, AnswersPingAndServesNewProxyAtOnce) {
+    NodeFixture fixture;
+    fixture.start();
+    auto peer = fixture.connect_peer();
+    peer->send_message("PING");
+    fixture.run_for(50ms);
+    EXPECT_EQ(peer->received, "PONG\n");
+    auto proxy = fixture.connect_proxy(1);
+    fixture.run_for(1s);
+    EXPECT_NE(proxy->received.find("CONFIG for look up replace 1 rows s-"), std::string::npos)
+        << proxy->received;
+    EXPECT_NE(proxy->received.find("stamp "), std::string::npos);
+    EXPECT_EQ(fixture.server->statistics().proxies, 1u);
 }
 
-// Failure: the network cuts messages into pieces or joins them, and one is lost or read twice. The
-// same bytes must mean the same, one by one.
-TEST(Node, BytesInPiecesAndManyMessagesAtOnceAreTheSame) {
-    NodeStage stage;
-    stage.start();
-    auto proxy = stage.peer();
+// Failure: the network splits or joins messages, and one is lost or read twice. Messages that
+// arrive byte by byte must have the same effect.
+TEST(Node, MessagesAreReadIndependentlyOfSegmentation) {
+    NodeFixture fixture;
+    fixture.start();
+    auto proxy = fixture.connect_peer();
     std::string bytes;
     resp::write(bytes, {"SUBSCRIBE", "proxy", "2", "zone", "north", "weight", "5", "fresh", "1"});
     resp::write(bytes, {"PING"});
     for (const char c : bytes) {
         proxy->send(std::string(1, c));
-        stage.run(1ms);
+        fixture.run_for(1ms);
     }
-    stage.run(100ms);
-    EXPECT_EQ(stage.server->statistics().proxies, 1u);
-    EXPECT_NE(proxy->text.find("PONG"), std::string::npos);
+    fixture.run_for(100ms);
+    EXPECT_EQ(fixture.server->statistics().proxies, 1u);
+    EXPECT_NE(proxy->received.find("PONG"), std::string::npos);
 }
 
-// Failure: clients that send nothing, another protocol, a message that never ends, or messages that
-// they may not send hold connections for good. Each of them must get NACK or an end, and no
-// connection may stay.
-TEST(Node, EachBadClientIsClosedOrGetsNack) {
-    NodeStage stage;
-    stage.start();
-    std::vector<std::unique_ptr<PlatformPeer>> bad;
+// Failure: peers that send nothing, another protocol, an endless message, or messages that they may
+// not send occupy connections forever. Each of them must get NACK or be closed, and no connection
+// may remain.
+TEST(Node, InvalidPeersAreRejectedOrClosed) {
+    NodeFixture fixture;
+    fixture.start();
+    std::vector<std::unique_ptr<PlatformPeer>> invalid_peers;
     const auto add = [&](const std::string& bytes) {
-        bad.push_back(stage.peer());
+        invalid_peers.push_back(fixture.connect_peer());
         if (!bytes.empty()) {
-            bad.back()->send(bytes);
+            invalid_peers.back()->send(bytes);
         }
     };
-    std::string orders;
-    resp::write(orders, {"CONFIG", "drop", "s-a"});
+    std::string config_message;
+    resp::write(config_message, {"CONFIG", "drop", "s-a"});
     for (const std::string& bytes :
          {std::string(), std::string("GET / HTTP/1.1\r\n\r\n"), std::string("PING\r\n"),
           std::string("\x16\x03\x01"), std::string("*3\r\n$9\r\nSUBSCR"), std::string("*-1\r\n"),
-          std::string("*1\r\n$1048577\r\n"), orders}) {
+          std::string("*1\r\n$1048577\r\n"), config_message}) {
         add(bytes);
     }
     for (const char* words :
@@ -81,76 +83,76 @@
           "RATE proxy 1 class order tries 1 failed 0 span_ms 100", "ACK proxy 1 mark 1 took_ms 1",
           "LOAD zone north server s-a tries 1 failed 0 mean_ms 1 span_ms 100"}) {
         add({});
-        bad.back()->say(words);
+        invalid_peers.back()->send_message(words);
     }
-    auto endless = stage.peer();
+    auto endless = fixture.connect_peer();
     endless->send("*1\r\n$16000\r\n");
     for (int k = 0; k < 30; ++k) {
         endless->send(std::string(100, 'x'));
-        stage.run(100ms);
+        fixture.run_for(100ms);
     }
-    EXPECT_TRUE(endless->was_answered_or_closed());
-    for (std::size_t k = 0; k < bad.size(); ++k) {
-        EXPECT_TRUE(bad[k]->was_answered_or_closed()) << k;
+    EXPECT_TRUE(endless->was_rejected_or_closed());
+    for (std::size_t k = 0; k < invalid_peers.size(); ++k) {
+        EXPECT_TRUE(invalid_peers[k]->was_rejected_or_closed()) << k;
     }
-    EXPECT_EQ(stage.server->statistics().connections, 0u);
+    EXPECT_EQ(fixture.server->statistics().connections, 0u);
 }
 
-// Failure: a peer that only sends PING never identifies itself and, kept alive by its messages,
-// would hold a descriptor for good. It must be closed like a silent one.
-TEST(Node, APeerThatOnlySendsPingIsNotKeptForGood) {
-    NodeStage stage;
-    stage.start();
-    auto peer = stage.peer();
+// Failure: a peer that only sends PING never identifies itself, but its messages keep the
+// connection alive and occupy a descriptor forever. It must be closed like a silent one.
+TEST(Node, PeerThatOnlySendsPingTimesOut) {
+    NodeFixture fixture;
+    fixture.start();
+    auto peer = fixture.connect_peer();
     for (int k = 0; k < 20; ++k) {
-        peer->say("PING");
-        stage.run(200ms);
+        peer->send_message("PING");
+        fixture.run_for(200ms);
     }
-    EXPECT_NE(peer->ended, "");
-    EXPECT_EQ(stage.server->statistics().connections, 0u);
+    EXPECT_NE(peer->end_reason, "");
+    EXPECT_EQ(fixture.server->statistics().connections, 0u);
 }
 
-// Failure: silent connections take all descriptors, and proxies can't connect any more. Each proxy
-// must be served at once, the number of connections stay bounded, and every silent peer be answered
-// or closed.
-TEST(Node, HundredsOfSilentConnectionsKeepNoProxyOut) {
-    NodeStage stage(48);
-    stage.start();
-    auto first = stage.proxy(0);
-    stage.run(50ms);
+// Failure: silent connections take all descriptors, and proxies can no longer connect. Each proxy
+// must be served at once, the number of connections must stay bounded, and every silent peer must
+// be rejected or closed.
+TEST(Node, SilentConnectionsDoNotBlockProxies) {
+    NodeFixture fixture(48);
+    fixture.start();
+    auto first = fixture.connect_proxy(0);
+    fixture.run_for(50ms);
     std::vector<std::unique_ptr<PlatformPeer>> silent;
     silent.reserve(200);
     for (int k = 0; k < 200; ++k) {
-        silent.push_back(stage.peer());
+        silent.push_back(fixture.connect_peer());
     }
-    auto second = stage.proxy(1);
-    stage.run(300ms);
+    auto second = fixture.connect_proxy(1);
+    fixture.run_for(300ms);
     for (int k = 0; k < 100; ++k) {
-        silent.push_back(stage.peer());
+        silent.push_back(fixture.connect_peer());
     }
-    auto third = stage.proxy(2);
-    stage.run(300ms);
-    EXPECT_EQ(stage.server->statistics().proxies, 3u);
-    EXPECT_LE(stage.server->statistics().connections, 28u);
-    EXPECT_EQ(first->ended + second->ended + third->ended, "");
-    stage.run(2s);
-    EXPECT_EQ(stage.server->statistics().connections, 3u);
-    for (const auto& one : silent) {
-        EXPECT_TRUE(one->was_answered_or_closed());
+    auto third = fixture.connect_proxy(2);
+    fixture.run_for(300ms);
+    EXPECT_EQ(fixture.server->statistics().proxies, 3u);
+    EXPECT_LE(fixture.server->statistics().connections, 28u);
+    EXPECT_EQ(first->end_reason + second->end_reason + third->end_reason, "");
+    fixture.run_for(2s);
+    EXPECT_EQ(fixture.server->statistics().connections, 3u);
+    for (const auto& peer : silent) {
+        EXPECT_TRUE(peer->was_rejected_or_closed());
     }
 }
 
-// Failure: one invalid message ends a good connection, or invalid ones flood the log. Each invalid
-// message must be dropped alone and counted, the log lines limited; only bytes that can't be read
-// at all end the connection.
-TEST(Node, InvalidMessagesAreDroppedAndThoseAroundThemCount) {
-    NodeStage stage;
-    stage.start();
-    auto proxy = stage.proxy(1);
-    auto collector = stage.peer();
-    collector->say("SOURCE zone north");
-    stage.run(300ms);
-    const auto before = stage.server->statistics();
+// Failure: one invalid message ends a valid connection, or invalid messages flood the log. Each
+// invalid message must be dropped alone and counted, and the log lines must be limited; only bytes
+// that are not RESP end the connection.
+TEST(Node, InvalidMessagesAreDroppedAloneAndCounted) {
+    NodeFixture fixture;
+    fixture.start();
+    auto proxy = fixture.connect_proxy(1);
+    auto collector = fixture.connect_peer();
+    collector->send_message("SOURCE zone north");
+    fixture.run_for(300ms);
+    const auto before = fixture.server->statistics();
     EXPECT_GT(before.updates_sent, 0);
     const std::string version = first_version(*proxy);
     ASSERT_NE(version, "");
@@ -160,254 +162,259 @@
           "RATE proxy 2 class order tries 1 failed 0 span_ms 100",
           "RATE proxy 1 class paint tries 1 failed 0 span_ms 100", "SOURCE zone north",
           "SUBSCRIBE proxy 1 zone north weight 1 fresh 1"}) {
-        proxy->say(words);
+        proxy->send_message(words);
     }
     proxy->send("*3\r\n$3\r\nACK\r\n:1\r\n$-1\r\n");
-    proxy->say("ACK proxy 1 mark " + version + " took_ms 10");
-    collector->say("LOAD zone north server nobody tries 1 failed 0 mean_ms 1 span_ms 100");
-    collector->say("LOAD zone south server s-a tries 1 failed 0 mean_ms 1 span_ms 100");
-    collector->say("RATE proxy 1 class order tries 1 failed 0 span_ms 100");
-    stage.run(100ms);
-    const auto after = stage.server->statistics();
+    proxy->send_message("ACK proxy 1 mark " + version + " took_ms 10");
+    collector->send_message("LOAD zone north server nobody tries 1 failed 0 mean_ms 1 span_ms 100");
+    collector->send_message("LOAD zone south server s-a tries 1 failed 0 mean_ms 1 span_ms 100");
+    collector->send_message("RATE proxy 1 class order tries 1 failed 0 span_ms 100");
+    fixture.run_for(100ms);
+    const auto after = fixture.server->statistics();
     EXPECT_EQ(after.invalid_messages - before.invalid_messages, 10);
     EXPECT_EQ(after.acknowledged - before.acknowledged, 1);
-    EXPECT_EQ(proxy->ended + collector->ended, "");
-    EXPECT_LE(stage.logged("message.invalid"), 6) << "lines that peers cause are limited";
-    proxy->send("what can't be read any more");
-    stage.run(100ms);
-    EXPECT_EQ(stage.server->statistics().proxies, 0u);
-    EXPECT_EQ(stage.server->statistics().proxy_disconnects, 1);
+    EXPECT_EQ(proxy->end_reason + collector->end_reason, "");
+    EXPECT_LE(fixture.count_log_lines("message.invalid"), 6)
+        << "log lines caused by peers are limited";
+    proxy->send("not RESP");
+    fixture.run_for(100ms);
+    EXPECT_EQ(fixture.server->statistics().proxies, 0u);
+    EXPECT_EQ(fixture.server->statistics().proxy_disconnects, 1);
 }
 
-// Failure: a proxy connects anew and acknowledges a version that was sent on its older connection;
-// it would count as proof that the newer one has delivered. It must not count.
-TEST(Node, AnAckOfAnOlderStreamDoesNotCountForANewerOne) {
-    NodeStage stage;
-    stage.start();
-    auto old = stage.proxy(1);
-    stage.run(300ms);
-    const std::string version = first_version(*old);
+// Failure: a proxy reconnects and acknowledges a version that was sent on its previous connection,
+// which would count as proof that the new connection has delivered it. It must not count.
+TEST(Node, AckOfAnEarlierConnectionIsInvalid) {
+    NodeFixture fixture;
+    fixture.start();
+    auto previous = fixture.connect_proxy(1);
+    fixture.run_for(300ms);
+    const std::string version = first_version(*previous);
     ASSERT_NE(version, "");
-    auto fresh = stage.proxy(1, "north", "0");
-    fresh->say("ACK proxy 1 mark " + version + " took_ms 10");
-    stage.run(2ms);
-    EXPECT_EQ(stage.server->statistics().acknowledged, 0);
+    auto current = fixture.connect_proxy(1, "north", "0");
+    current->send_message("ACK proxy 1 mark " + version + " took_ms 10");
+    fixture.run_for(2ms);
+    EXPECT_EQ(fixture.server->statistics().acknowledged, 0);
 }
 
-// Failure: a proxy connects anew before the end of its old connection is seen; the late end would
-// disconnect the proxy. The old connection must be closed, the proxy stay connected, and its table
-// be sent whole again.
-TEST(Node, TheNewestConnectionOfAProxyIsItsSession) {
-    NodeStage stage;
-    stage.start();
-    auto old = stage.proxy(1);
-    stage.run(100ms);
-    auto fresh = stage.proxy(1, "north", "0");
-    stage.run(100ms);
-    EXPECT_NE(old->ended, "") << "closed by the instance";
-    old.reset();
-    stage.run(300ms);
-    const auto statistics = stage.server->statistics();
+// Failure: a proxy reconnects before the end of its previous connection is seen, and that late end
+// would disconnect the proxy. The previous connection must be closed, the proxy must stay
+// connected, and its complete table must be sent again.
+TEST(Node, NewestConnectionOfAProxyIsCurrent) {
+    NodeFixture fixture;
+    fixture.start();
+    auto previous = fixture.connect_proxy(1);
+    fixture.run_for(100ms);
+    auto current = fixture.connect_proxy(1, "north", "0");
+    fixture.run_for(100ms);
+    EXPECT_NE(previous->end_reason, "") << "closed by the control plane instance";
+    previous.reset();
+    fixture.run_for(300ms);
+    const auto statistics = fixture.server->statistics();
     EXPECT_EQ(statistics.proxies, 1u);
     EXPECT_EQ(statistics.proxy_connects, 2);
     EXPECT_EQ(statistics.proxy_disconnects, 1)
-        << "left once for the old joining, and not for its late end";
-    EXPECT_NE(fresh->text.find("replace 1"), std::string::npos) << "a new stream is bound anew";
+        << "disconnected once for the previous connection, not again for its late end";
+    EXPECT_NE(current->received.find("replace 1"), std::string::npos)
+        << "the new connection gets the complete table";
 }
 
-// Failure: all proxies reconnect in one instant, and ends of old connections mix with new ones. In
-// each round all must be connected and get a whole table; at the end joins and leaves must be
-// equal.
+// Failure: all proxies reconnect at once, and ends of previous connections interleave with new
+// ones. In each round all proxies must be connected and get a complete table; at the end the
+// numbers of connects and disconnects must be equal.
 TEST(Node, AllProxiesReconnectAtOnce) {
-    NodeStage stage;
-    stage.start();
+    NodeFixture fixture;
+    fixture.start();
     for (int round = 0; round < 5; ++round) {
-        std::vector<std::unique_ptr<PlatformPeer>> all;
-        all.reserve(4);
+        std::vector<std::unique_ptr<PlatformPeer>> proxies;
+        proxies.reserve(4);
         for (int number = 0; number < 4; ++number) {
-            all.push_back(stage.proxy(number, number % 2 ? "north" : "south", round ? "0" : "1"));
+            proxies.push_back(
+                fixture.connect_proxy(number, number % 2 ? "north" : "south", round ? "0" : "1"));
         }
-        stage.run(200ms);
-        EXPECT_EQ(stage.server->statistics().proxies, 4u);
-        for (const auto& one : all) {
-            EXPECT_NE(one->text.find("replace 1"), std::string::npos);
+        fixture.run_for(200ms);
+        EXPECT_EQ(fixture.server->statistics().proxies, 4u);
+        for (const auto& proxy : proxies) {
+            EXPECT_NE(proxy->received.find("replace 1"), std::string::npos);
         }
     }
-    stage.run(100ms);
-    EXPECT_EQ(stage.server->statistics().proxies, 0u);
-    EXPECT_EQ(stage.server->statistics().proxy_connects,
-              stage.server->statistics().proxy_disconnects);
+    fixture.run_for(100ms);
+    EXPECT_EQ(fixture.server->statistics().proxies, 0u);
+    EXPECT_EQ(fixture.server->statistics().proxy_connects,
+              fixture.server->statistics().proxy_disconnects);
 }
 
-// Failure: a peer reads nothing and its answers take more and more memory. Its connection must be
-// closed at the bound, with one log line, and the other peers be served on.
-TEST(Node, APeerThatReadsNothingIsClosedAndTheOthersAreNot) {
-    NodeStage stage;
-    stage.start();
-    auto deaf = stage.proxy(1);
-    auto good = stage.proxy(2);
-    stage.run(100ms);
-    deaf->stop_reading();
+// Failure: a peer does not read, and its answers use more and more memory. Its connection must be
+// closed at the limit, with one log line, and the other peers must still be served.
+TEST(Node, PeerThatDoesNotReadIsClosedAlone) {
+    NodeFixture fixture;
+    fixture.start();
+    auto non_reading = fixture.connect_proxy(1);
+    auto reading = fixture.connect_proxy(2);
+    fixture.run_for(100ms);
+    non_reading->stop_reading();
     std::string pings;
     for (int k = 0; k < 50000; ++k) {
         resp::write(pings, {"PING"});
     }
-    // Until the kernel's own buffers are full and ours have reached their bound.
-    for (int k = 0; k < 60 && stage.server->statistics().proxies == 2; ++k) {
-        deaf->send(pings);
-        stage.run(10ms);
+    // Until the kernel's buffers are full and the instance's have reached their limit.
+    for (int k = 0; k < 60 && fixture.server->statistics().proxies == 2; ++k) {
+        non_reading->send(pings);
+        fixture.run_for(10ms);
     }
-    EXPECT_EQ(stage.server->statistics().proxies, 1u);
-    EXPECT_EQ(stage.logged("unread"), 1);
-    good->text.clear();
-    good->say("PING");
-    stage.run(10ms);
-    EXPECT_NE(good->text.find("PONG"), std::string::npos);
+    EXPECT_EQ(fixture.server->statistics().proxies, 1u);
+    EXPECT_EQ(fixture.count_log_lines("unread"), 1);
+    reading->received.clear();
+    reading->send_message("PING");
+    fixture.run_for(10ms);
+    EXPECT_NE(reading->received.find("PONG"), std::string::npos);
 }
 
-// Failure: all proxies connect in one instant and some are timed out or get no table. All 400 must
-// be connected and get their table.
+// Failure: all proxies connect at once, and some time out or get no table. All 400 must be
+// connected and get their table.
 TEST(Node, FourHundredProxiesConnectAtOnce) {
-    NodeStage stage(1024);
-    stage.config.protocol_names.proxy_count = stage.config.settings.proxy_count = 400;
-    stage.start();
-    std::vector<std::unique_ptr<PlatformPeer>> all;
-    all.reserve(400);
+    NodeFixture fixture(1024);
+    fixture.config.protocol_names.proxy_count = fixture.config.settings.proxy_count = 400;
+    fixture.start();
+    std::vector<std::unique_ptr<PlatformPeer>> proxies;
+    proxies.reserve(400);
     for (int number = 0; number < 400; ++number) {
-        all.push_back(stage.proxy(number, number % 2 ? "north" : "south"));
+        proxies.push_back(fixture.connect_proxy(number, number % 2 ? "north" : "south"));
     }
-    stage.run(3s);
-    EXPECT_EQ(stage.server->statistics().proxies, 400u);
-    EXPECT_EQ(
-        std::count_if(all.begin(), all.end(),
-                      [](const auto& p) { return p->text.find("replace 1") != std::string::npos; }),
-        400);
+    fixture.run_for(3s);
+    EXPECT_EQ(fixture.server->statistics().proxies, 400u);
+    EXPECT_EQ(std::count_if(
+                  proxies.begin(), proxies.end(),
+                  [](const auto& p) { return p->received.find("replace 1") != std::string::npos; }),
+              400);
 }
 
-// Failure: an instance restarts with the list of its first start, in which later servers are
-// missing; proxies would be kept on the old list. It must get the changes from discovery and serve
-// them.
-TEST(Node, ARestartWithAnOldListCatchesUpWithDiscovery) {
-    NodeStage stage;
-    stage.start();
-    auto proxy = stage.proxy(1);
-    stage.run(500ms);
-    stage.discovery.put(row("s-a", "north", "Gone"));
-    stage.discovery.put(row("s-d", "north"));
-    stage.run(500ms);
-    stage.server.reset();
-    stage.run(100ms);
-    EXPECT_NE(proxy->ended, "");
-    // The configuration still holds the list as it was at the first start.
-    stage.start();
-    auto again = stage.proxy(1, "north", "0");
-    stage.run(2s);
-    EXPECT_NE(again->text.find("s-d:"), std::string::npos) << again->text;
-    EXPECT_EQ(stage.server->statistics().servers, 4u) << "the one that is gone stays known";
+// Failure: an instance restarts with the list in its configuration file, in which later servers are
+// missing, and proxies stay on this list. It must get the changes from discovery and send them.
+TEST(Node, RestartWithAnOldListCatchesUpWithDiscovery) {
+    NodeFixture fixture;
+    fixture.start();
+    auto proxy = fixture.connect_proxy(1);
+    fixture.run_for(500ms);
+    fixture.discovery.add_change(server_json("s-a", "north", "Gone"));
+    fixture.discovery.add_change(server_json("s-d", "north"));
+    fixture.run_for(500ms);
+    fixture.server.reset();
+    fixture.run_for(100ms);
+    EXPECT_NE(proxy->end_reason, "");
+    // The configuration still contains the list of the first start.
+    fixture.start();
+    auto reconnected = fixture.connect_proxy(1, "north", "0");
+    fixture.run_for(2s);
+    EXPECT_NE(reconnected->received.find("s-d:"), std::string::npos) << reconnected->received;
+    EXPECT_EQ(fixture.server->statistics().servers, 4u) << "the gone server stays known";
 }
 
 // ---- discovery
 
-// Failure: a change between two calls is missed, so that a server that drains stays in the tables.
+// Failure: a change between two calls is missed, so that a draining server stays in the tables.
 // Each change must reach the proxies, and calls must never go back to an older generation.
 TEST(Node, FollowsDiscoveryWithoutAGap) {
-    NodeStage stage;
-    stage.start();
-    auto proxy = stage.proxy(1);
-    stage.run(500ms);
-    stage.discovery.put(row("s-a", "north", "Terminating"));
-    stage.discovery.put(row("s-d", "north"));
-    stage.run(500ms);
-    EXPECT_NE(proxy->text.find("s-a:0"), std::string::npos)
-        << "the drain leaves the table: " << proxy->text;
-    EXPECT_EQ(stage.server->statistics().servers, 4u);
-    for (std::size_t k = 1; k < stage.discovery.asked_from.size(); ++k) {
-        EXPECT_GE(stage.discovery.asked_from[k], stage.discovery.asked_from[k - 1]);
+    NodeFixture fixture;
+    fixture.start();
+    auto proxy = fixture.connect_proxy(1);
+    fixture.run_for(500ms);
+    fixture.discovery.add_change(server_json("s-a", "north", "Terminating"));
+    fixture.discovery.add_change(server_json("s-d", "north"));
+    fixture.run_for(500ms);
+    EXPECT_NE(proxy->received.find("s-a:0"), std::string::npos)
+        << "the draining server is removed from the table: " << proxy->received;
+    EXPECT_EQ(fixture.server->statistics().servers, 4u);
+    for (std::size_t k = 1; k < fixture.discovery.requested_generations.size(); ++k) {
+        EXPECT_GE(fixture.discovery.requested_generations[k],
+                  fixture.discovery.requested_generations[k - 1]);
     }
-    EXPECT_EQ(stage.discovery.asked_from.back(), stage.discovery.generation());
+    EXPECT_EQ(fixture.discovery.requested_generations.back(), fixture.discovery.generation());
 }
 
-// Failure: a server that a snapshot no longer names stays in the tables. It must be taken out.
-TEST(Node, ASnapshotRemovesWhatItDoesNotName) {
-    NodeStage stage;
-    stage.start();
-    auto proxy = stage.proxy(1);
-    stage.run(500ms);
-    stage.discovery.whole = true;
-    stage.discovery.put(row("s-d", "north"));
-    stage.run(500ms);
-    EXPECT_NE(proxy->text.find("s-a:0"), std::string::npos) << proxy->text;
-    EXPECT_NE(proxy->text.find("s-d:1"), std::string::npos) << proxy->text;
-    EXPECT_EQ(stage.logged("whole=yes rows=1 ready=1"), 1);
+// Failure: a server that is no longer in a snapshot stays in the tables. It must be removed.
+TEST(Node, SnapshotRemovesUnlistedServers) {
+    NodeFixture fixture;
+    fixture.start();
+    auto proxy = fixture.connect_proxy(1);
+    fixture.run_for(500ms);
+    fixture.discovery.answers_snapshots = true;
+    fixture.discovery.add_change(server_json("s-d", "north"));
+    fixture.run_for(500ms);
+    EXPECT_NE(proxy->received.find("s-a:0"), std::string::npos) << proxy->received;
+    EXPECT_NE(proxy->received.find("s-d:1"), std::string::npos) << proxy->received;
+    EXPECT_EQ(fixture.count_log_lines("whole=yes rows=1 ready=1"), 1);
 }
 
-// Failure: discovery accepts calls and never answers, which TCP does not show. It must be noticed
-// and logged, the list stay valid, and the first answer after that be used.
-TEST(Node, ASilentDiscoveryIsNoticedAndItsLaterAnswersAreUsed) {
-    NodeStage stage;
-    stage.start();
-    stage.run(1s);
-    stage.discovery.silent = true;
-    stage.discovery.put(row("s-d", "south"));
-    stage.run(10s);
-    EXPECT_GE(stage.logged("discovery.trouble"), 3);
-    EXPECT_EQ(stage.server->statistics().servers, 3u) << "the list stays valid";
-    stage.discovery.silent = false;
-    stage.run(3s);
-    EXPECT_EQ(stage.server->statistics().servers, 4u);
+// Failure: discovery accepts calls and never answers, which TCP does not detect. It must be
+// detected and logged, the list must stay valid, and the first answer after that must be used.
+TEST(Node, SilentDiscoveryIsDetectedAndLaterAnswersAreUsed) {
+    NodeFixture fixture;
+    fixture.start();
+    fixture.run_for(1s);
+    fixture.discovery.is_silent = true;
+    fixture.discovery.add_change(server_json("s-d", "south"));
+    fixture.run_for(10s);
+    EXPECT_GE(fixture.count_log_lines("discovery.trouble"), 3);
+    EXPECT_EQ(fixture.server->statistics().servers, 3u) << "the list stays valid";
+    fixture.discovery.is_silent = false;
+    fixture.run_for(3s);
+    EXPECT_EQ(fixture.server->statistics().servers, 4u);
 }
 
-// Failure: discovery breaks off calls or sends answers that can't be read. The call must be made
-// again, not in a busy loop, the list stay valid, and the first good answer be used.
-TEST(Node, ABrokenOrUnreadableDiscoveryIsAskedAgain) {
-    NodeStage stage;
-    stage.start();
-    stage.run(100ms);
-    stage.discovery.break_off();
-    stage.run(300ms);
-    stage.discovery.garbage = true;
-    stage.discovery.put(row("s-d", "south"));
-    stage.run(2s);
-    EXPECT_EQ(stage.server->statistics().servers, 3u);
-    EXPECT_LE(stage.discovery.asked_from.size(), 40u) << "no busy loop";
-    stage.discovery.garbage = false;
-    stage.run(1s);
-    EXPECT_EQ(stage.server->statistics().servers, 4u);
+// Failure: discovery aborts calls or sends invalid answers. The call must be retried, not in a busy
+// loop, the list must stay valid, and the first valid answer must be used.
+TEST(Node, FailedDiscoveryCallsAreRetriedWithPauses) {
+    NodeFixture fixture;
+    fixture.start();
+    fixture.run_for(100ms);
+    fixture.discovery.abort_call();
+    fixture.run_for(300ms);
+    fixture.discovery.answers_garbage = true;
+    fixture.discovery.add_change(server_json("s-d", "south"));
+    fixture.run_for(2s);
+    EXPECT_EQ(fixture.server->statistics().servers, 3u);
+    EXPECT_LE(fixture.discovery.requested_generations.size(), 40u) << "no busy loop";
+    fixture.discovery.answers_garbage = false;
+    fixture.run_for(1s);
+    EXPECT_EQ(fixture.server->statistics().servers, 4u);
 }
 
-// Failure: a reload moves discovery to another address and a change is lost or used twice in
-// between, or the old address is asked on. The new address must be asked from the last generation,
-// the old one never again.
-TEST(Node, AReloadMovesDiscoveryWithoutALostOrRepeatedChange) {
-    NodeStage stage;
-    FakeDiscovery second(stage.loop);
-    stage.start();
-    stage.run(500ms);
-    stage.discovery.put(row("s-d", "south"));
-    stage.run(500ms);
-    second.begin_at(2);
-    second.put(row("s-e", "south"));
-    auto moved = stage.config;
-    moved.discovery = second.address();
-    stage.server->reload(moved);
-    stage.run(200ms);
-    stage.discovery.close_open();
-    stage.run(1s);
-    EXPECT_EQ(stage.server->statistics().servers, 5u);
-    EXPECT_EQ(second.asked_from.front(), 2u);
-    const auto calls = stage.discovery.asked_from.size();
-    stage.server->reload(moved);
-    stage.run(3s);
-    EXPECT_EQ(stage.discovery.asked_from.size(), calls) << "the old one is not asked again";
-    EXPECT_EQ(stage.logged("discovery.trouble"), 0);
+// Failure: a reload changes the address of discovery, and a change is lost or applied twice in
+// between, or the old address is still called. The new address must be called with the last
+// generation, and the old one never again.
+TEST(Node, ReloadChangesDiscoveryAddressWithoutLostOrRepeatedChanges) {
+    NodeFixture fixture;
+    FakeDiscovery second(fixture.loop);
+    fixture.start();
+    fixture.run_for(500ms);
+    fixture.discovery.add_change(server_json("s-d", "south"));
+    fixture.run_for(500ms);
+    second.set_first_generation(2);
+    second.add_change(server_json("s-e", "south"));
+    auto new_config = fixture.config;
+    new_config.discovery = second.address();
+    fixture.server->reload(new_config);
+    fixture.run_for(200ms);
+    fixture.discovery.close_connections();
+    fixture.run_for(1s);
+    EXPECT_EQ(fixture.server->statistics().servers, 5u);
+    EXPECT_EQ(second.requested_generations.front(), 2u);
+    const auto calls = fixture.discovery.requested_generations.size();
+    fixture.server->reload(new_config);
+    fixture.run_for(3s);
+    EXPECT_EQ(fixture.discovery.requested_generations.size(), calls)
+        << "the old address is not called again";
+    EXPECT_EQ(fixture.count_log_lines("discovery.trouble"), 0);
 }
 
-// ---- as a process
+// ---- as a separate process
 
-std::int64_t memory_kb(pid_t process, const std::string& what) {
+// Returns a field of /proc/PID/status, in kB.
+std::int64_t memory_kb(pid_t process, const std::string& field) {
     std::ifstream in("/proc/" + std::to_string(process) + "/status");
     for (std::string word; in >> word;) {
-        if (word == what) {
+        if (word == field) {
             std::int64_t kb = 0;
             return in >> kb ? kb : 0;
         }
@@ -425,9 +432,9 @@
     std::unique_ptr<Child> child;
 };
 
-// Failure: the configuration is missing or can't be read, and the process dies with a stack trace
-// or starts without one. It must print one line and exit with code 2.
-TEST(NodeProgram, AnUnreadableConfigurationIsOneLineAndExitTwo) {
+// Failure: the configuration is missing or not valid, and the process crashes or starts without it.
+// It must print one line and exit with code 2.
+TEST(NodeProgram, InvalidConfigurationPrintsOneLineAndExitsWithTwo) {
     for (const std::string& path :
          {temporary("node-bad.json", "{"), std::string("/nowhere/config.json"), std::string()}) {
         Process process(path);
@@ -437,10 +444,11 @@
     }
 }
 
-// Failure: the program as it is deployed does not do what the server in this process does. It must
-// serve proxies, follow discovery, keep its connections and the old configuration through a reload
-// of a broken file, move with a good one, stay small, and end on SIGTERM with exit code 0.
-TEST(NodeProgram, ServesFakePeersReloadsAndEnds) {
+// Failure: the deployed program behaves differently from the server in this process. It must serve
+// proxies, follow discovery, keep its connections and configuration when a reload finds an invalid
+// file, change the address of discovery with a valid one, stay within its memory limit, and exit
+// with code 0 on SIGTERM.
+TEST(NodeProgram, ServesPeersReloadsAndTerminates) {
     net::Loop loop;
     FakeDiscovery discovery(loop);
     FakeDiscovery second(loop);
@@ -451,45 +459,46 @@
     ASSERT_NE(listen, "") << process.child->text();
     std::vector<std::unique_ptr<PlatformPeer>> proxies;
     PlatformPeer collector(loop, net::parse_address(listen));
-    collector.say("SOURCE zone north");
+    collector.send_message("SOURCE zone north");
     for (int number = 0; number < 4; ++number) {
         proxies.push_back(std::make_unique<PlatformPeer>(loop, net::parse_address(listen)));
-        proxies.back()->say("SUBSCRIBE proxy " + std::to_string(number) + " zone " +
-                            (number % 2 ? "north" : "south") + " weight 5 fresh 1");
+        proxies.back()->send_message("SUBSCRIBE proxy " + std::to_string(number) + " zone " +
+                                     (number % 2 ? "north" : "south") + " weight 5 fresh 1");
     }
-    // Until it is so, and never longer than the test's patience: no verdict hangs on how fast this
-    // machine is.
-    const auto until = [&](const std::function<bool()>& so) {
-        for (int looks = 0; looks < 1500 && !so(); ++looks) {
+    // Runs the loop until the condition holds, for 30 s at most, so that the result does not depend
+    // on the speed of the machine.
+    const auto wait_until = [&](const std::function<bool()>& condition) {
+        for (int checks = 0; checks < 1500 && !condition(); ++checks) {
             loop.run_until(loop.clock().now() + 20ms);
         }
-        return so();
+        return condition();
     };
-    EXPECT_TRUE(until([&] {
+    EXPECT_TRUE(wait_until([&] {
         return std::all_of(proxies.begin(), proxies.end(), [](const auto& p) {
-            return p->text.find("replace 1") != std::string::npos;
+            return p->received.find("replace 1") != std::string::npos;
         });
     }));
-    collector.say("LOAD zone north server s-a tries 20 failed 0 mean_ms 40 span_ms 1000");
-    discovery.put(row("s-a", "north", "Terminating"));
-    EXPECT_TRUE(until([&] { return proxies[1]->text.find("s-a:0") != std::string::npos; }));
+    collector.send_message("LOAD zone north server s-a tries 20 failed 0 mean_ms 40 span_ms 1000");
+    discovery.add_change(server_json("s-a", "north", "Terminating"));
+    EXPECT_TRUE(
+        wait_until([&] { return proxies[1]->received.find("s-a:0") != std::string::npos; }));
 
     std::ofstream(path) << "{";
     process.child->signal(SIGHUP);
     EXPECT_TRUE(process.child->shows("config.refused"));
-    second.begin_at(discovery.generation());
+    second.set_first_generation(discovery.generation());
     std::ofstream(path) << node_config(listen, net::to_text(second.address()));
     process.child->signal(SIGHUP);
     EXPECT_TRUE(process.child->shows("config.reloaded"));
-    second.put(row("s-d", "north"));
-    EXPECT_TRUE(until([&] { return proxies[1]->text.find("s-d:") != std::string::npos; }));
+    second.add_change(server_json("s-d", "north"));
+    EXPECT_TRUE(wait_until([&] { return proxies[1]->received.find("s-d:") != std::string::npos; }));
     for (const auto& proxy : proxies) {
-        EXPECT_EQ(proxy->ended, "") << "streams stay through a reload";
+        EXPECT_EQ(proxy->end_reason, "") << "connections stay open during a reload";
     }
 
 #ifndef __SANITIZE_ADDRESS__
-    // The configuration was read into a buffer of the largest size: 16 MiB of the 32 MB that a
-    // small instance has.
+    // Guards against reading the configuration into a buffer of its maximum size, which took 16 MiB
+    // of the 32 MB that a small instance has.
     EXPECT_LT(memory_kb(process.child->id(), "VmHWM:"), 20 * 1024);
 #endif
     process.child->signal(SIGTERM);
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -1,10 +1,10 @@
-// The platform's protocol without sockets: configuration, discovery's answers, messages, updates as
-// CONFIG.
+// The platform's protocol without sockets: the configuration file, discovery's answers, messages
+// from peers, and updates as CONFIG messages.
 #include <gtest/gtest.h>
 
 #include "platform/config_writer.h"
 #include "platform/message_reader.h"
-#include "platform_stage.h"
+#include "platform_fixture.h"
 #include "runtime/policy_runner.h"
 
 namespace badgergrade::test {
@@ -12,11 +12,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kWallAhead = 1700000000s;
+constexpr Micros kWallClockOffset = 1700000000s;
 
+// The protocol's names and server numbers of the test configuration.
 struct ProtocolFixture {
     platform::NodeConfig config = platform::read_config(node_config());
-    platform::ServerIds servers{config.protocol_names, kWallAhead};
+    platform::ServerIds servers{config.protocol_names, kWallClockOffset};
 
     ProtocolFixture() { servers.update(config.initial_list, UpdateKind::Cached, 1000s); }
 
@@ -24,11 +25,12 @@
         return platform::read_message({std::move(words), true}, config.protocol_names, servers);
     }
 
+    // The reason why a message is not valid, or an empty string if it is.
     std::string invalid_reason(std::vector<std::string> words) const {
         try {
             read(std::move(words));
-        } catch (const platform::InvalidMessage& wrong) {
-            return wrong.what();
+        } catch (const platform::InvalidMessage& error) {
+            return error.what();
         }
         return {};
     }
@@ -38,7 +40,7 @@
 
 // ---- configuration
 
-TEST(NodeConfig, IsReadWithTheSimulatorsNamesAndUnits) {
+TEST(NodeConfig, UsesTheSimulatorsNamesAndUnits) {
     const auto config = platform::read_config(node_config());
     EXPECT_EQ(config.name, "n3");
     EXPECT_EQ(net::to_text(config.discovery), "127.0.0.1:8500");
@@ -58,33 +60,34 @@
     EXPECT_TRUE(config.initial_list.is_snapshot);
 }
 
-TEST(NodeConfig, SaysWhatIsWrong) {
-    const auto why = [](std::string text) {
+TEST(NodeConfig, ReportsInvalidValues) {
+    const auto error_of = [](std::string text) {
         try {
             platform::read_config(text);
-        } catch (const platform::ParseError& wrong) {
-            return std::string(wrong.what());
+        } catch (const platform::ParseError& error) {
+            return std::string(error.what());
         }
         return std::string();
     };
-    const auto with = [](const std::string& from, const std::string& to) {
+    const auto config_with = [](const std::string& from, const std::string& to) {
         std::string text = node_config();
         text.replace(text.find(from), from.size(), to);
         return text;
     };
-    EXPECT_NE(why("{"), "");
-    EXPECT_NE(why("[]"), "");
-    EXPECT_NE(why(with("\"listen\"", "\"lost\"")), "");
-    EXPECT_NE(why(with("127.0.0.1:8500", "nowhere")), "");
-    EXPECT_NE(why(with("8c1f30d27a5be964", "seed!")), "");
-    EXPECT_NE(why(with("\"effect\":\"safe\"", "\"effect\":\"odd\"")), "");
-    EXPECT_NE(why(with("\"sockets\":256", "\"sockets\":3")), "");
-    EXPECT_EQ(why(with("\"quantum\":4.0", "\"quantum\":4.0,\"novel\":{\"deep\":[1,{\"a\":null}]}")),
+    EXPECT_NE(error_of("{"), "");
+    EXPECT_NE(error_of("[]"), "");
+    EXPECT_NE(error_of(config_with("\"listen\"", "\"lost\"")), "");
+    EXPECT_NE(error_of(config_with("127.0.0.1:8500", "nowhere")), "");
+    EXPECT_NE(error_of(config_with("8c1f30d27a5be964", "seed!")), "");
+    EXPECT_NE(error_of(config_with("\"effect\":\"safe\"", "\"effect\":\"odd\"")), "");
+    EXPECT_NE(error_of(config_with("\"sockets\":256", "\"sockets\":3")), "");
+    EXPECT_EQ(error_of(config_with("\"quantum\":4.0",
+                                   "\"quantum\":4.0,\"novel\":{\"deep\":[1,{\"a\":null}]}")),
               "")
-        << "unknown keys are skipped";
+        << "unknown keys are ignored";
 }
 
-TEST(Instances, AnEntryThatCantBeReadIsLeftOutAndNamed) {
+TEST(ServerList, InvalidEntryIsSkippedAndReported) {
     const auto list = platform::read_server_list(
         R"({"generation":4,"reset":false,"instances":[{"instanceId":"a","lifecycle":"Odd"},{"instanceId":"b","zone":"north","lifecycle":"Gone"},7]})");
     EXPECT_EQ(list.generation, 4u);
@@ -94,21 +97,21 @@
     EXPECT_THROW(platform::read_server_list(R"({"instances":[]})"), platform::ParseError);
 }
 
-// ---- servers
+// ---- numbers of servers
 
-TEST(Servers, KeepTheirNumberThroughAbsenceAndRestart) {
+TEST(ServerIds, NumberIsKeptWhileGoneAndAfterRestart) {
     ProtocolFixture fixture;
     const ServerId a = fixture.server("s-a");
     platform::ServerList change{2, false, {{"s-a", "north", ServerState::Gone, 1, 0}}, {}};
     fixture.servers.update(change, UpdateKind::Delta, 1010s);
-    EXPECT_EQ(fixture.server("s-a"), a) << "it can still be named";
+    EXPECT_EQ(fixture.server("s-a"), a) << "reports and messages can still name it";
     change.servers = {{"s-a", "north", ServerState::Ready, 1, 1700001020000.0}};
     const auto list = fixture.servers.update(change, UpdateKind::Delta, 1020s);
     EXPECT_EQ(list.endpoints.at(0).server, a);
     EXPECT_EQ(list.endpoints.at(0).started_at, 1020s);
 }
 
-TEST(Servers, AStartHasOneTimeAndNeverBecomesLongAgo) {
+TEST(ServerIds, StartTimeIsStableAndNeverZero) {
     ProtocolFixture fixture;
     const auto start = [&](double ms) {
         return fixture.servers
@@ -119,22 +122,22 @@
     };
     EXPECT_EQ(start(0), 0us) << "long ago";
     EXPECT_EQ(start(1700000990000.0), 990s);
-    EXPECT_EQ(start(1700000990000.0), 990s) << "a list that repeats it";
-    EXPECT_EQ(start(1600000000000.0), 1us) << "before this clock began, and yet a start";
+    EXPECT_EQ(start(1700000990000.0), 990s) << "the same in a list that repeats it";
+    EXPECT_EQ(start(1600000000000.0), 1us) << "before the origin of the loop's clock, but not 0";
 }
 
-TEST(Servers, NumbersOfThoseLongGoneAreUsedAgain) {
+TEST(ServerIds, NumbersOfServersLongGoneAreReused) {
     ProtocolFixture fixture;
     Micros now = 1000s;
-    for (int day = 0; day < 500; ++day, now += 200s) {
-        const std::string id = "new-" + std::to_string(day);
-        const std::string old = "new-" + std::to_string(day - 1);
-        fixture.servers.update(
-            {1,
-             false,
-             {{id, "north", ServerState::Ready, 1, 0}, {old, "north", ServerState::Gone, 1, 0}},
-             {}},
-            UpdateKind::Delta, now);
+    for (int round = 0; round < 500; ++round, now += 200s) {
+        const std::string id = "new-" + std::to_string(round);
+        const std::string previous = "new-" + std::to_string(round - 1);
+        fixture.servers.update({1,
+                                false,
+                                {{id, "north", ServerState::Ready, 1, 0},
+                                 {previous, "north", ServerState::Gone, 1, 0}},
+                                {}},
+                               UpdateKind::Delta, now);
         fixture.servers.release_unused(now, [](ServerId) { return false; });
     }
     EXPECT_LE(fixture.servers.size(), 6u);
@@ -142,12 +145,12 @@
     fixture.servers.update({2, true, {}, {}}, UpdateKind::Snapshot, now);
     fixture.servers.release_unused(
         now + 300s, [&](ServerId server) { return server == fixture.server("s-a"); });
-    EXPECT_EQ(fixture.servers.size(), 1u) << "what is still named stays";
+    EXPECT_EQ(fixture.servers.size(), 1u) << "a server in use is kept";
 }
 
 // ---- messages
 
-TEST(Messages, AreReadIntoEvents) {
+TEST(Messages, AreDecodedIntoEvents) {
     ProtocolFixture fixture;
     const auto load = std::get<event::ServerLoadReport>(fixture.read(
         {"LOAD", "zone", "south", "server", "s-b", "tries", "212", "failed", "3", "mean_ms", "41.7",
@@ -159,55 +162,55 @@
     EXPECT_EQ(load.mean_latency, 41700us);
     EXPECT_EQ(load.interval, 1s);
     EXPECT_EQ(load.load_metrics, (std::vector<double>{7, 0.61}));
-    const auto joined = std::get<event::ProxyConnected>(
+    const auto connected = std::get<event::ProxyConnected>(
         fixture.read({"SUBSCRIBE", "proxy", "3", "zone", "north", "weight", "21.5", "fresh", "1",
                       "novel", "x"}));
-    EXPECT_EQ(joined.proxy.value, 3);
-    EXPECT_TRUE(joined.fresh_start);
-    EXPECT_EQ(joined.announced_rate, 21.5);
-    const auto applied = std::get<event::ConfigAcknowledged>(
+    EXPECT_EQ(connected.proxy.value, 3);
+    EXPECT_TRUE(connected.fresh_start);
+    EXPECT_EQ(connected.announced_rate, 21.5);
+    const auto ack = std::get<event::ConfigAcknowledged>(
         fixture.read({"ACK", "proxy", "3", "mark", "905", "took_ms", "310.4"}));
-    EXPECT_EQ(applied.version.value, 905);
-    EXPECT_EQ(applied.delay, 310400us);
-    const auto rate = std::get<event::ProxyDemandReport>(
+    EXPECT_EQ(ack.version.value, 905);
+    EXPECT_EQ(ack.delay, 310400us);
+    const auto demand = std::get<event::ProxyDemandReport>(
         fixture.read({"RATE", "proxy", "3", "class", "look up", "tries", "19", "failed", "0",
                       "span_ms", "1000.0"}));
-    EXPECT_EQ(rate.operation.value, 0);
-    EXPECT_EQ(rate.attempts, 19);
+    EXPECT_EQ(demand.operation.value, 0);
+    EXPECT_EQ(demand.attempts, 19);
     EXPECT_EQ(std::get<platform::Source>(fixture.read({"SOURCE", "zone", "south"})).zone.value, 1);
     EXPECT_TRUE(std::holds_alternative<platform::Ping>(fixture.read({"PING"})));
 }
 
-TEST(Messages, InvalidOnesSayWhy) {
+TEST(Messages, InvalidOnesAreRejectedWithAReason) {
     ProtocolFixture fixture;
-    const std::vector<std::string> good{"LOAD",  "zone",    "south",  "server", "s-b",
-                                        "tries", "212",     "failed", "3",      "mean_ms",
-                                        "41.7",  "span_ms", "1000.0"};
-    EXPECT_EQ(fixture.invalid_reason(good), "");
-    for (std::size_t field = 1; field < good.size(); field += 2) {
-        auto missing = good;
+    const std::vector<std::string> valid{"LOAD",  "zone",    "south",  "server", "s-b",
+                                         "tries", "212",     "failed", "3",      "mean_ms",
+                                         "41.7",  "span_ms", "1000.0"};
+    EXPECT_EQ(fixture.invalid_reason(valid), "");
+    for (std::size_t field = 1; field < valid.size(); field += 2) {
+        auto missing = valid;
         missing.erase(missing.begin() + static_cast<std::ptrdiff_t>(field),
                       missing.begin() + static_cast<std::ptrdiff_t>(field) + 2);
-        EXPECT_NE(fixture.invalid_reason(missing), "") << good[field];
-        auto doubled = good;
-        doubled.insert(doubled.end(), {good[field], good[field + 1]});
-        EXPECT_NE(fixture.invalid_reason(doubled), "") << good[field];
-        for (const char* wrong :
+        EXPECT_NE(fixture.invalid_reason(missing), "") << valid[field];
+        auto doubled = valid;
+        doubled.insert(doubled.end(), {valid[field], valid[field + 1]});
+        EXPECT_NE(fixture.invalid_reason(doubled), "") << valid[field];
+        for (const char* value :
              {"", "nan", "inf", "-inf", "-1", "1e300", "x", "0x10", " 1", "1 "}) {
-            auto invalid = good;
-            invalid[field + 1] = wrong;
-            EXPECT_NE(fixture.invalid_reason(invalid), "") << good[field] << "=" << wrong;
+            auto invalid = valid;
+            invalid[field + 1] = value;
+            EXPECT_NE(fixture.invalid_reason(invalid), "") << valid[field] << "=" << value;
         }
     }
-    auto odd = good;
-    odd.pop_back();
-    EXPECT_NE(fixture.invalid_reason(odd), "");
+    auto without_last_value = valid;
+    without_last_value.pop_back();
+    EXPECT_NE(fixture.invalid_reason(without_last_value), "");
     EXPECT_NE(fixture.invalid_reason({}), "");
     EXPECT_NE(fixture.invalid_reason({"CONFIG", "stamp", "1"}), "");
     EXPECT_NE(fixture.invalid_reason(
                   {"SUBSCRIBE", "proxy", "4", "zone", "north", "weight", "1", "fresh", "1"}),
               "")
-        << "0 to 3 are proxies";
+        << "proxies are numbered 0 to 3";
     EXPECT_NE(fixture.invalid_reason(
                   {"SUBSCRIBE", "proxy", "1.5", "zone", "north", "weight", "1", "fresh", "1"}),
               "");
@@ -228,129 +231,132 @@
 
 // ---- updates
 
+// Encodes the updates that commands cause.
 struct UpdateFixture : ProtocolFixture {
     runtime::ConfigState config_state{config.settings};
     std::vector<runtime::RejectedCommand> rejected;
 
-    std::map<int, std::string> carry_out(std::vector<Command> actions) {
-        std::map<int, std::string> out;
-        lines.clear();
-        const runtime::ApplyResult result = config_state.apply(actions);
+    // Applies the commands and returns the CONFIG messages by proxy.
+    std::map<int, std::string> execute(std::vector<Command> commands) {
+        std::map<int, std::string> messages;
+        line_counts.clear();
+        const runtime::ApplyResult result = config_state.apply(commands);
         rejected.insert(rejected.end(), result.rejected.begin(), result.rejected.end());
         for (const auto& update : result.updates) {
-            out[update.proxy.value] =
-                readable(platform::write_config(update, config.protocol_names, servers)
+            messages[update.proxy.value] =
+                to_lines(platform::write_config(update, config.protocol_names, servers)
                              .value_or("too long"));
-            lines[update.proxy.value] = update.line_count;
+            line_counts[update.proxy.value] = update.line_count;
         }
-        return out;
+        return messages;
     }
 
-    std::map<int, double> lines;
+    std::map<int, double> line_counts;  // of the last commands, by proxy
 
-    Command line(int table, const char* id, double weight) const {
+    Command set_weight(int table, const char* id, double weight) const {
         return command::SetWeight{{table}, server(id), weight};
     }
 };
 
-TEST(ConfigWriter, AnAssignmentSendsTheWholeTableAndLaterLinesItsChanges) {
+TEST(ConfigWriter, AssignmentSendsTheCompleteTableAndLaterUpdatesItsChanges) {
     UpdateFixture fixture;
     fixture.config_state.on_proxy_connected({1});
     fixture.config_state.on_proxy_connected({2});
     auto sent =
-        fixture.carry_out({fixture.line(7, "s-a", 1.5), fixture.line(7, "s-b", 0.25),
-                           command::AssignTable{{7}, 0, {1}}, command::RequestAck{{905}, false}});
+        fixture.execute({fixture.set_weight(7, "s-a", 1.5), fixture.set_weight(7, "s-b", 0.25),
+                         command::AssignTable{{7}, 0, {1}}, command::RequestAck{{905}, false}});
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1.5,s-b:0.25 stamp 905\n");
-    EXPECT_EQ(fixture.lines[1], 3 + 1 + 2 + 1) << "head, binding, lines, mark";
-    sent = fixture.carry_out({fixture.line(7, "s-b", 0), fixture.line(7, "s-c", 1e-7),
-                              command::RequestAck{{906}, false}});
+    EXPECT_EQ(fixture.line_counts[1], 3 + 1 + 2 + 1)
+        << "message header, replaced table, weights, acknowledgement request";
+    sent = fixture.execute({fixture.set_weight(7, "s-b", 0), fixture.set_weight(7, "s-c", 1e-7),
+                            command::RequestAck{{906}, false}});
     EXPECT_EQ(sent[1], "CONFIG rows s-b:0,s-c:0.0000001 stamp 906\n");
-    EXPECT_EQ(fixture.lines[1], 3 + 2 + 1);
-    EXPECT_TRUE(fixture.carry_out({fixture.line(8, "s-b", 1)}).empty())
-        << "a table that nobody uses";
+    EXPECT_EQ(fixture.line_counts[1], 3 + 2 + 1);
+    EXPECT_TRUE(fixture.execute({fixture.set_weight(8, "s-b", 1)}).empty())
+        << "a table that no proxy uses";
 }
 
-TEST(ConfigWriter, OperationsAreNamedWhereATableIsNotForAll) {
+TEST(ConfigWriter, OperationsAreNamedUnlessATableIsForAll) {
     UpdateFixture fixture;
     fixture.config_state.on_proxy_connected({1});
-    auto sent = fixture.carry_out(
-        {fixture.line(7, "s-a", 1), fixture.line(8, "s-b", 1), command::AssignTable{{7}, 1, {1}},
-         command::AssignTable{{8}, 2, {1}}, command::RequestAck{{1}, false}});
+    auto sent =
+        fixture.execute({fixture.set_weight(7, "s-a", 1), fixture.set_weight(8, "s-b", 1),
+                         command::AssignTable{{7}, 1, {1}}, command::AssignTable{{8}, 2, {1}},
+                         command::RequestAck{{1}, false}});
     EXPECT_EQ(sent[1],
               "CONFIG for look up replace 1 rows s-a:1 part 1\nCONFIG for order replace 1 rows "
               "s-b:1 stamp 1\n");
-    sent = fixture.carry_out({command::AssignTable{{8}, 0, {1}}});
+    sent = fixture.execute({command::AssignTable{{8}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-b:1\n");
 }
 
-TEST(ConfigWriter, AdmissionLimitsGoWithTheirRetryMode) {
+TEST(ConfigWriter, AdmissionLimitsAreSentWithTheirRetryMode) {
     UpdateFixture fixture;
     fixture.config_state.on_proxy_connected({1});
     fixture.config_state.on_proxy_connected({2});
-    auto sent = fixture.carry_out({fixture.line(7, "s-a", 1),
-                                   command::SetAdmission{{7}, 1, 0.5, RetryMode::Never},
-                                   command::AssignTable{{7}, 0, {1}}});
+    auto sent = fixture.execute({fixture.set_weight(7, "s-a", 1),
+                                 command::SetAdmission{{7}, 1, 0.5, RetryMode::Never},
+                                 command::AssignTable{{7}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1 part 1\nCONFIG for look up gate 0.5 again 0\n");
-    sent =
-        fixture.carry_out({command::SetAdmission{kAllTables, 0, 0.8, RetryMode::OnlyUnprocessed}});
+    sent = fixture.execute({command::SetAdmission{kAllTables, 0, 0.8, RetryMode::OnlyUnprocessed}});
     EXPECT_EQ(sent[1],
               "CONFIG for look up gate 0.5 again 0 part 1\nCONFIG for order gate 0.8 again 1\n")
-        << "the lower holds, and the table's own manner";
-    sent = fixture.carry_out({command::ClearTable{{7}}, fixture.line(7, "s-b", 2)});
+        << "the lower limit applies, and the table's own retry mode";
+    sent = fixture.execute({command::ClearTable{{7}}, fixture.set_weight(7, "s-b", 2)});
     EXPECT_EQ(sent[1],
               "CONFIG replace 1 rows s-b:2 part 1\nCONFIG for look up+order gate 0.8 again 1\n")
-        << "levels for all accompany a whole table";
+        << "limits for all tables are sent with a complete table";
 }
 
-TEST(ConfigWriter, AReconnectedProxyGetsOnlyTheEjectionsThatDiffer) {
+TEST(ConfigWriter, ReconnectedProxyGetsOnlyTheEjectionsThatDiffer) {
     UpdateFixture fixture;
     fixture.config_state.on_proxy_connected({1});
-    fixture.carry_out(
-        {fixture.line(7, "s-a", 1), fixture.line(7, "s-b", 1), command::AssignTable{{7}, 0, {1}}});
-    auto sent = fixture.carry_out({command::SetEjected{fixture.server("s-a"), true},
-                                   command::SetEjected{fixture.server("s-c"), true}});
-    EXPECT_EQ(sent[1], "CONFIG drop s-a\n") << "s-c is in no table that it holds";
+    fixture.execute({fixture.set_weight(7, "s-a", 1), fixture.set_weight(7, "s-b", 1),
+                     command::AssignTable{{7}, 0, {1}}});
+    auto sent = fixture.execute({command::SetEjected{fixture.server("s-a"), true},
+                                 command::SetEjected{fixture.server("s-c"), true}});
+    EXPECT_EQ(sent[1], "CONFIG drop s-a\n") << "s-c is in no table of this proxy";
     fixture.config_state.on_proxy_disconnected({1});
     EXPECT_TRUE(fixture
-                    .carry_out({command::SetEjected{fixture.server("s-a"), false},
-                                command::SetEjected{fixture.server("s-b"), true}})
+                    .execute({command::SetEjected{fixture.server("s-a"), false},
+                              command::SetEjected{fixture.server("s-b"), true}})
                     .empty());
     fixture.config_state.on_proxy_connected({1});
-    sent = fixture.carry_out({command::AssignTable{{7}, 0, {1}}});
+    sent = fixture.execute({command::AssignTable{{7}, 0, {1}}});
     EXPECT_EQ(sent[1], "CONFIG replace 1 rows s-a:1,s-b:1 drop s-b undrop s-a\n");
 }
 
-TEST(ConfigWriter, AVersionForAllReachesProxiesWithoutChanges) {
+TEST(ConfigWriter, AckRequestForAllReachesProxiesWithoutChanges) {
     UpdateFixture fixture;
     fixture.config_state.on_proxy_connected({1});
     fixture.config_state.on_proxy_connected({2});
-    const auto sent = fixture.carry_out({command::RequestAck{{5}, true}});
+    const auto sent = fixture.execute({command::RequestAck{{5}, true}});
     EXPECT_EQ(sent, (std::map<int, std::string>{{1, "CONFIG stamp 5\n"}, {2, "CONFIG stamp 5\n"}}));
-    fixture.carry_out({command::AssignTable{{7}, 0, {9}}});
-    EXPECT_EQ(fixture.rejected.size(), 1u) << "not joined";
+    fixture.execute({command::AssignTable{{7}, 0, {9}}});
+    EXPECT_EQ(fixture.rejected.size(), 1u) << "the proxy is not connected";
 }
 
 // ---- policy runner
 
-TEST(PolicyRunner, TwoTimersOfOneTokenAreTwoEventsAndEventsOfAMomentOneDecision) {
+TEST(PolicyRunner, TimersWithOneTokenAreSeparateAndCloseEventsShareADecision) {
     base::VirtualClock clock(1000s);
     ProtocolFixture fixture;
-    runtime::PolicyRunner driver(clock, {1}, fixture.config.settings, 1, 4ms);
+    runtime::PolicyRunner runner(clock, {1}, fixture.config.settings, 1, 4ms);
     int decisions = 0;
-    driver.on_commands = [&](const std::vector<Command>&) {
+    runner.on_commands = [&](const std::vector<Command>&) {
         ++decisions;
     };
-    driver.post(
+    runner.post(
         fixture.servers.update(fixture.config.initial_list, UpdateKind::Cached, clock.now()));
-    driver.post(event::ProxyConnected{{1}, true, {0}, 5});
-    EXPECT_EQ(driver.pending_timers(), 0u);
+    runner.post(event::ProxyConnected{{1}, true, {0}, 5});
+    EXPECT_EQ(runner.pending_timers(), 0u);
     while (clock.step(1000s + 10ms)) {}
-    EXPECT_EQ(decisions, 1) << "one binding for the two events";
-    EXPECT_EQ(driver.pending_timers(), 1u);
-    driver.post(event::TimerFired{"beat"});
+    EXPECT_EQ(decisions, 1) << "one decision for both events";
+    EXPECT_EQ(runner.pending_timers(), 1u);
+    runner.post(event::TimerFired{"beat"});
     while (clock.step(1000s + 20ms)) {}
-    EXPECT_EQ(driver.pending_timers(), 2u) << "the beat that was told by hand set a second one";
+    EXPECT_EQ(runner.pending_timers(), 2u) << "the event posted by the test set a second timer";
 }
 
 }  // namespace
