--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -26,8 +26,8 @@
 double parse_number(std::string_view name, std::string_view text) {
     double value = 0;
     const auto end = text.data() + text.size();
-    const auto [at, error] = std::from_chars(text.data(), end, value);
-    if (error != std::errc{} || at != end || !std::isfinite(value)) {
+    const auto [parse_end, error] = std::from_chars(text.data(), end, value);
+    if (error != std::errc{} || parse_end != end || !std::isfinite(value)) {
         throw InvalidLine("field \"" + std::string(name) + "\": expected a number, got " +
                           quoted(text));
     }
@@ -38,8 +38,8 @@
 Integer parse_integer(std::string_view name, std::string_view text) {
     Integer value = 0;
     const auto end = text.data() + text.size();
-    const auto [at, error] = std::from_chars(text.data(), end, value);
-    if (error != std::errc{} || at != end) {
+    const auto [parse_end, error] = std::from_chars(text.data(), end, value);
+    if (error != std::errc{} || parse_end != end) {
         throw InvalidLine("field \"" + std::string(name) + "\": expected an integer, got " +
                           quoted(text));
     }
@@ -579,11 +579,12 @@
         return "-";
     }
     std::string out;
-    for (std::size_t at = 0; at < bytes.size(); at += 3) {
+    for (std::size_t offset = 0; offset < bytes.size(); offset += 3) {
         std::uint32_t group = 0;
-        const std::size_t group_bytes = std::min<std::size_t>(3, bytes.size() - at);
+        const std::size_t group_bytes = std::min<std::size_t>(3, bytes.size() - offset);
         for (std::size_t k = 0; k < 3; ++k) {
-            group = group << 8 | (k < group_bytes ? static_cast<unsigned char>(bytes[at + k]) : 0u);
+            group =
+                group << 8 | (k < group_bytes ? static_cast<unsigned char>(bytes[offset + k]) : 0u);
         }
         for (std::size_t k = 0; k < 4; ++k) {
             out.push_back(k <= group_bytes ? kBase64Digits[group >> (18 - 6 * k) & 63] : '=');
--- a/src/config/ini.cpp
+++ b/src/config/ini.cpp
@@ -270,30 +270,30 @@
     if (!entry) {
         return default_value;
     }
-    double out = 0;
-    const std::string& v = entry->value;
-    const auto [end, status] = std::from_chars(v.data(), v.data() + v.size(), out);
-    if (status != std::errc{} || end != v.data() + v.size() || !std::isfinite(out)) {
-        add_error(section, key, "expected a number, got '" + v + "'");
+    double parsed = 0;
+    const std::string& value = entry->value;
+    const auto [end, status] = std::from_chars(value.data(), value.data() + value.size(), parsed);
+    if (status != std::errc{} || end != value.data() + value.size() || !std::isfinite(parsed)) {
+        add_error(section, key, "expected a number, got '" + value + "'");
         return default_value;
     }
-    if (out < bounds.minimum || out > bounds.maximum) {
+    if (parsed < bounds.minimum || parsed > bounds.maximum) {
         std::ostringstream message;
-        message << "expected " << bounds.minimum << " to " << bounds.maximum << ", got " << v;
+        message << "expected " << bounds.minimum << " to " << bounds.maximum << ", got " << value;
         add_error(section, key, message.str());
         return default_value;
     }
-    return out;
+    return parsed;
 }
 
 int IniReader::integer(const std::string& section, const std::string& key, int default_value,
                        Bounds bounds) {
-    const double out = number(section, key, default_value,
-                              {bounds.minimum, std::min(bounds.maximum, kMaxInteger)});
-    if (out == std::floor(out)) {
-        return static_cast<int>(out);
+    const double parsed = number(section, key, default_value,
+                                 {bounds.minimum, std::min(bounds.maximum, kMaxInteger)});
+    if (parsed == std::floor(parsed)) {
+        return static_cast<int>(parsed);
     }
-    add_error(section, key, "expected an integer, got " + std::to_string(out));
+    add_error(section, key, "expected an integer, got " + std::to_string(parsed));
     return default_value;
 }
 
@@ -313,26 +313,28 @@
 }
 
 std::optional<Micros> parse_time(std::string_view text, std::string& error) {
-    const std::string all = trimmed(text);
+    const std::string trimmed_text = trimmed(text);
     double value = 0;
-    const auto [end, status] = std::from_chars(all.data(), all.data() + all.size(), value);
+    const auto [end, status] =
+        std::from_chars(trimmed_text.data(), trimmed_text.data() + trimmed_text.size(), value);
     if (status != std::errc{} || !std::isfinite(value)) {
-        error = "expected a time, for example 800 ms, got '" + all + "'";
+        error = "expected a time, for example 800 ms, got '" + trimmed_text + "'";
         return std::nullopt;
     }
-    const auto number_size = static_cast<std::size_t>(end - all.data());
-    const std::string number = trimmed(std::string_view(all).substr(0, number_size));
-    const std::string unit = trimmed(std::string_view(all).substr(number_size));
+    const auto number_size = static_cast<std::size_t>(end - trimmed_text.data());
+    const std::string number = trimmed(std::string_view(trimmed_text).substr(0, number_size));
+    const std::string unit = trimmed(std::string_view(trimmed_text).substr(number_size));
     const double factor = microseconds_in(unit);
     if (factor == 0) {
-        error = unit.empty()
-                    ? "'" + all + "' has no unit; write " + number + " ms or " + number + " s"
-                    : "expected a unit of time (us, ms, s, min, h), got '" + unit + "'";
+        error = unit.empty() ? "'" + trimmed_text + "' has no unit; write " + number + " ms or " +
+                                   number + " s"
+                             : "expected a unit of time (us, ms, s, min, h), got '" + unit + "'";
         return std::nullopt;
     }
     const double us = value * factor;
     if (us != std::floor(us) || std::abs(us) > kMaxTimeUs) {
-        error = "expected a whole number of microseconds of at most 9e15, got '" + all + "'";
+        error =
+            "expected a whole number of microseconds of at most 9e15, got '" + trimmed_text + "'";
         return std::nullopt;
     }
     return Micros(static_cast<std::int64_t>(us));
--- a/src/config/ini.h
+++ b/src/config/ini.h
@@ -75,14 +75,18 @@
         double maximum = 1e18;
     };
 
+    /// Returns whether the key is present. Does not make it known.
     bool has(const std::string& section, const std::string& key) const;
     /// Returns the sections whose name begins with `prefix`, in the order of the file.
     std::vector<std::string> sections_with_prefix(const std::string& prefix) const;
 
+    /// Reads the value as it is in the file.
     std::string text(const std::string& section, const std::string& key,
                      const std::string& default_value);
+    /// Reads a finite number within `bounds`.
     double number(const std::string& section, const std::string& key, double default_value,
                   Bounds bounds);
+    /// Reads an integer within `bounds`.
     int integer(const std::string& section, const std::string& key, int default_value,
                 Bounds bounds);
     /// Reads "yes" or "no".
@@ -106,6 +110,7 @@
     void report_unknown_keys();
 
 private:
+    /// Returns the entry, or null, and makes the key known.
     const IniEntry* find(const std::string& section, const std::string& key);
 
     const IniFile& file_;
--- a/src/config/instance_config.h
+++ b/src/config/instance_config.h
@@ -16,7 +16,7 @@
 /// How to treat an empty endpoint list if the previous one was not empty.
 enum class EmptyListPolicy { Refuse, Accept };
 
-/// The validated configuration. Comments name the unit or the meaning where the name does not.
+/// The validated configuration of a control plane instance. Times are in microseconds.
 struct InstanceConfig {
     std::string id = "governor-0";
     Settings settings;                                 ///< settings of the policy
--- a/src/platform/protocol_words.h
+++ b/src/platform/protocol_words.h
@@ -1,8 +1,8 @@
 /// The words of the platform's protocol as they appear on the wire.
 ///
 /// Proxies and collectors of the platform depend on these words: the strings must not change. They
-/// are used in `platform/` and `platform_server/` only; the rest of the program uses the names of
-/// the constants.
+/// are used in `platform/` and `platform_server/` only. Each constant is named after the term that
+/// the rest of the program uses.
 #pragma once
 
 namespace badgergrade::platform::words {
--- a/tests/program/platform_fixture.h
+++ b/tests/program/platform_fixture.h
@@ -99,8 +99,10 @@
 
 private:
     static std::uint64_t query_value(const std::string& target, const std::string& key) {
-        const auto at = target.find(key + "=");
-        return at == std::string::npos ? 0 : std::stoull(target.substr(at + key.size() + 1));
+        const auto position = target.find(key + "=");
+        return position == std::string::npos
+                   ? 0
+                   : std::stoull(target.substr(position + key.size() + 1));
     }
 
     void on_call(const net::HttpExchangePtr& exchange) {
@@ -188,10 +190,10 @@
     // Sends a message whose words are separated by blanks.
     void send_message(const std::string& words) {
         std::vector<std::string> list;
-        for (std::size_t at = 0; at < words.size();) {
-            const std::size_t end = std::min(words.find(' ', at), words.size());
-            list.push_back(words.substr(at, end - at));
-            at = end + 1;
+        for (std::size_t position = 0; position < words.size();) {
+            const std::size_t end = std::min(words.find(' ', position), words.size());
+            list.push_back(words.substr(position, end - position));
+            position = end + 1;
         }
         std::string bytes;
         resp::write(bytes, list);
