--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -40,6 +40,7 @@
 
     bool has(std::string_view name) const { return find(name) != nullptr; }
 
+    /// Reads a field's text unchanged.
     std::string_view text(std::string_view name) const;
     /// Reads a finite decimal number.
     double number(std::string_view name) const;
@@ -48,6 +49,7 @@
     std::int64_t integer(std::string_view name, std::int64_t minimum, std::int64_t maximum) const;
     std::int64_t integer(std::string_view name, std::int64_t minimum, std::int64_t maximum,
                          std::int64_t default_value) const;
+    /// Reads an unsigned 64-bit integer.
     std::uint64_t seed(std::string_view name) const;
     /// Reads `1` or `true`, `0` or `false`.
     bool boolean(std::string_view name) const;
@@ -57,6 +59,7 @@
     Micros time(std::string_view name, Micros default_value) const;
     /// Reads comma-separated words; an empty list if the field is missing.
     std::vector<std::string> words(std::string_view name) const;
+    /// Reads comma-separated numbers; an empty list if the field is missing.
     std::vector<double> numbers(std::string_view name) const;
 
 private:
@@ -64,7 +67,7 @@
 
     std::string_view word_;
     std::vector<std::pair<std::string_view, std::string_view>> fields_;
-    /// Fields by name; filled only for lines with many fields.
+    /// Values by name; filled only for lines with many fields.
     std::map<std::string_view, std::string_view> index_;
 };
 
--- a/src/platform_server/connection_table.h
+++ b/src/platform_server/connection_table.h
@@ -2,10 +2,11 @@
 /// framing, send buffer limit, rejection and closing.
 ///
 /// Life of a connection: Unidentified until it sends SUBSCRIBE or SOURCE, then Proxy or Collector.
-/// A rejected connection is sent NACK and closed shortly after; rejected are those whose bytes are
-/// not valid RESP, and unidentified ones that send anything but PING or do not identify themselves
-/// in time. At the connection limit a new connection evicts rejected ones first, then the oldest
-/// unidentified one; identified connections are never evicted for it.
+/// A rejected connection is sent NACK and closed shortly after. A connection is rejected if its
+/// bytes are not valid RESP, if the incomplete messages of all connections use too much memory and
+/// it holds a large one, or if it is unidentified and sends anything but PING or does not identify
+/// itself in time. At the connection limit a new connection evicts rejected ones first, then the
+/// oldest unidentified one; identified connections are never evicted for it.
 ///
 /// Re-entrancy: reading a socket (take_unread), a message handler, or a write can close any
 /// connection, including the current one. Code that continues to use a connection after one of
--- a/src/platform_server/platform_server.h
+++ b/src/platform_server/platform_server.h
@@ -14,8 +14,7 @@
 /// - output: a limit of unsent bytes per connection; peers that do not read are closed;
 /// - unacknowledged versions: a fixed number per connection (PendingAcks);
 /// - servers: one that is gone is forgotten, and its number reused, after two minutes unless a
-/// table
-///   or an ejection refers to it (platform::ServerIds::release_unused, every five seconds);
+///   table or an ejection refers to it (platform::ServerIds::release_unused, every five seconds);
 /// - proxies: their number is fixed by the settings.
 /// ServerStatistics and the log event `node.state` report these sizes.
 #pragma once
