--- a/src/policy/command.h
+++ b/src/policy/command.h
@@ -1,4 +1,9 @@
-// What the decision module wants done. Commands of one decision are carried out in their order.
+// Commands: what the planner asks its caller to do. The commands of one decision are carried out in
+// their order.
+//
+// To a proxy that uses the table, a SetWeight or SetAdmission is one line of a configuration
+// message; an AssignTable is one line and all lines of the table. A proxy receives the lines of one
+// decision as one message, under the version of its RequestAck.
 #pragma once
 
 #include <optional>
@@ -12,18 +17,18 @@
 namespace badgergrade {
 namespace command {
 
-/// Fire event::TimerFired with this token after the delay.
+/// Deliver event::TimerFired with this token after the delay.
 struct SetTimer {
     std::string token;
     Micros delay;
 };
 
-/// A line for the operator's log.
+/// Write a line to the operator's log.
 struct LogMessage {
     std::string text;
 };
 
-/// Begin or end the watch of the endpoint list.
+/// Start or stop watching the endpoint list.
 struct WatchEndpoints {
     bool enabled;
 };
@@ -38,7 +43,7 @@
 
 /// Send a message to other control plane instances; it arrives as event::GossipMessage.
 struct SendGossip {
-    /// Nothing: every other instance.
+    /// Without a value: every other instance.
     std::optional<PeerId> recipient;
     std::string payload;
 };
@@ -55,22 +60,22 @@
     TableId table;
 };
 
-/// Let a proxy use a table for some operations.
+/// Assign a table to a proxy for some operations.
 struct AssignTable {
     TableId table;
     OperationMask operations;
     ProxyId proxy;
 };
 
-/// Let no connected proxy use a server, whatever its tables say; or take that back.
+/// Stop all connected proxies from using a server, whatever their tables say, or undo that.
 struct SetEjected {
     ServerId server;
     bool ejected;
 };
 
-/// How much of some operations the users of a table admit, and what they retry.
+/// Set the admission limit of some operations for all users of a table, and what they may retry.
 struct SetAdmission {
-    /// A rate (invocations per second) at or above this admits everything.
+    /// A rate (invocations per second) from this one on admits everything.
     static constexpr double kUnlimitedRate = 1e6;
 
     TableId table;
@@ -80,7 +85,8 @@
     RetryMode retry_mode;
 };
 
-/// Ask the proxies that this decision concerns, or all, to acknowledge it.
+/// Ask the proxies that were sent lines in this decision, or all proxies, to acknowledge it under
+/// this version.
 struct RequestAck {
     ConfigVersion version;
     bool all_proxies;
--- a/src/policy/demand_estimator.cpp
+++ b/src/policy/demand_estimator.cpp
@@ -1,3 +1,4 @@
+// Demand shares by zone; demand_estimator.h describes the estimate.
 #include "policy/demand_estimator.h"
 
 #include <algorithm>
@@ -13,8 +14,8 @@
     return total > 0 ? total : proxy.announced_rate;
 }
 
-// The first reports of a restarted proxy reach back over the time it was dead; taken whole, they
-// would make its zone seem to ask for far less, and cost the zone servers.
+// The interval of a restarted proxy's first reports includes the time when it was down. Used in
+// full, it would make the zone's demand appear far lower, and the zone would lose servers.
 void add_demand(Micros now, const event::ProxyDemandReport& report, Proxy& proxy) {
     const Micros alive = std::max(now - proxy.process_started_at, kDemandBucketWidth);
     DemandSample sample;
--- a/src/policy/demand_estimator.h
+++ b/src/policy/demand_estimator.h
@@ -1,13 +1,14 @@
-// How the demand is spread over the zones.
+// Demand estimation: each zone's share of the requested rate, for the zone allocation.
 //
-// Inputs: the demand reports of the proxies that this instance hears (invocations and the time in
-// which they came), what each proxy announced when it connected, and the number of proxies in the
-// whole deployment. Results: a share for each zone; shares sum to 1.
+// Inputs: demand reports of the proxies that connect to this instance (invocations and the interval
+// in which they were received), the rate that each proxy announced when it connected, and the
+// number of proxies in the whole deployment. Output: one share for each zone; the shares sum to 1.
 //
-// Proxies that are not heard count as average, and are taken to stand in the zones where fewer are
-// heard than an even spread of the fleet would put there. Shares are recomputed every five seconds
-// and adopted once some zone has been a whole server off for three recomputations, so that tables
-// do not follow noise. docs/design.md, "Kept" and "Read closely", has the reasons.
+// Proxies that never connected to this instance count with the average rate and are assumed to be
+// in the zones with fewer known proxies than an even distribution would give. The shares are
+// recomputed every five seconds. New shares are adopted once some zone's share has been off by at
+// least one server for three recomputations in a row, so that tables don't follow noise.
+// docs/design.md, "Kept" and "Read closely", has the reasons.
 #pragma once
 
 #include <vector>
@@ -17,18 +18,19 @@
 
 namespace badgergrade::policy {
 
-/// Invocations per second that a proxy is asked for; what it announced where it reported nothing.
+/// The rate of invocations that a proxy receives, per second; the rate that it announced if it
+/// reported none.
 double requested_rate(Micros now, const Proxy& proxy);
 
-/// Counts a report that arrives now.
+/// Adds a report that arrives now to the proxy's demand window.
 void add_demand(Micros now, const event::ProxyDemandReport& report, Proxy& proxy);
 
-/// The shares as the reports have them now. `proxy_count`: in the whole deployment.
+/// The shares by the reports of the current window. `proxy_count`: in the whole deployment.
 std::vector<double> measure_demand_shares(Micros now, const FleetState& fleet, int proxy_count);
 
-/// The shares without the demand that this instance can't direct. A zone whose proxies have all
-/// been away for five seconds from the only instance can be given no table: it counts for no more
-/// than its own servers carry, or it would draw servers from the zones that go on.
+/// The shares with the demand of unreachable zones bounded. A zone whose proxies have all been
+/// disconnected from the only instance for five seconds can't be sent tables: its share is limited
+/// to what its own servers carry, since it would otherwise be allocated servers of the other zones.
 std::vector<double> reachable_demand(Micros now, const FleetState& fleet,
                                      const std::vector<double>& shares,
                                      const std::vector<ServerCapacity>& servers,
@@ -38,8 +40,8 @@
 public:
     DemandEstimator(int zone_count, int proxy_count, Micros now);
 
-    /// Adopts shares freely until the first recomputation; recomputes when that is due.
-    /// True: a recomputation took place.
+    /// Recomputes the shares when that is due, and returns whether it did. Until the first
+    /// recomputation every call adopts the measured shares.
     bool update(Micros now, const FleetState& fleet);
     /// Adopts these shares without waiting for the hold-down.
     void adopt(const std::vector<double>& shares);
@@ -59,7 +61,7 @@
     int proxy_count_;
     std::vector<double> shares_;
     int recomputations_ = 0;
-    /// Recomputations in a row with a zone that is a whole server off.
+    /// Consecutive recomputations in which some zone's share was off by at least one server.
     int deviating_recomputations_ = 0;
     Micros next_recompute_;
 };
--- a/src/policy/endpoint_list.cpp
+++ b/src/policy/endpoint_list.cpp
@@ -1,14 +1,15 @@
+// Updates of the endpoint list; endpoint_list.h describes the rule.
 #include "policy/endpoint_list.h"
 
 namespace badgergrade::policy {
 namespace {
 
-/// Bits of a subset hash: what one draw of the generator holds.
+/// Bits of a subset hash: the size of one number of the generator.
 constexpr std::size_t kHashBits = 24;
 
 }  // namespace
 
-// Live weights follow the load of the moment; used as capacity they would chase it.
+// Live weights change with the current load; used as capacity they would make the tables follow it.
 EndpointList::EndpointList(const Settings& settings, std::uint64_t seed)
     : random_(static_cast<std::ranlux24_base::result_type>(seed ^ seed >> 32)),
       equal_weights_(settings.listed_weights == ListedWeights::None ||
--- a/src/policy/endpoint_list.h
+++ b/src/policy/endpoint_list.h
@@ -1,13 +1,13 @@
-// Which servers there are, by the endpoint list.
+// The endpoint list: applies updates of the list of servers to the fleet state.
 //
-// A server that leaves the list is gone at once, with one exception: where the settings say that
-// only a stated drain obliges proxies to stop, a server that merely vanished stays in use as long
-// as it goes on answering. A list that falls back to an old state would otherwise name most of a
-// live fleet gone. Servers that are dead show failures, and leave then.
+// A server that is removed from the list is gone at once, with one exception: with
+// Settings::keep_unlisted_servers a ready server that disappears without having been listed as
+// draining stays in use while it answers. A list that falls back to an old state would otherwise
+// remove most of a live fleet. Servers that are down show failures, and are removed then.
 //
-// Invariants: a stated drain always binds; a server that restarts keeps its id and subset hash, and
-// what proxies met at it before does not count. The only random draws of all decisions are the
-// subset hashes, one a new server, in the order of the list.
+// Invariants: a listed drain is always applied; a server that restarts keeps its id and subset
+// hash, and the reports from before its restart don't count. The subset hashes are the only random
+// numbers of all decisions: one for each new server, in the order of the list.
 #pragma once
 
 #include <cstdint>
@@ -24,13 +24,15 @@
 public:
     EndpointList(const Settings& settings, std::uint64_t seed);
 
-    /// Any update but UpdateKind::WatchFailed.
+    /// Applies any update except UpdateKind::WatchFailed.
     void apply(Micros now, const event::EndpointListUpdate& update, FleetState& fleet,
                OutlierDetector& outliers);
-    /// Removes servers that vanished from the list and no longer answer.
+    /// Removes unlisted servers that no longer answer: no success within the kept reports, or 40%
+    /// or more failures within the decision window.
     void remove_unresponsive(Micros now, FleetState& fleet, const OutlierDetector& outliers) const;
 
 private:
+    /// Marks a server that is no longer listed as unlisted or as gone.
     void mark_missing(Server& server) const;
 
     std::ranlux24_base random_;
--- a/src/policy/event.h
+++ b/src/policy/event.h
@@ -1,4 +1,8 @@
-// What the decision module is told. No decision is taken here.
+// Events: the inputs of the planner. They hold data only.
+//
+// Counts are of the reporting interval, rates are per second. In server reports an attempt is one
+// transmission of an invocation to a server; in demand reports `attempts` counts the invocations
+// that a proxy or shard received.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +16,12 @@
 
 enum class ServerState { Gone, Ready, Draining };
 
-/// What an endpoint list update holds.
+/// What an endpoint list update contains.
 enum class UpdateKind {
-    WatchFailed,  ///< nothing: the watch has ended and must be asked for again
+    WatchFailed,  ///< nothing: the watch has ended and must be requested again
     Delta,        ///< the endpoints that changed
-    Cached,       ///< all endpoints as they were known before the start
-    Snapshot,     ///< all endpoints; those not named are gone
+    Cached,       ///< all endpoints as they were known before this instance started
+    Snapshot,     ///< all endpoints; those not listed are gone
 };
 
 enum class HealthCheckOutcome {
@@ -30,13 +34,13 @@
     Other,
 };
 
-/// One server as the endpoint list names it.
+/// One entry of the endpoint list.
 struct Endpoint {
     ServerId server;
     ZoneId zone;
     ServerState state = ServerState::Ready;
     double weight = 1;
-    /// When the server last started; 0: long ago.
+    /// When the server last started; 0: unknown or long ago.
     Micros started_at{};
 };
 
@@ -47,7 +51,7 @@
     std::vector<Endpoint> endpoints;
 };
 
-/// A timer of command::SetTimer is due.
+/// A timer that was set by command::SetTimer has expired.
 struct TimerFired {
     std::string token;
 };
@@ -59,7 +63,7 @@
     std::vector<double> load_metrics;
 };
 
-/// A message of another control plane instance.
+/// A message from another control plane instance.
 struct GossipMessage {
     PeerId from;
     std::string payload;
@@ -67,10 +71,10 @@
 
 struct ProxyConnected {
     ProxyId proxy;
-    /// The proxy's process has just started; it holds nothing of an earlier connection.
+    /// The proxy's process has just started; it has no configuration from an earlier connection.
     bool fresh_start;
     ZoneId zone;
-    /// Invocations per second that it expects to be asked for.
+    /// Invocations per second that the proxy expects to receive.
     double announced_rate;
 };
 
@@ -78,7 +82,7 @@
     ProxyId proxy;
 };
 
-/// What the proxies of one zone met at one server during `interval`.
+/// The results of the attempts that the proxies of one zone made at one server during `interval`.
 struct ServerLoadReport {
     ZoneId zone;
     ServerId server;
@@ -87,11 +91,11 @@
     /// Mean latency of the attempts that succeeded.
     Micros mean_latency;
     Micros interval;
-    /// By column of Settings::load_metric_names; empty where servers report none.
+    /// One value for each column of Settings::load_metric_names; empty if servers report none.
     std::vector<double> load_metrics;
 };
 
-/// What one proxy was asked for during `interval`.
+/// The invocations of one operation that one proxy received during `interval`.
 struct ProxyDemandReport {
     ProxyId proxy;
     OperationId operation;
@@ -100,7 +104,7 @@
     Micros interval;
 };
 
-/// What one shard was asked for during `interval`.
+/// The invocations of one operation that one shard received during `interval`.
 struct ShardDemandReport {
     TableId shard;
     OperationId operation;
@@ -109,24 +113,24 @@
     Micros interval;
 };
 
-/// This instance is, or is no longer, the one that decides on a shard.
+/// This instance has become, or is no longer, responsible for a shard.
 struct ShardAssignmentChanged {
     TableId shard;
     bool assigned;
 };
 
-/// A replica of a shard as it was recorded before this instance took over.
+/// A server that held a shard before this instance became responsible for the shard.
 struct ShardReplica {
     TableId shard;
     ServerId server;
     double weight;
 };
 
-/// A proxy has applied all that was sent to it up to this version.
+/// A proxy has applied everything that was sent to it up to this version.
 struct ConfigAcknowledged {
     ProxyId proxy;
     ConfigVersion version;
-    /// From the command to the acknowledgement.
+    /// From the command to the acknowledgement of this version.
     Micros delay;
 };
 
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -1,7 +1,10 @@
-// What one control plane instance knows of its fleet: the state that several rules share.
+// The fleet as one control plane instance knows it: servers, proxies, tables and their numbers, and
+// the constants that several rules share.
 //
-// The rules read and write these structs; none of them decides anything itself. Everything is kept
-// in ordered maps, so that iteration order, and with it every decision, follows the ids alone.
+// The rules read and write these structs; the structs decide nothing. All containers are ordered
+// maps, so that the iteration order, and with it every decision, depends on the ids alone.
+//
+// Entries of servers and proxies are never removed (see planner.h on memory).
 #pragma once
 
 #include <deque>
@@ -13,44 +16,45 @@
 
 namespace badgergrade::policy {
 
-/// The design's interval between recomputations of the demand shares.
+/// Interval between recomputations of the demand shares (the design's figure).
 constexpr Micros kRecomputeInterval{5'000'000};
-/// How long a table change waits for acknowledgements of the one before it (the design's figure).
+/// How long a table change waits for the acknowledgements of the previous change (the design's
+/// figure).
 constexpr Micros kAckTimeout{2'000'000};
-/// A change of mode or of shares must hold for this many recomputations, against flapping (the
-/// design's figure).
+/// Hold-down: a change of mode or of shares must persist for this many recomputations, to prevent
+/// flapping (the design's figure).
 constexpr int kHoldDownRecomputations = 3;
-/// Decisions are taken at least this often.
+/// The longest time between two decisions.
 constexpr Micros kDecisionInterval{250'000};
-/// A server on probation, and one that has just started, carries this part of its weight (the
-/// design's figure).
+/// The fraction of its weight that a server on probation, or one that has just started, is given
+/// (the design's figure).
 constexpr double kReducedWeightFraction = 0.25;
-/// Demand is averaged over eight buckets, about three reports. A longer average follows a burst too
-/// late, a shorter one follows single reports.
+/// Demand is averaged over eight buckets (6.4 s, about three reports). A longer average reacts too
+/// late to a burst; a shorter one follows single reports.
 constexpr Micros kDemandBucketWidth{800'000};
 constexpr int kDemandBuckets = 8;
-/// Messages of Settings::message_window are counted in 14 buckets, kept in 16: the count then
-/// covers more than the window, and never too few messages.
+/// Settings::message_window is divided into 14 buckets, and 16 are summed: the sum covers more than
+/// the window, so that messages are never undercounted.
 constexpr int kMessageBucketsInWindow = 14;
 constexpr int kMessageBuckets = 16;
-/// Table numbers are reserved for this many subsets in each zone.
+/// The most subsets of one zone; table numbers are reserved for them.
 constexpr int kMaxSubsets = 64;
 
 struct Server {
     ZoneId zone{};
     ServerState state = ServerState::Gone;
     double weight = 1;
-    /// 0: long ago.
+    /// 0: unknown or long ago.
     Micros started_at{};
-    /// When this instance heard of that start.
+    /// When this instance was first notified of that start.
     Micros start_reported_at{};
-    /// Missing from the endpoint list without a stated drain, and still in use.
+    /// Missing from the endpoint list without having been listed as draining, and still in use.
     bool unlisted = false;
-    /// A uniform draw in [0, 1) that chooses the server's subset.
+    /// A uniform random number in [0, 1) that determines the server's subset.
     double subset_hash = 0;
 };
 
-/// Lines sent to one proxy under one version and not acknowledged yet.
+/// Lines that were sent to one proxy under one version and are not acknowledged yet.
 struct UnacknowledgedLines {
     int version;
     double lines;
@@ -59,21 +63,22 @@
 struct Proxy {
     bool connected = false;
     ZoneId zone;
-    /// Invocations per second that it stated when it connected.
+    /// Invocations per second that it announced when it connected.
     double announced_rate = 0;
     Micros process_started_at{};
     Micros disconnected_at{};
     std::map<OperationId, SlidingWindow<DemandSample, kDemandBuckets>> demand;
-    /// The table that it was told to use, by operations.
+    /// The table that it is assigned, by operations.
     std::map<OperationMask, TableId> assigned_tables;
-    /// Its subset of the zone table; -1: none.
+    /// Its subset of the zone's tables; -1: none.
     int subset = -1;
     /// Configuration messages sent to it within Settings::message_window.
     SlidingWindow<double, kMessageBuckets> messages;
-    /// In the order sent.
+    /// Oldest first.
     std::deque<UnacknowledgedLines> unacknowledged;
 };
 
+/// The weights and admission limits of one table: as planned (desired), and as sent (published).
 struct Table {
     std::map<ServerId, double> desired_weights;
     std::map<ServerId, double> published_weights;
@@ -85,7 +90,7 @@
     std::map<OperationId, double> published_limits;
 };
 
-/// The operations of a deployment by what may serve them.
+/// The operations of a deployment, by which servers may serve them.
 struct OperationSets {
     OperationMask all = 0;
     /// Only servers of the proxy's own zone.
@@ -108,15 +113,16 @@
         return found != servers.end() && found->second.state == ServerState::Ready;
     }
 
-    // The numbers of the tables, in this order: zone tables, the full table, the zones' tables for
-    // local-only operations, the subsets of both, interim tables.
+    // Table numbers, in this order: base tables (zone tables, the full table with the servers of
+    // all zones, the zones' tables for local-only operations), the subsets of zone tables and
+    // local-only tables, interim tables.
     static TableId zone_table(ZoneId zone) { return {zone.value}; }
 
     TableId full_table() const { return {zone_count}; }
 
     TableId local_only_table(ZoneId zone) const { return {zone_count + 1 + zone.value}; }
 
-    /// The table of the highest number that is not a subset.
+    /// The base table with the highest number.
     TableId last_base_table() const { return {2 * zone_count}; }
 
     TableId subset_table(ZoneId zone, int subset, bool local_only) const {
@@ -124,13 +130,13 @@
         return {2 * zone_count + 1 + index * 2 + static_cast<int>(local_only)};
     }
 
-    /// Of one table; see InterimTables.
+    /// The most interim tables of one base table; see interim_tables.h.
     static constexpr int kMaxInterimTables = 16;
 
-    /// After all tables that a proxy keeps for long.
-    TableId interim_table(TableId whole, int part) const {
+    /// Interim tables have the highest numbers: proxies use them only for a short time.
+    TableId interim_table(TableId base, int part) const {
         const int first = 2 * zone_count + 1 + zone_count * kMaxSubsets * 2;
-        return {first + whole.value * kMaxInterimTables + part};
+        return {first + base.value * kMaxInterimTables + part};
     }
 };
 
--- a/src/policy/interim_tables.cpp
+++ b/src/policy/interim_tables.cpp
@@ -1,3 +1,4 @@
+// Splitting, filling and releasing interim tables; interim_tables.h describes the rule.
 #include "policy/interim_tables.h"
 
 #include <algorithm>
@@ -9,9 +10,10 @@
 namespace badgergrade::policy {
 namespace {
 
-/// Of the drain grace: how long the channel may be busy with base tables of pending proxies.
+/// How long the channel may be occupied by complete tables for pending proxies, as a fraction of
+/// the drain grace.
 constexpr double kPendingGraceFraction = 0.25;
-/// An interim table with fewer servers left is filled anew.
+/// An interim table with fewer remaining servers is filled anew.
 constexpr std::size_t kMinRemainingServers = 3;
 
 using Weights = std::map<ServerId, double>;
@@ -109,7 +111,8 @@
     }
 }
 
-// The publisher removes what a table without users still names: that costs the channel nothing.
+// The publisher then removes the published servers too: a table without users costs the channel
+// nothing.
 void InterimTables::release_unused(FleetState& fleet) {
     std::erase_if(split_tables_, [&](const auto& entry) {
         const Split& parts = entry.second;
@@ -123,7 +126,8 @@
     });
 }
 
-// A table whose servers have all gone is left to the publisher, which keeps what is still ready.
+// If no warm server is left the desired weights are empty, and the publisher keeps the published
+// servers that are still ready.
 void InterimTables::update_parts(Micros now, TableId id, Split& parts, FleetState& fleet,
                                  const SlowStart& slow_start) {
     const Table& base = fleet.tables[id];
--- a/src/policy/interim_tables.h
+++ b/src/policy/interim_tables.h
@@ -1,17 +1,19 @@
-// Narrow tables for first assignments that would keep the channel busy for too long.
+// Interim tables: narrow tables for the first assignments of many proxies at once, which would
+// occupy the channel for too long with complete tables.
 //
 // Inputs: the drain grace and the channel's pace from the settings, the proxies that wait for their
-// first assignment, and the tables that these are to use. When an instance takes over the proxies
-// of others, base tables for all of them may take longer than the drain grace, and until a proxy
-// has its first tables it may go on using servers that have drained. Then a wide table is split
-// into interim tables by the servers' subset hash; a pending proxy is first assigned one of them,
-// the one with the lowest requested rate for its weight. The base table follows like any change of
-// tables, when the queue has room. Where no server has left the endpoint list nothing is split.
+// first assignment, and the tables that they should use. When an instance takes over the proxies of
+// other instances, complete tables for all of them may take longer to send than the drain grace,
+// and a proxy without tables from this instance may still use servers that have drained. If they
+// would take more than a quarter of the drain grace, wide tables are split into interim tables by
+// the servers' subset hash, and each pending proxy is first assigned the interim table with the
+// lowest announced rate per weight. The complete table follows as an ordinary change of tables when
+// the queue has room. While all known servers are ready, nothing is split: no proxy can hold a
+// drained one.
 //
 // Invariants: servers that are warming up are in no interim table; an interim table with users only
-// loses servers, until few are left, and is then filled anew; no interim table is empty while its
-// table has a server that is warm.
-// docs/design.md, "Changed" 6, has the reasons.
+// loses servers until few remain, and is then filled anew; no interim table is empty while its base
+// table has a warm server. docs/design.md, "Changed" 6, has the reasons.
 #pragma once
 
 #include <map>
@@ -25,30 +27,31 @@
 
 class InterimTables {
 public:
-    /// By operations, the table that a proxy is to use.
+    /// The table that a proxy should use, by operations.
     using Assignment = std::map<OperationMask, TableId>;
 
     explicit InterimTables(const Settings& settings);
 
-    /// Splits the tables of `pending` where they are too many lines as a base, updates the interim
-    /// tables, and empties those without users. Call it once a decision, after the tables are
-    /// filled.
+    /// Splits the tables of the `pending` first assignments if these are too many lines, updates
+    /// the interim tables, and empties those without users. Call it once per decision, after the
+    /// base tables and subsets are filled.
     void update(Micros now, const std::vector<Assignment>& pending, FleetState& fleet,
                 const SlowStart& slow_start);
 
-    /// What a pending proxy is assigned first in place of `desired`.
+    /// The first assignment of a pending proxy in place of `desired`.
     Assignment first_assignment(const Proxy& proxy, const Assignment& desired) const;
 
-    /// Counts a proxy on its interim tables until the next update.
+    /// Adds a proxy to the users of its interim tables; update() counts all users anew.
     void on_assigned(const Proxy& proxy);
 
 private:
     /// The interim tables of one table.
     struct Split {
         std::vector<TableId> tables;
-        /// By part, as are the next two.
+        /// The number of proxies, by interim table.
         std::vector<int> users;
-        /// The announced rate of its users, and the weight of its servers.
+        /// By interim table: the announced rate of its users (per second), and the weight of its
+        /// servers.
         std::vector<double> rate;
         std::vector<double> weight;
     };
@@ -63,10 +66,11 @@
     double assignment_lines(const Assignment& assignment, const FleetState& fleet) const;
 
     double header_lines_;
-    /// First assignments may take so many lines in all before tables are split.
+    /// Tables are split while the pending first assignments are more lines than this in total.
     double max_pending_lines_;
+    /// By the table that was split.
     std::map<TableId, Split> split_tables_;
-    /// Whether pending proxies get interim tables now.
+    /// Whether pending proxies are assigned interim tables now.
     bool active_ = false;
 };
 
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -1,3 +1,4 @@
+// The thresholds of outlier detection and their evaluation; outlier_detection.h describes the rule.
 #include "policy/outlier_detection.h"
 
 #include <algorithm>
@@ -6,44 +7,49 @@
 namespace {
 
 constexpr Micros kBucketWidth{1'000'000};
-/// A failing server fails this many times what the median server does: less is chance or overload.
+/// A failing server has at least this many times the median server's failed fraction; less is
+/// chance or an overload.
 constexpr double kFailingFactor = 3;
-/// Fewer failures than this are chance.
+/// Fewer failures are chance.
 constexpr double kMinFailures = 2;
-/// On probation fewer attempts decide: the reduced weight draws few.
+/// On probation fewer attempts are enough, because a reduced weight attracts few.
 constexpr double kMinProbationAttempts = 2;
-/// A zone is degraded above this failed fraction, or above this part of the objective.
+/// A zone is degraded above this failed fraction, or with a mean latency above this fraction of the
+/// objective.
 constexpr double kDegradedFailedFraction = 0.05;
 constexpr double kDegradedLatencyFactor = 0.5;
-/// Failures beside answers past this part of the objective are an overload of that server ...
+/// Failures beside a mean latency above this fraction of the objective mean that the server is
+/// overloaded ...
 constexpr double kOverloadedLatencyFactor = 0.75;
-/// ... unless nearly all attempts fail.
+/// ... unless at least this fraction of its attempts fails.
 constexpr double kNearlyAllFailed = 0.9;
-/// Past this failed fraction a server answers nothing.
+/// From this failed fraction on a server is unresponsive.
 constexpr double kUnresponsiveFailedFraction = 0.98;
-/// A slow server takes this many times as long as the median server.
+/// A slow server has at least this many times the median server's mean latency.
 constexpr double kSlowLatencyFactor = 4;
-/// Which part of a zone's servers may be ejected: failing ones, ones that fail nearly all, and
-/// slow ones. At size the weakest of a loaded zone crawl too, and ejecting them tips it.
+/// The fraction of a zone's servers up to which a server may be ejected that fails, that fails
+/// nearly all attempts, or that is slow. In a large loaded zone the weakest servers become slow
+/// too, and ejecting them would overload the zone.
 constexpr double kMaxEjectedFailing = 0.34;
 constexpr double kMaxEjectedNearlyAllFailed = 0.5;
 constexpr double kMaxEjectedSlow = 0.1;
-/// The longest ejection: a mended server is not kept out for much longer than it was faulty.
+/// The longest ejection: a repaired server is not kept out much longer than it was faulty.
 constexpr Micros kMaxEjectionTime{24'000'000};
 constexpr Micros kProbationTime{5'000'000};
-/// A healthy server with this many attempts earns a shorter next ejection.
+/// The next ejection of a healthy server gets shorter while it has this many attempts in the
+/// window.
 constexpr double kMinAttemptsToShortenEjection = 4 * kMinAttempts;
-/// The overload score of a busy server whose answers are late without failing.
+/// The least overload score of a busy server whose answers are late.
 constexpr double kLateOverloadScore = 0.3;
-/// Fewer servers say nothing of a zone.
+/// With fewer healthy servers a zone has no overload score.
 constexpr std::size_t kMinOverloadServers = 2;
 
 double min_attempts(const OutlierState& state) {
     return state.state == EjectionState::Probation ? kMinProbationAttempts : kMinAttempts;
 }
 
-/// How many of a zone's `members` may be ejected together with such a server. One slow server
-/// may always be, however small the zone.
+/// The most ejected servers of a zone, including this one, out of `considered`. One slow server may
+/// always be ejected, however small the zone.
 double max_ejected(bool slow, const AttemptStats& stats, int considered) {
     if (slow) {
         return std::max(1.0, kMaxEjectedSlow * considered);
@@ -196,9 +202,9 @@
     return observed;
 }
 
-// Failures beside idle CPUs are lost answers, refused connections or a lossy network, which
-// admitting less does not mend. The newest seconds decide, so that the score falls soon after the
-// overload does.
+// Failures beside idle CPUs are lost answers, refused connections or a lossy network, which load
+// shedding does not help. Only the newest seconds count, so that the score falls soon after the
+// overload ends.
 double OutlierDetector::overload_score_of(Micros now, const OutlierState& state) const {
     const AttemptStats newest = state.attempts.sum(now, kBucketWidth, kDecisionBuckets - 1);
     if (!newest.busy()) {
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -1,24 +1,30 @@
-// Which servers a zone's proxies must not use for now, and how each zone's servers fare.
+// Outlier detection: ejects servers from the tables of a zone and reports the health of each zone.
 //
-// Inputs: the load reports (what the proxies of one zone met at one server), over a window of four
-// seconds. Latencies are compared with the shortest latency objective of all operations.
+// Input: load reports (the attempts of one zone's proxies at one server), summed over a sliding
+// window of four seconds. Latencies are compared with the shortest latency objective of all
+// operations. Zones are evaluated separately: a server may be ejected in one zone and used in
+// another.
 //
-// The measure is the zone's median server, so that an overload of all ejects nobody. A server is
-// ejected from the tables of one zone when
-//   - it fails: 40% or more of its attempts, and three times what the median server fails, or
-//   - it crawls: its answers take four times as long as the median server's, and longer than the
+// Servers are compared with the median server of the zone, so that an overload of all servers
+// ejects none. A server is ejected from a zone's tables when
+//   - it fails: 40% or more of its attempts fail, and at least three times the median server's
+//     failed fraction; or
+//   - it is slow: its mean latency is at least four times the median server's, and at least the
 //     objective.
-// Failures beside long answers are an overload of that server: ejecting it tips the next one.
-// After the ejection time (6 s at first) the server is on probation for 5 s: it is in the zone's
-// tables again, at a quarter of its weight. Failing or slow again ejects it for twice as long,
-// 24 s at most. The ejection time falls again while a healthy server gets attempts.
+// A server whose attempts fail beside long latencies is overloaded and is kept: ejecting it would
+// overload the next one.
 //
-// The full table follows its own rule: it drops a server that half of the zones have ejected
+// An ejection lasts 6 s at first. Then the server is on probation for 5 s: it is in the zone's
+// tables again, at a quarter of its weight. If it fails or is slow again it is ejected for twice as
+// long, up to 24 s. The ejection time decreases again while the server is healthy and gets
+// attempts.
+//
+// The full table has its own rule: it drops a server that half of the zones have ejected
 // (table_planner.h).
 //
-// Invariants: at most a fixed part of a zone's servers is ejected, unless the zone is dead (three
-// quarters of its servers answer nothing) while other zones answer; reports from before probation
-// do not count in it. docs/design.md, "Changed" 1, has the reasons.
+// Invariants: at most a fixed fraction of a zone's servers is ejected, unless the zone is
+// unresponsive (three quarters of its servers answer nothing) while other zones answer; reports
+// from before a probation don't count in it. docs/design.md, "Changed" 1, has the reasons.
 #pragma once
 
 #include <cstddef>
@@ -32,23 +38,24 @@
 
 namespace badgergrade::policy {
 
-/// Below this many attempts nothing is said of a server, a zone or the fleet.
+/// With fewer attempts a server, a zone or the fleet is not judged.
 constexpr double kMinAttempts = 4;
-/// From this failed fraction on a server is failing.
+/// From this fraction of failed attempts on a server counts as failing.
 constexpr double kFailingFraction = 0.4;
-/// Mean answers past this part of the shortest objective are late: many of them miss it.
+/// A mean latency above this fraction of the shortest objective is late: many answers then miss the
+/// objective.
 constexpr double kLateLatencyFactor = 0.7;
-/// The first ejection; long enough that a short stall is over.
+/// Duration of the first ejection; long enough for a short stall to end.
 constexpr Micros kFirstEjectionTime{6'000'000};
 
-/// Reports are kept for this many buckets of a second each.
+/// Reports are kept in this many buckets of one second each.
 constexpr int kReportBuckets = 8;
-/// Decisions look at the newest four: a few reports, which come every one or two seconds.
+/// Decisions use the newest four buckets: a few reports, which arrive every one or two seconds.
 constexpr int kDecisionBuckets = 4;
 
 enum class EjectionState { Healthy, Ejected, Probation };
 
-/// What one zone's proxies met at one server, and what follows from it there.
+/// The attempts of one zone's proxies at one server, and its ejection state in that zone.
 struct OutlierState {
     SlidingWindow<AttemptStats, kReportBuckets> attempts;
     EjectionState state = EjectionState::Healthy;
@@ -61,21 +68,21 @@
 enum class ZoneCondition { Unreported, Healthy, Degraded };
 
 struct ZoneHealth {
-    /// The failed fraction of the median server whose CPUs are busy (0 to 1); late answers count as
-    /// failures in part.
+    /// 0 to 1: the median over the zone's healthy servers of their failed fraction, 0 for a server
+    /// whose CPUs are not busy. A busy server with late answers scores at least 0.3.
     double overload_score = 0;
     ZoneCondition condition = ZoneCondition::Unreported;
-    /// The median server fails beside idle CPUs: it turns connections away.
+    /// The median server fails while CPUs are idle: servers refuse connections.
     bool refusing_connections = false;
 };
 
 /// A server was ejected from a zone's tables, or has passed its probation. The step from ejection
-/// to probation, with which the server returns to the tables, gives no change and no log line.
+/// to probation, with which the server returns to the tables, is not reported and not logged.
 struct EjectionChange {
     ZoneId zone;
     ServerId server;
     bool ejected;
-    /// What the zone's proxies met at the server.
+    /// The attempts of the zone's proxies at the server.
     AttemptStats stats;
     /// Mean latency of the zone's median server.
     double median_latency_seconds;
@@ -83,25 +90,25 @@
 
 class OutlierDetector {
 public:
-    /// `cpu_column`: where load metrics hold the CPU utilization; past their end: nowhere.
+    /// `cpu_column`: the column of the CPU utilization in the load metrics. Servers without that
+    /// column count as fully utilized.
     OutlierDetector(int zone_count, Micros shortest_objective, std::size_t cpu_column);
 
-    /// Counts a report in the bucket of `now`, whatever interval it covers. The zone must be
-    /// known.
+    /// Counts a report in the bucket of `now`, whatever interval it covers. The zone must be valid.
     void on_load_report(Micros now, const event::ServerLoadReport& report);
-    /// The server has started anew: what was met before does not count, and its ejections and
-    /// probations in all zones end.
+    /// The server has restarted: discards its earlier reports and ends its ejections and probations
+    /// in all zones.
     void reset(ServerId server);
 
-    /// Sum over all zones and ready servers.
+    /// Sum over all zones and ready servers, over the newest kDecisionBuckets.
     AttemptStats fleet_stats(Micros now, const FleetState& fleet) const;
     /// Sum over all zones of one server, over the newest buckets of a second each.
     AttemptStats server_stats(Micros now, ServerId server, int newest_buckets) const;
 
-    /// Takes the decisions of this moment, in the order of zones and servers.
-    /// `fleet_total`: fleet_stats() of this moment. Call it once a decision: the ejection time of
-    /// healthy servers falls by kDecisionInterval with each call. A server that is not ready is
-    /// left out, and its ejection or probation goes on until it is ready again.
+    /// Ejects servers and ends ejections and probations, in the order of zones and servers.
+    /// `fleet_total`: fleet_stats() of this moment. Call it once per decision: each call decreases
+    /// the ejection time of healthy servers by kDecisionInterval. Servers that are not ready are
+    /// skipped; their ejection or probation goes on until they are ready again.
     std::vector<EjectionChange> evaluate(Micros now, const FleetState& fleet,
                                          const AttemptStats& fleet_total);
 
@@ -120,21 +127,20 @@
         AttemptStats stats;
     };
 
-    /// What a zone's proxies met at all their servers.
+    /// The attempts of a zone's proxies at all servers, and what is derived from them.
     struct ZoneObservation {
         ZoneId zone;
         std::vector<ServerStats> servers;
         AttemptStats total;
-        /// Servers that were tried or are not in the state Healthy.
+        /// Servers with attempts, or that are not in the state Healthy.
         int considered = 0;
         int ejected = 0;
-        /// Servers that answer nothing.
+        /// Servers whose attempts (nearly) all fail.
         int unresponsive = 0;
-        /// Of the zone's median server.
         double median_failed_fraction = 0;
         double median_latency_seconds = 0;
         double overload_score = 0;
-        /// Three quarters answer nothing while the other zones answer.
+        /// Three quarters of the servers are unresponsive while other zones' attempts succeed.
         bool zone_unresponsive = false;
     };
 
--- a/src/policy/overload_control.cpp
+++ b/src/policy/overload_control.cpp
@@ -1,3 +1,4 @@
+// Shed fractions and admission limits; overload_control.h describes the rule.
 #include "policy/overload_control.h"
 
 #include <algorithm>
@@ -10,33 +11,35 @@
 namespace {
 
 constexpr Micros kUpdateInterval{1'000'000};
-/// Below the second score a zone has recovered; between the two nothing changes.
+/// A zone is overloaded above the first score and has recovered below the second; between the two
+/// its shed fraction stays.
 constexpr double kOverloadedScore = 0.2;
 constexpr double kRecoveredScore = 0.08;
-/// A step up sheds this part of the score, of what is still admitted.
+/// A step up sheds this factor x the score of what is still admitted.
 constexpr double kShedGain = 0.4;
-/// A step down takes back this part of what is shed, and half of it of everything.
+/// A step down admits this fraction of what is shed, and half of it of all work, again.
 constexpr double kRecoveryStep = 0.1;
-/// More is never shed, so that reports still show how the servers fare.
+/// The most that is shed, so that reports still show the state of the servers.
 constexpr double kMaxShedFraction = 0.8;
 constexpr double kMinAdmittedFraction = 0.1;
-/// Fractions are rounded down to one of this many steps, to spare the channel small changes.
+/// Admitted fractions are rounded down to one of this many steps, so that small changes are not
+/// sent.
 constexpr double kFractionSteps = 20;
-/// Rates are rounded to a tenth of an invocation per second, and none is lower.
+/// Rate limits are rounded to a tenth of an invocation per second, and are at least that.
 constexpr double kRateSteps = 10;
 constexpr double kMinRate = 0.1;
-/// The least work that an invocation counts as; an objective of zero would divide by it.
+/// The least work of an invocation, in seconds; prevents a division by an objective of zero.
 constexpr double kMinWorkSeconds = 1e-3;
-/// Local-only operations may meet warming servers with this many times their weight.
+/// Local-only operations may send a zone's own servers this many times their share of the demand.
 constexpr double kWarmingHeadroom = 2;
 
 }  // namespace
 
-/// What proxies are asked for.
+/// The requested work.
 struct OverloadControl::Demand {
-    /// By operation, one rate per second for each proxy.
+    /// By operation, the invocations per second of each proxy.
     std::vector<std::vector<double>> rates;
-    /// Seconds of work per second, all together.
+    /// Sum over operations and proxies, in seconds of work per second.
     double work = 0;
 };
 
@@ -119,7 +122,8 @@
                                    : 0;
             }
         }
-        // The warming server of a zone that was just lost would meet the whole zone's calls.
+        // Otherwise a single warming server, left of a zone that was just lost, would receive all
+        // invocations of the zone.
         const double wanted_weight = std::max(1e-9, demand_shares[index_of(zone)] * total_weight);
         const double local_only_fraction =
             std::min(1.0, kWarmingHeadroom * zone_weight / wanted_weight);
@@ -129,7 +133,8 @@
     }
 }
 
-/// Over this instance's own proxies: overloads elsewhere are not heard here.
+/// Averages over the proxies connected to this instance; overloads of other zones are not reported
+/// to it.
 double OverloadControl::mean_shed_fraction(const FleetState& fleet) const {
     double total = 0;
     double count = 0;
--- a/src/policy/overload_control.h
+++ b/src/policy/overload_control.h
@@ -1,26 +1,26 @@
-// How much of their work overloaded zones admit.
+// Overload control: sets admission limits for the proxies of overloaded zones (load shedding).
 //
-// Inputs: each zone's overload score (outlier_detection.h), what each proxy is asked for, the
-// operations' latency objectives and priority weights, and the warming servers of a zone. Outputs:
-// the desired admission limits of the tables, as fractions or as rates per second for each proxy,
-// by Settings::admission_mode; nothing where proxies can't limit what they admit.
+// Inputs: each zone's overload score (outlier_detection.h), the demand of each proxy, the
+// operations' latency objectives and priority weights, and the servers that are warming up.
+// Outputs: the desired admission limits of the tables, as fractions or as rates per second for each
+// proxy (Settings::admission_mode); none if proxies can't limit admission.
 //
-// An overload shows in a zone's median server, whatever its cause; single bad servers do not move
-// it. While the score is high the shed fraction of the zone rises every second, by less the higher
-// it is; under a low score it falls. What is shed is a part of the work asked for (rate x latency
-// objective). The operation that is value_per_work least for its work is shed first.
+// The overload score is that of the zone's median server, so it rises with an overload of any
+// cause, but not with single faulty servers. Once a second the zone's shed fraction changes: above
+// the upper threshold it rises by 0.4 x score of what is still admitted; below the lower threshold
+// it falls; between them it stays. The shed fraction is a part of the requested work (rate x
+// latency objective). The operations with the lowest priority weight per work are shed first.
 //
-// The rates are those of the connected proxies' demand reports over the last 6.4 s
-// (kDemandBuckets). A zone's table has the shed fraction of that zone; the full table has the mean
-// over the connected proxies of their zones' shed fractions. A local-only table also admits no
-// more than twice what the zone's own servers, warming ones at their fraction, carry of what the
-// zone asks for. Subset tables get the limits of their zone's tables (subsetting.h). In fraction
-// mode the limit is the admitted fraction, in steps of 1/20; in rate mode it is
-// admission_rate_limit().
+// Rates are those of the connected proxies' demand reports over the last 6.4 s (kDemandBuckets). A
+// zone table has the shed fraction of its zone; the full table has the mean over the connected
+// proxies of their zones' shed fractions. A local-only table admits no more than twice what the
+// zone's own servers carry of the zone's demand, warming servers counted at their slow start
+// fraction. Subset tables get the limits of their zone's tables (subsetting.h). In fraction mode
+// the limit is the admitted fraction, in steps of 1/20; in rate mode it is admission_rate_limit().
 //
-// Invariants: a fifth of the work, and a tenth of each operation, is always asked for, so that the
-// recovery can be seen; without an overload nothing is shed. docs/design.md, "Changed" 5, has the
-// reasons.
+// Invariants: at most 80% of a zone's work is shed and at least a tenth of each operation is
+// admitted, so that a recovery can be observed; without an overload nothing is shed.
+// docs/design.md, "Changed" 5, has the reasons.
 #pragma once
 
 #include <vector>
@@ -32,11 +32,11 @@
 
 namespace badgergrade::policy {
 
-/// The shed fraction of a zone one second later.
+/// The shed fraction (0 to 1) of a zone one second later.
 double next_shed_fraction(double shed_fraction, double overload_score);
 
-/// The rate, the same for all, with which proxies that are asked for these rates admit
-/// `admitted_fraction` of their sum: the busiest are cut first.
+/// The rate limit, the same for all proxies, under which proxies with these request rates admit
+/// `admitted_fraction` of the sum. It limits the busiest proxies first.
 double admission_rate_limit(std::vector<double> rates, double admitted_fraction);
 
 class OverloadControl {
@@ -44,7 +44,7 @@
     explicit OverloadControl(const Settings& settings);
 
     /// Sets the desired limits of the full table, the zone tables and the local-only tables.
-    /// `demand_shares`: by zone. Call it with each decision; shed fractions change once a second.
+    /// `demand_shares`: by zone. Call it once per decision; shed fractions change once a second.
     void update(Micros now, FleetState& fleet, const OutlierDetector& outliers,
                 const SlowStart& slow_start, const std::vector<double>& demand_shares);
 
@@ -54,7 +54,7 @@
 private:
     struct Demand;
 
-    /// What a table's users are to admit.
+    /// The inputs for the limits of one table.
     struct Limits {
         TableId table;
         OperationMask operations;
@@ -63,17 +63,17 @@
         double local_only_fraction;
     };
 
-    /// `zone`: whose proxies are counted; null: all.
+    /// `zone`: only the proxies of this zone; null: all proxies.
     Demand measure_demand(Micros now, const FleetState& fleet, const ZoneId* zone) const;
     void set_limits(FleetState& fleet, const Demand& demand, const Limits& limits) const;
     double mean_shed_fraction(const FleetState& fleet) const;
 
     AdmissionMode admission_mode_;
-    /// Seconds of work an invocation, by operation.
+    /// Work per invocation in seconds, by operation.
     std::vector<double> work_seconds_;
-    /// Operations in the order in which they are shed.
+    /// Operations in the order in which they are shed, lowest value per work first.
     std::vector<OperationId> shed_order_;
-    /// By zone.
+    /// By zone, 0 to 1.
     std::vector<double> shed_fractions_;
     Micros next_update_{};
 };
--- a/src/policy/planner.cpp
+++ b/src/policy/planner.cpp
@@ -1,5 +1,5 @@
-// The order of the steps of a decision, the events that feed them, and the operator's log lines.
-// What each step decides stands with its rule.
+// The order of the steps of a decision, how events update the state, and the operator's log lines.
+// What each step decides is described in the header of its rule.
 #include "policy/planner.h"
 
 #include <algorithm>
@@ -22,6 +22,7 @@
 namespace badgergrade::policy {
 namespace {
 
+/// The token of the timer that triggers the next decision.
 constexpr const char* kTickToken = "beat";
 
 FleetState initial_fleet(const Settings& settings) {
@@ -44,6 +45,7 @@
     return shortest;
 }
 
+/// The column of the CPU utilization in the load metrics; past their end if there is none.
 std::size_t cpu_column(const Settings& settings) {
     const auto& names = settings.load_metric_names;
     return static_cast<std::size_t>(std::ranges::find(names, "cpu") - names.begin());
@@ -57,19 +59,19 @@
     const std::string server = "server " + std::to_string(change.server.value);
     const std::string zone = "zone " + std::to_string(change.zone.value);
     if (!change.ejected) {
-        return server + " back in " + zone;
+        return server + " passed probation in " + zone;
     }
     constexpr double kMillisecondsPerSecond = 1e3;
     const AttemptStats& stats = change.stats;
-    return server + " out of " + zone + ": errored " + rounded(stats.failures) + " of " +
-           rounded(stats.attempts) + " tries, answers take " +
-           rounded(stats.mean_latency_seconds() * kMillisecondsPerSecond) + " ms, usual " +
+    return server + " ejected from " + zone + ": failures " + rounded(stats.failures) + " of " +
+           rounded(stats.attempts) + " attempts, mean latency " +
+           rounded(stats.mean_latency_seconds() * kMillisecondsPerSecond) + " ms, zone median " +
            rounded(change.median_latency_seconds * kMillisecondsPerSecond);
 }
 
 std::string log_text(const SubsetCountChange& change) {
-    return "zone " + std::to_string(change.zone.value) + " dealt into " +
-           std::to_string(change.count) + " shelves";
+    return "zone " + std::to_string(change.zone.value) + " uses " + std::to_string(change.count) +
+           " subsets";
 }
 
 }  // namespace
@@ -91,14 +93,14 @@
           budget_(settings, now),
           publisher_(settings, fleet_, outliers_, slow_start_, subsetting_, budget_) {}
 
-    // The publisher holds references to the other members.
+    // Not copied or moved: the publisher holds references to the other members.
     State(const State&) = delete;
     State& operator=(const State&) = delete;
     State(State&&) = delete;
     State& operator=(State&&) = delete;
     ~State() = default;
 
-    /// Events that no rule needs.
+    /// Ignores events that no rule uses.
     template <class Unused>
     void on(Micros, const Unused&) {}
 
@@ -231,7 +233,7 @@
     bool watching_endpoints_ = false;
     Micros next_watch_at_{};
     bool tick_scheduled_ = false;
-    /// Given out at the end of the decision.
+    /// Collected during a decision and returned at its end.
     std::vector<Command> commands_;
 };
 
--- a/src/policy/planner.h
+++ b/src/policy/planner.h
@@ -1,12 +1,26 @@
-// The entry of the decision module: events in, commands out. One Planner is one control plane
-// instance; objects share nothing.
+// Planner: the decision core of one control plane instance. Events go in (policy/event.h), commands
+// come out (policy/command.h).
 //
-// Hand in each event with on_event(), then call decide() once a moment and carry out its commands
-// in their order. Time points come from the caller and never go back. There is no I/O, no clock and
-// no thread in here; the same settings, seed, events and times give the same commands.
+// Pass each event to on_event(), then call decide() once for that moment and carry out its commands
+// in their order. decide() asks for a timer every kDecisionInterval (250 ms).
 //
-// The rules stand one a file; each header says what its rule decides and why. docs/design.md is the
-// design that they follow, with its sources.
+// The steps of a decision, one file each: demand estimation (demand_estimator.h), the endpoint list
+// (endpoint_list.h), outlier detection (outlier_detection.h), table planning with zone allocation
+// and slow start (table_planner.h, zone_allocation.h, slow_start.h), admission limits
+// (overload_control.h), subsetting (subsetting.h), and publishing (publisher.h) within the send
+// budget (send_budget.h). A sharded deployment runs shard_assignment.h alone. What proxies may
+// retry is decided when admission limits are published: see RetryMode in settings.h.
+//
+// Invariants: no I/O, no clock and no thread; time points come from the caller and never go back;
+// instances share no state; the same settings, seed, events and times give the same commands.
+//
+// Memory does not grow with time or traffic, only with the ids that were seen: one entry for each
+// server that was ever listed, each proxy that ever connected and each pair of zone and server that
+// was reported, all of them kept when the server or proxy is gone. Reports are summed in a fixed
+// number of time buckets (sliding_window.h), unacknowledged lines of a proxy are kept in at most 64
+// entries (send_budget.cpp), and the number of tables follows from the zone count or the shards.
+//
+// docs/design.md is the design that the rules follow, with its sources.
 #pragma once
 
 #include <memory>
@@ -27,12 +41,12 @@
     Planner(Planner&&) noexcept;
     Planner& operator=(Planner&&) noexcept;
 
-    /// Takes in one event; decides nothing yet.
+    /// Updates the state with one event; the commands follow with the next decide().
     void on_event(Micros now, const Event& event);
-    /// What is to be done now. Call it once after the events of a moment.
+    /// Returns the commands of this moment. Call it once after the events of the moment.
     std::vector<Command> decide(Micros now);
 
-    /// What is believed of the configuration channel after the last decision.
+    /// The estimated state of the configuration channel after the last decision.
     ChannelEstimate channel_estimate() const;
 
 private:
--- a/src/policy/publisher.cpp
+++ b/src/policy/publisher.cpp
@@ -1,3 +1,5 @@
+// Table differences, assignments, and how much of both is sent in one decision; publisher.h
+// describes the order and the limits.
 #include "policy/publisher.h"
 
 #include <algorithm>
@@ -9,10 +11,11 @@
 namespace badgergrade::policy {
 namespace {
 
-/// Weights that differ by less are the same.
+/// Weights that differ by less are treated as equal.
 constexpr double kWeightTolerance = 1e-9;
 
-/// Appends what is to be admitted other than published.
+/// Appends the admission limits that differ from the published ones. Their retry mode is always
+/// OnlyUnprocessed: proxies retry once, and only attempts that provably never ran.
 void add_changed_limits(TableId id, const Table& table, std::vector<Command>& lines) {
     for (const auto& [operation, limit] : table.desired_limits) {
         const auto published = table.published_limits.find(operation);
@@ -69,7 +72,7 @@
     }
     add_changed_limits(id, table, added);
     difference.urgent_count = urgent.size();
-    // A table that loses all it has gets newcomers before it is emptied.
+    // A table that keeps none of its published servers gets new ones before it is emptied.
     if (!urgent.empty() && !keeps_any_server) {
         difference.urgent_count += added.size();
     }
@@ -86,7 +89,7 @@
 std::map<OperationMask, TableId> desired_tables(const Proxy& proxy, const FleetState& fleet,
                                                 bool full_table_mode,
                                                 const Subsetting& subsetting) {
-    // In commands 0 stands for all operations.
+    // In commands 0 means all operations.
     const auto mask = [&](OperationMask operations) {
         return operations == fleet.operations.all ? 0 : operations;
     };
@@ -166,8 +169,8 @@
 
 void Publisher::publish_table(Micros now, TableId id, Table& table,
                               const std::vector<ProxyId>& users, Priority priority) {
-    // The users of a table that is given up can't be assigned elsewhere yet: only urgent servers
-    // leave it.
+    // A table that is no longer desired may have users that can't be assigned another one yet: it
+    // loses only the servers that are not ready.
     if (table.desired_weights.empty() && !users.empty()) {
         for (const auto& [server, weight] : table.published_weights) {
             if (fleet_.is_ready(server)) {
@@ -192,9 +195,10 @@
     table.version = budget_.next_version();
 }
 
-// Removals go at once and newcomers with them, but only what is urgent may use the reserve, merged
-// so that messages last: ejections would use up what drains need. Nor do they go before the first
-// assignments: a proxy that waits for its tables may hold servers that drain.
+// Removals are sent at once, together with new servers. Only urgent lines may use the reserve, and
+// they are merged so that the message limit is not used up: ejections would otherwise use what
+// drains need. Other removals are not sent before pending first assignments, because a proxy that
+// waits for its tables may hold draining servers.
 std::size_t Publisher::sendable_lines(Micros now, const Table& table,
                                       const TableDifference& difference,
                                       const std::vector<ProxyId>& users, Priority priority) const {
@@ -241,7 +245,8 @@
     return pending;
 }
 
-// A proxy without any table may hold lines that drain; one that changes tables can wait.
+// A proxy without tables from this instance may hold draining servers; one that changes its tables
+// can wait.
 void Publisher::publish_assignments(Micros now, bool full_table_mode, Priority priority) {
     const bool first = priority == Priority::FirstAssignment;
     for (auto& [id, proxy] : fleet_.proxies) {
--- a/src/policy/publisher.h
+++ b/src/policy/publisher.h
@@ -1,32 +1,42 @@
-// What is sent to the proxies now: the difference between desired and published tables, as far as
-// the send budget allows, and the tables that each proxy is to use.
+// Publishing: sends proxies the differences between desired and published tables, within the send
+// budget, and assigns each proxy its tables.
 //
-// Inputs: the tables and proxies, ejections, the mode, subsets, and the send budget. Outputs:
-// commands in the order in which they must be carried out.
+// Inputs: desired tables (table_planner.h, subsetting.h, overload_control.h), connected proxies,
+// ejections, the mode (full table or zone tables), and the send budget (send_budget.h), whose unit
+// is a line. Output: commands in the order in which they must be carried out.
 //
-// Order of a table's lines: servers that are urgent, or too heavy; newcomers and admission limits;
-// last what reassigned to another table, so that a part of the difference leaves the table usable.
-// Removals go at once; all else is merged until the table's users have acknowledged its last change
-// or the acknowledgement timeout has passed. Order of a batch: tables that nobody uses, so that an
-// assignment finds its table whole; then urgent servers; first assignments; changes of assignments;
-// the rest. Where no proxy waits for its first assignment, what reassigned goes with the urgent
-// servers.
+// Lines of one table, most urgent first:
+//   1. servers that are draining or gone, and reduced weights;
+//   2. new servers, raised weights, ejections, and admission limits;
+//   3. servers that are ready but now belong to another table.
+// Where the table keeps none of its published servers, 2 comes before 1. The budget may cut this
+// order at any point: the table stays usable. Removals are sent at once; other
+// changes are merged until the users of the table have acknowledged its last change, or for
+// kAckTimeout.
 //
-// A server that drains or is gone is a urgent server: it is removed with the decision after the
-// list named it so. Its removal is delayed, or cut to a portion worth its message head, while
-// - one user of the table has used up its message allowance: no user is sent the table's change;
-// - the estimated queue is over 95% of its limit;
-// - the table's last change is younger than the urgent interval, and only the reserve is left.
-// Acknowledgements are not waited for. Nothing here measures how much of the drain grace is left:
-// the send budget keeps the queue short enough for a removal behind it.
+// Tables of one batch, in order: tables without users, so that a later assignment finds them
+// complete; urgent lines of tables in use; first assignments; changed assignments; all other lines.
+// While no proxy waits for its first assignment, all lines of a table that removes servers are sent
+// with its urgent lines, as far as the deferrable budget allows.
 //
-// A proxy that connects is first assigned its tables, with FirstAssignment priority, as soon as the
-// budget has the lines of all of them; until then it is sent nothing and uses what it holds. Where
-// whole tables are too many lines it gets interim tables first.
+// A server that drains or is gone is removed from its tables by the decision that follows the
+// endpoint list update. The removal is delayed, or only a part of it is sent (as many lines as are
+// worth a message header), while
+//   - a user of the table has used up its message limit: then no user is sent the change;
+//   - the estimated queue is above 95% of its limit;
+//   - the table was changed less than the urgent interval ago, and only the urgent reserve is left.
+// Removals don't wait for acknowledgements. The publisher does not track how much of the drain
+// grace is left: the send budget keeps the queue short enough for a removal to pass through it in
+// time.
 //
-// Invariants: a table with users is never emptied before its newcomers are sent; a change is
-// recorded as published exactly when its command is given out; a batch is one message a proxy.
-// docs/design.md, "Changed" 6, has the reasons.
+// A proxy that connects gets its first assignment with FirstAssignment priority as soon as the
+// budget allows for all lines of its tables. Until then it is sent nothing and uses the
+// configuration that it holds. If complete tables for all such proxies would occupy the channel for
+// too long, they first get interim tables (interim_tables.h).
+//
+// Invariants: a table with users is never emptied before its new servers are sent; a change is
+// recorded as published exactly when its command is returned; a proxy gets at most one message per
+// batch. docs/design.md, "Changed" 6, has the reasons.
 #pragma once
 
 #include <map>
@@ -43,20 +53,22 @@
 
 namespace badgergrade::policy {
 
-/// A table's difference, the most urgent lines first.
+/// The lines that turn a published table into the desired one, most urgent first.
 struct TableDifference {
     std::vector<Command> lines;
-    /// The first lines that may use the reserve: servers that are urgent or too heavy, and the
-    /// newcomers of a table that would be empty otherwise.
+    /// How many of the first lines may use the urgent reserve: removals of servers that are
+    /// draining or gone, reduced weights, and the new servers of a table that would be empty
+    /// otherwise.
     std::size_t urgent_count = 0;
-    /// Holds removals of servers that are still ready: they don't wait for acknowledgements.
+    /// The difference removes servers that are still ready; it does not wait for acknowledgements.
     bool has_removals = false;
 };
 
 TableDifference table_difference(TableId id, const Table& table, const FleetState& fleet,
                                  const OutlierDetector& outliers);
 
-/// The tables that a proxy is to use, by operations.
+/// The tables that a proxy should use, by operations: its zone's tables, or its subset of them; the
+/// full table in full table mode, if the zone is unknown, or if the zone table is empty.
 std::map<OperationMask, TableId> desired_tables(const Proxy& proxy, const FleetState& fleet,
                                                 bool full_table_mode, const Subsetting& subsetting);
 
@@ -66,9 +78,9 @@
     Publisher(const Settings& settings, FleetState& fleet, const OutlierDetector& outliers,
               const SlowStart& slow_start, const Subsetting& subsetting, SendBudget& budget);
 
-    /// The commands of this decision, which must all be carried out: they are recorded as
-    /// published. The last one is a RequestAck, if any proxy is concerned. Call it once a
-    /// decision.
+    /// Returns the commands of this decision. All of them must be carried out, since they are
+    /// recorded as published. If any proxy is sent lines, the last one is a RequestAck. Call it
+    /// once per decision.
     std::vector<Command> publish(Micros now, bool full_table_mode);
 
 private:
@@ -77,9 +89,12 @@
     TableUsers users_of_tables() const;
     void publish_table(Micros now, TableId id, Table& table, const std::vector<ProxyId>& users,
                        Priority priority);
+    /// How many of the difference's first lines are sent now.
     std::size_t sendable_lines(Micros now, const Table& table, const TableDifference& difference,
                                const std::vector<ProxyId>& users, Priority priority) const;
+    /// Whether all users have acknowledged the table's last change, or kAckTimeout has passed.
     bool is_acknowledged(Micros now, const Table& table, const std::vector<ProxyId>& users) const;
+    /// The desired tables of each connected proxy that has none assigned by this instance.
     std::vector<InterimTables::Assignment> pending_first_assignments(bool full_table_mode) const;
     void publish_assignments(Micros now, bool full_table_mode, Priority priority);
     void publish_assignment(Micros now, ProxyId id, Proxy& proxy, bool full_table_mode,
@@ -91,11 +106,11 @@
     const Subsetting& subsetting_;
     SendBudget& budget_;
     InterimTables interim_tables_;
-    /// Urgent changes of one table that need the reserve are merged for this long after its last
-    /// change, so that messages last: two message windows / the messages allowed in one.
+    /// After a change of a table, urgent changes that need the reserve are merged for this long, so
+    /// that the message limit is not used up: 2 x message window / messages allowed in a window.
     Micros urgent_interval_;
     std::vector<Command> commands_;
-    /// A connected proxy has no tables of this instance yet.
+    /// Some connected proxy has no tables from this instance yet.
     bool has_pending_assignments_ = false;
 };
 
--- a/src/policy/send_budget.cpp
+++ b/src/policy/send_budget.cpp
@@ -1,3 +1,5 @@
+// The estimate of the channel's queue and the limits of the three priorities; send_budget.h
+// describes the algorithm.
 #include "policy/send_budget.h"
 
 #include <algorithm>
@@ -6,26 +8,28 @@
 namespace {
 
 constexpr int kVersions = 65536;
-/// Even with several faults of the network at once the channel keeps this part of its pace.
+/// The fraction of its stated pace that the channel keeps even with several network faults at once.
 constexpr double kGuaranteedPaceFraction = 0.05;
-/// The pace while acknowledgements stay away for another reason than a slow channel.
+/// The fraction of the stated pace that is assumed while acknowledgements are overdue, which a slow
+/// channel does not explain.
 constexpr double kUnconfirmedPaceFraction = 0.25;
-/// Which part of the queue may be filled.
+/// Fractions of the queue limit up to which lines may be sent.
 constexpr double kDeferrableQueueFraction = 0.75;
 constexpr double kUrgentQueueFraction = 0.95;
-/// Of the drain grace: how long the queue may be before all but the urgent waits.
+/// The target length of the queue, as a fraction of the drain grace.
 constexpr double kTargetQueueGraceFraction = 0.25;
-/// Which part of a proxy's messages may be used for what can wait; drains need the others.
+/// The fraction of a proxy's message limit that deferrable lines may use; drains need the rest.
 constexpr double kDeferrableMessagesFraction = 0.4;
 constexpr Micros kMinMessageBucket{1000};
-/// An urgent change that has to be cut holds at least so many lines for each line of its overhead.
+/// A part of an urgent change has at least this many lines for each line of message overhead.
 constexpr double kMinLinesPerOverheadLine = 2;
-/// Unacknowledged messages kept apart for each proxy; older ones are merged, to bound the memory.
+/// The most entries of unacknowledged lines for each proxy; the oldest are merged, to bound memory.
 constexpr std::ptrdiff_t kMaxUnacknowledged = 64;
-/// Where the settings state no limit.
+/// Stands for "no limit in the settings".
 constexpr double kUnlimitedLines = 1e18;
 
-/// Enough to keep the channel busy until an acknowledgement comes back.
+/// A quarter of what the channel carries in the drain grace, but at least what keeps it busy until
+/// an acknowledgement arrives.
 double target_queued_lines(const Settings& settings) {
     const double round_trip_lines = settings.channel_lines_per_second *
                                     to_seconds(settings.max_network_delay + kDecisionInterval);
@@ -66,7 +70,8 @@
     const Micros elapsed = now - queue_updated_at_;
     double seconds_at_full_pace = to_seconds(elapsed) * kGuaranteedPaceFraction;
     if (acknowledgements_overdue(now)) {
-        // Time in which this process did not run is no silence of the proxies.
+        // Bounded, because acknowledgements are not overdue for time in which this process did not
+        // run.
         seconds_at_full_pace += to_seconds(std::min(elapsed, 2 * kDecisionInterval)) *
                                 (kUnconfirmedPaceFraction - kGuaranteedPaceFraction);
     }
@@ -78,7 +83,8 @@
     }
 }
 
-// At the guaranteed pace a message is acknowledged after its own time, there and back.
+// At the lowest pace, the largest message is acknowledged after its own transmission time and a
+// network round trip.
 bool SendBudget::acknowledgements_overdue(Micros now) const {
     const double message_seconds =
         largest_message_lines_ / (lines_per_second_ * kGuaranteedPaceFraction);
@@ -92,7 +98,8 @@
     return (version_ + 1) % kVersions;
 }
 
-// Lines that wait for a broken connection's lost ones to be passed are no sign of a long queue.
+// Lines that stay in the estimate only because of lost ones don't show a long queue: they are
+// allowed on top of the target.
 bool SendBudget::exceeds_target_queue(Micros now, Priority priority) const {
     return priority != Priority::Urgent && any_acknowledged_ && !acknowledgements_overdue(now) &&
            queued_lines_ >= target_queued_lines_ + lost_lines_;
--- a/src/policy/send_budget.h
+++ b/src/policy/send_budget.h
@@ -1,27 +1,38 @@
-// How many lines may be sent to proxies now.
+// Send budget: flow control for the configuration channel. It decides how many lines may be sent to
+// proxies now, from an estimate of the channel's queue.
 //
-// Inputs: the settings (lines per second of the channel, lines that may wait in it, messages a
-// proxy may be sent in a window), what was sent, acknowledgements, and broken connections. All
-// figures are lines; a message to a proxy costs its head and one line for the acknowledgement.
+// Inputs: the settings (the channel's pace in lines per second, the queue limit in lines, the
+// message limit of a proxy in a time window, the drain grace), what was sent, acknowledgements, and
+// lost connections. The unit is a line; each message also costs its header and one line for the
+// acknowledgement.
 //
-// The lines that wait in the channel are not seen, so they are estimated: the channel surely moves
-// a twentieth of its stated pace; and an acknowledgement proves that all that was sent before it
-// has left. Where none comes for longer than even that pace explains, acknowledgements say nothing
-// of the channel, and it is taken to move a quarter of its stated pace. What waited for a
-// connection that broke is lost with it. As many newer lines may then pass older ones, and go on
-// counting as waiting; until as many are acknowledged, an acknowledgement proves the lines of its
-// own proxy alone.
+// The queue can't be observed, so its length is estimated. It shrinks
+//   - with time: the channel carries at least a twentieth of its stated pace;
+//   - with an acknowledgement, which proves that everything sent before it, to any proxy, has left
+//     the queue;
+//   - with a lost connection: the lines that were queued for it are dropped.
+// If no acknowledgement arrives for longer than even that lowest pace explains, acknowledgements
+// are delayed for another reason and a quarter of the stated pace is assumed. After a connection is
+// lost lines may be reordered: as many newer lines as were dropped may have passed older ones, so
+// they count as queued even when acknowledged; until that many are acknowledged, an acknowledgement
+// proves only the lines of its own proxy.
 //
-// Three priorities. Lost servers may fill nearly the whole queue and message allowance. All else
-// waits here rather than in the channel, where a removal would stand behind it: while
-// acknowledgements come, it is sent only as long as the queue holds less than the channel carries
-// in a part of the drain grace. First assignments may use the message reserve too, and the whole
-// queue while no acknowledgement tells how fast it empties; what can be deferred leaves a reserve
-// of both.
+// A removal has to pass everything that is queued before it (head-of-line blocking), so the queue
+// is kept short and a part of it is reserved, by priority:
+//   - Urgent (draining or gone servers): up to 95% of the queue limit, and all messages but one of
+//     the message limit;
+//   - FirstAssignment: the same limits, but while acknowledgements arrive, only until the queue has
+//     reached its target length: a quarter of what the channel carries in the drain grace, or in a
+//     network round trip if that is more;
+//   - Deferrable (everything else): as FirstAssignment, but up to 75% of the queue limit and 40% of
+//     the message limit.
+// What is over budget waits in the publisher, not in the channel. The target length does not apply
+// before the first acknowledgement or while acknowledgements are overdue, since it is then unknown
+// how fast the queue empties.
 //
 // Invariants: no proxy gets more messages in the window than the settings allow; lines count as
-// waiting until the guaranteed pace or an acknowledgement takes them off. docs/design.md,
-// "Changed" 6, has the reasons.
+// queued until the lowest pace, an acknowledgement or a lost connection removes them.
+// docs/design.md, "Changed" 6, has the reasons.
 #pragma once
 
 #include <cstddef>
@@ -36,25 +47,25 @@
 
 enum class Priority {
     Deferrable,
-    FirstAssignment,  ///< the tables of a proxy that has none of this instance
-    Urgent,           ///< lost servers; may use the reserve
+    FirstAssignment,  ///< the tables of a proxy that has none from this instance yet
+    Urgent,           ///< removal of draining or gone servers; may use the reserve
 };
 
-/// What is believed of the configuration channel, for logs and tests.
+/// The estimated state of the configuration channel, for logs and tests.
 struct ChannelEstimate {
-    /// Lines that are taken to wait in the channel.
+    /// Lines that are estimated to be queued in the channel.
     double queued_lines = 0;
     /// Lines sent to connected proxies and not acknowledged.
     double unacknowledged_lines = 0;
-    /// From the sending of the last acknowledged version to its acknowledgement.
+    /// From sending a version to its acknowledgement, for the last acknowledgement received.
     Micros last_acknowledgement_delay{};
 };
 
-/// The lines that the channel carries in this part of the drain grace; unlimited where the settings
-/// state no pace or no grace.
+/// The lines that the channel carries in this fraction of the drain grace; unlimited if the
+/// settings give no pace or no grace.
 double lines_in_grace(const Settings& settings, double grace_fraction);
 
-/// Versions wrap: whether `version` was given out after `other`.
+/// Whether `version` was issued after `other`. Versions wrap at 65,536.
 bool is_newer(int version, int other);
 
 class SendBudget {
@@ -63,33 +74,33 @@
 
     SendBudget(const Settings& settings, Micros now);
 
-    /// Begins a batch: all that is reserved until commit() is one message a proxy.
+    /// Starts a batch: all lines reserved for a proxy until commit_batch() are one message.
     void begin_batch(Micros now);
-    /// How many lines each of these proxies may be sent now, message overhead_lines not included. 0
-    /// where any one of them may get no message now. There must be at least one recipient, and each
-    /// must be known.
+    /// How many lines each of these proxies may be sent now, without message headers. 0 if any of
+    /// them may get no message now. There must be at least one recipient, and each must be in
+    /// `proxies`.
     std::size_t lines_available(Micros now, const Proxies& proxies,
                                 const std::vector<ProxyId>& recipients, Priority priority) const;
-    /// The fewest of `lines` urgent lines that are worth a message to so many recipients: all, or
-    /// twice as many as its head costs, if an empty queue holds that many.
+    /// The fewest of `lines` urgent lines that are worth a message to each recipient: all of them,
+    /// or twice the message overhead, or what an empty queue holds if that is less.
     std::size_t min_partial_lines(std::size_t lines, std::size_t recipients) const;
-    /// Counts these lines as sent to each recipient.
+    /// Counts this many lines as sent to each recipient.
     void reserve(Proxies& proxies, const std::vector<ProxyId>& recipients, double lines);
-    /// Ends the batch. False: nothing was reserved, and its version is not used.
+    /// Ends the batch. Returns false if nothing was reserved; the version is then not used.
     bool commit_batch(Micros now, Proxies& proxies);
 
-    /// The version of the batch.
+    /// The version of the current batch.
     int next_version() const;
 
     /// The version of the last batch that sent something.
     int version() const { return version_; }
 
-    /// A proxy has applied all up to `version`. Its lines leave the queue; while no lines are
-    /// lost, so do the lines of all proxies that were sent under earlier versions.
+    /// A proxy has applied everything up to a version. Its lines up to that version leave the
+    /// queue; so do the lines of all other proxies under earlier versions, unless lines were lost.
     void on_acknowledged(Micros now, const event::ConfigAcknowledged& acknowledged,
                          Proxies& proxies);
-    /// A proxy's connection broke. Its unacknowledged lines are counted as lost and leave the
-    /// estimated queue; as many newer lines go on counting there after their acknowledgement.
+    /// A proxy's connection was lost. Its unacknowledged lines count as lost and leave the
+    /// estimated queue; as many newer lines then stay in the estimate after their acknowledgement.
     void on_disconnected(Proxy& proxy);
 
     ChannelEstimate estimate() const {
@@ -97,42 +108,46 @@
     }
 
 private:
-    /// Whether acknowledgements stay away for longer than a slow channel explains.
+    /// Whether the next acknowledgement has taken longer than the lowest pace explains.
     bool acknowledgements_overdue(Micros now) const;
-    /// Whether the queue is so long that all but the urgent waits.
+    /// Whether the queue has reached its target length and this priority must wait (backpressure).
     bool exceeds_target_queue(Micros now, Priority priority) const;
+    /// Whether the proxy may be sent one more message in the current window.
     bool within_message_limit(Micros now, const Proxy& proxy, Priority priority) const;
-    /// Lines of the message to this proxy under the newest version, its head included.
+    /// Lines of the message to this proxy under the newest version, including the overhead.
     double last_message_lines(const Proxy& proxy) const;
-    /// Takes off the lines up to this version: acknowledged, or lost with the connection.
+    /// Removes a proxy's unacknowledged lines up to this version: they were acknowledged, or lost
+    /// with the connection.
     void remove_unacknowledged(Proxy& proxy, int up_to_version, bool acknowledged);
 
     double lines_per_second_;
     double header_lines_;
     double max_queued_lines_;
-    /// Only what is urgent is sent while more lines are queued.
+    /// With this many lines queued, only urgent lines are sent.
     double target_queued_lines_;
     int max_messages_;
     Micros messages_bucket_width_;
 
+    /// The version of the last batch.
     int version_ = 0;
-    /// The newest version that proves all before it.
+    /// The newest acknowledged version that proved the earlier ones of all proxies.
     int acknowledged_version_ = 0;
-    /// The version at which lines were first lost.
+    /// The newest version when lines were first lost.
     int version_at_loss_ = 0;
     Micros queue_updated_at_;
     double queued_lines_ = 0;
     double unacknowledged_lines_ = 0;
+    /// Lines lost with connections, until as many newer lines are acknowledged.
     double lost_lines_ = 0;
-    /// Lines that may have passed older ones since lines were lost.
+    /// Acknowledged lines that may have passed older ones since lines were lost.
     double reordered_lines_ = 0;
     Micros last_acknowledgement_delay_{};
     bool any_acknowledged_ = false;
-    /// When the last acknowledgement came, or the first lines were sent that wait for one.
+    /// When the last acknowledgement arrived, or the last batch began with nothing unacknowledged.
     Micros acknowledgement_awaited_since_{};
     double largest_message_lines_ = 0;
     Micros max_network_delay_;
-    /// Who gets a message in this batch.
+    /// The proxies that get a message in this batch.
     std::set<ProxyId> batch_recipients_;
 };
 
--- a/src/policy/shard_assignment.cpp
+++ b/src/policy/shard_assignment.cpp
@@ -1,3 +1,4 @@
+// Assignment of vacant shards; shard_assignment.h describes the rule.
 #include "policy/shard_assignment.h"
 
 #include <algorithm>
--- a/src/policy/shard_assignment.h
+++ b/src/policy/shard_assignment.h
@@ -1,11 +1,13 @@
-// Which server holds each shard (key range) of a sharded deployment.
+// Shard assignment: which server holds each shard (key range) of a sharded deployment.
 //
-// Inputs: the ready servers, and the shards that this instance decides on with their present
-// replicas. A shard whose server is lost goes to the ready server with the fewest shards. Where a
-// shard has one owner at a time, the next one gets it only when all writes of the former are over.
+// Inputs: the ready servers, and the shards that this instance is responsible for, with their
+// current servers. A shard whose server is no longer ready is assigned to the ready server with the
+// fewest shards. If a shard must have only one owner at a time, the next owner is assigned only
+// when all writes of the former owner have taken effect.
 //
-// Invariants: only a shard without any server gets one; where owners are exclusive, two
-// owners are apart by the settle time and the network delay.
+// Invariants: only a shard without any server is assigned one; with exclusive shards, the removal
+// of one owner and the assignment of the next are apart by Settings::shard_handover_delay plus the
+// longest network delay.
 #pragma once
 
 #include <map>
@@ -22,16 +24,16 @@
 public:
     explicit ShardAssignment(const Settings& settings);
 
-    /// Begins with an empty table for the shard, or forgets it.
+    /// Starts with an empty table for the shard, or drops it.
     void on_assignment_changed(const event::ShardAssignmentChanged& change, FleetState& fleet);
-    /// Takes in a replica; ignored where this instance does not decide on the shard.
+    /// Records a replica; ignored if this instance is not responsible for the shard.
     static void on_replica(const event::ShardReplica& replica, FleetState& fleet);
-    /// Removes lost servers and fills vacant shards. The commands must all be carried out: they
-    /// are recorded as published. Call it once a decision.
+    /// Removes servers that are not ready and assigns servers to vacant shards. All commands must
+    /// be carried out: they are recorded as published. Call it once per decision.
     std::vector<Command> update(Micros now, FleetState& fleet);
 
 private:
-    /// Shards by ready server.
+    /// The number of shards of each ready server.
     using ShardCounts = std::map<ServerId, int>;
 
     static ShardCounts count_shards(const FleetState& fleet);
@@ -39,9 +41,9 @@
                             std::vector<Command>& commands);
 
     bool exclusive_;
-    /// How long after an owner was removed its writes may still take effect.
+    /// How long after its removal the writes of an owner may still take effect.
     Micros handover_delay_;
-    /// When a shard that has lost its server may get the next.
+    /// The earliest time for the next server of a shard that has lost one.
     std::map<TableId, Micros> vacant_until_;
 };
 
--- a/src/policy/sliding_window.h
+++ b/src/policy/sliding_window.h
@@ -1,7 +1,7 @@
-// Sums over the recent past, kept in a fixed number of time buckets.
+// Sliding windows: sums over the recent past, kept in a fixed number of time buckets.
 //
-// A report counts from the moment it arrives until its bucket leaves the window. Memory is bounded
-// by the number of buckets, whatever the rate of reports.
+// A sample counts from its arrival until its bucket leaves the window. Memory is bounded by the
+// number of buckets, whatever the rate of samples.
 #pragma once
 
 #include <array>
@@ -12,13 +12,13 @@
 
 namespace badgergrade::policy {
 
-/// The sum of the samples of the last `BucketCount` buckets. A bucket is reused once its time has
-/// passed. `Sample` needs `operator+=` and value initialization to zero. All calls for one window
-/// must name the same bucket width, and `now` never goes back.
+/// The sum of the samples of the last `BucketCount` buckets, a ring buffer. `Sample` needs
+/// `operator+=` and value initialization to zero. All calls for one window must use the same bucket
+/// width, and `now` never goes back.
 template <class Sample, int BucketCount>
 class SlidingWindow {
 public:
-    /// The bucket that `now` falls into; cleared if it held an older time.
+    /// The bucket that contains `now`, for adding to it; cleared first if it is of an older time.
     Sample& bucket(Micros now, Micros bucket_width) {
         const std::int64_t index = now / bucket_width;
         Bucket& found = buckets_[static_cast<std::size_t>(index % BucketCount)];
@@ -28,7 +28,7 @@
         return found.sample;
     }
 
-    /// The sum of the `newest` buckets up to the one that `now` falls into.
+    /// The sum of the `newest` buckets up to and including the one that contains `now`.
     Sample sum(Micros now, Micros bucket_width, int newest = BucketCount) const {
         Sample total{};
         const std::int64_t index = now / bucket_width;
@@ -49,7 +49,7 @@
     std::array<Bucket, BucketCount> buckets_{};
 };
 
-/// What a proxy was asked for: invocations, and the time in which they came.
+/// The invocations that a proxy received, and the time in which it received them.
 struct DemandSample {
     double invocations = 0;
     double interval_seconds = 0;
@@ -60,21 +60,21 @@
         return *this;
     }
 
-    /// Invocations per second; 0 where nothing was reported.
+    /// Invocations per second; 0 if nothing was reported.
     double rate() const { return interval_seconds > 0 ? invocations / interval_seconds : 0; }
 };
 
-/// What proxies met at a server, or at several.
+/// The results of the attempts at one server, or at several.
 struct AttemptStats {
-    /// From this mean CPU utilization on (0 to 1) a server counts as busy: measured utilization
-    /// stays somewhat under 1 when all cores are in use.
+    /// From this mean CPU utilization (0 to 1) on a server counts as busy: measured utilization
+    /// stays below 1 even when all cores are in use.
     static constexpr double kBusyUtilization = 0.8;
 
     double attempts = 0;
     double failures = 0;
     /// Sum of the latencies of the attempts that succeeded.
     double latency_seconds = 0;
-    /// Sum over the attempts of the CPU utilization reported with them.
+    /// Sum over the attempts of the CPU utilization (0 to 1) reported with them.
     double utilization = 0;
 
     AttemptStats& operator+=(const AttemptStats& other) {
@@ -89,7 +89,7 @@
 
     double failed_fraction() const { return attempts > 0 ? failures / attempts : 0; }
 
-    /// Of the attempts that succeeded; 0 where none did.
+    /// Of the attempts that succeeded; 0 if none did.
     double mean_latency_seconds() const {
         return attempts > failures ? latency_seconds / (attempts - failures) : 0;
     }
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -1,3 +1,4 @@
+// Slow start weights and the expected overload; slow_start.h describes the rule.
 #include "policy/slow_start.h"
 
 #include <algorithm>
@@ -8,17 +9,18 @@
 namespace badgergrade::policy {
 namespace {
 
-/// A warming server may meet at least this many times its usual load per weight: retries, or a
-/// burst.
+/// The least overload, in multiples of its usual load per weight, that a warming server must
+/// withstand: retries, or a burst.
 constexpr double kMinExpectedOverload = 2;
-/// The weight rises in this many steps, so that it does not cost a line on every decision.
+/// The weight rises in this many steps, so that not every decision sends a line for it.
 constexpr double kWeightSteps = 8;
-/// Of two servers drawn the idle newcomer is mostly picked: it meets twice its weight.
+/// With least request, two servers are drawn and the idle new one is usually picked: it receives
+/// twice its weight.
 constexpr double kLeastRequestFactor = 2;
-/// The lowest part of attempts that succeed; keeps the attempts an answer finite.
+/// The least success fraction that is assumed; keeps the attempts per success finite.
 constexpr double kMinSuccessFraction = 0.05;
-/// An expected overload is rounded to a power of two, up from this part of the step on, so that
-/// single reports do not change the tables.
+/// The expected overload is rounded to a power of two, so that single reports don't change the
+/// tables; it is rounded up from this fraction of a step (in the logarithm) on.
 constexpr double kRoundUpThreshold = 0.4;
 
 }  // namespace
@@ -39,8 +41,8 @@
         return 1;
     }
     const double age = std::max(0.0, to_seconds(now - server.started_at) / to_seconds(window_));
-    // Proxies that restarted with it may still send by tables of their own. What they sent must be
-    // out of the collapse window before the weight of this instance can be counted for it.
+    // Proxies that restarted together with the server may still use tables from elsewhere. Their
+    // attempts must be out of the collapse window before this instance can give the server weight.
     if (overload >= kSevereOverload || now < server.start_reported_at + collapse_time_) {
         return 0;
     }
@@ -79,8 +81,8 @@
     return server.weight * std::min(weight_fraction(now, server), probation_fraction);
 }
 
-// An overload that cut admission holds down is back within one report. Late answers come with
-// proxies that avoid each busy server, so that an idle warming one draws all.
+// An overload that load shedding holds down would return within one report. With late answers
+// proxies avoid each busy server, so an idle warming server would receive nearly everything.
 void SlowStart::update_expected_overload(Micros now, const AttemptStats& stats, bool shedding,
                                          const FleetState& fleet) {
     double overload = 1;
--- a/src/policy/subsetting.cpp
+++ b/src/policy/subsetting.cpp
@@ -1,3 +1,5 @@
+// The number of subsets of each zone, their tables and their proxies; subsetting.h describes the
+// rule.
 #include "policy/subsetting.h"
 
 #include <algorithm>
@@ -7,14 +9,14 @@
 namespace badgergrade::policy {
 namespace {
 
-/// A subset is not made narrower than this where connections are refused: one dead server must not
-/// be a subset of its own.
+/// The least width, in servers, down to which a table is split for refused connections: a single
+/// failed server must not make up a whole subset.
 constexpr double kMinRefusingSubsetWidth = 3;
-/// A split outlasts the degradation that caused it by this, against flapping.
+/// A split lasts this long after the zone was last degraded, to prevent flapping.
 constexpr Micros kSplitHoldTime = kHoldDownRecomputations * kRecomputeInterval;
-/// Time for a split to show its effect before the next.
+/// The time that a split gets to show its effect before the next one.
 constexpr Micros kSplitInterval = 2 * kAckTimeout;
-/// A proxy that announced nothing counts as this rate per second.
+/// The least announced rate, in invocations per second, that a proxy counts with.
 constexpr double kMinRate = 0.01;
 
 double announced_rate(const Proxy& proxy) {
@@ -84,7 +86,7 @@
         ZoneSubsets& subsets = zones_[index_of(zone)];
         const int count_before = subsets.count;
         update_count(now, zone, fleet, outliers.health(zone));
-        // The scan over all servers is left out where the zone is not split anyway.
+        // Evaluated in this order because warming_fraction() scans all servers.
         if (now >= subsets.split_until ||
             slow_start.warming_fraction(now, fleet) > kManyWarmingFraction / 2) {
             subsets.count = 1;
@@ -119,7 +121,7 @@
     const auto table = fleet.tables.find(FleetState::zone_table(zone));
     const auto width =
         static_cast<double>(table == fleet.tables.end() ? 0 : table->second.desired_weights.size());
-    // As many connections as a proxy's own traffic keeps from idling out.
+    // The number of connections that a proxy's own traffic keeps from the idle timeout.
     const double sustained_connections =
         proxies > 0 ? std::max<double>(kMinSubsetWidth, announced / proxies * idle_seconds_)
                     : width;
@@ -155,15 +157,16 @@
         if (subsets.count < 2 || (local_only && !has_local_only)) {
             continue;
         }
-        const Table& whole =
+        const Table& base =
             fleet.tables[local_only ? fleet.local_only_table(zone) : FleetState::zone_table(zone)];
         for (int subset = 0; subset < subsets.count; ++subset) {
             fleet.tables[fleet.subset_table(zone, subset, local_only)].desired_limits =
-                whole.desired_limits;
+                base.desired_limits;
         }
-        for (const auto& [id, weight] : whole.desired_weights) {
+        for (const auto& [id, weight] : base.desired_weights) {
             const Server& server = fleet.servers[id];
-            // In a subset a warming server would meet all that its busy neighbours turn away.
+            // In a subset a warming server would receive everything that the busy servers beside it
+            // refuse.
             if (slow_start.is_warming_up(now, server)) {
                 continue;
             }
--- a/src/policy/subsetting.h
+++ b/src/policy/subsetting.h
@@ -1,20 +1,22 @@
-// Whether a zone's table is split into subsets, which servers each subset holds, and which proxies
-// use it.
+// Subsetting: whether a zone's tables are split into subsets, which servers each subset contains,
+// and which proxies use it.
 //
-// Inputs: each zone's health, the size of its table, and the rates that its proxies announced. A
-// table far wider than what a proxy's own traffic keeps connections for costs a handshake with
-// nearly every invocation, and hides slow and dead servers from the proxy's own picking; servers
-// short of connections turn its attempts away. While such a zone is degraded its table is halved
-// until it is narrow enough, and halved further while connections are refused.
+// Inputs: each zone's health, the size of its table, the rates that its proxies announced, and how
+// long idle connections are kept.
 //
-// A server's subset follows from its subset hash. A proxy goes to the subset with the lowest
-// requested rate for its weight, the busiest proxies first, and leaves a subset that has lost half
-// of its mean weight.
+// If a table is far wider than the number of connections that a proxy's own traffic keeps open,
+// nearly every invocation needs a new connection, and the proxy can't recognize slow and failed
+// servers by its own load balancing; servers that run out of connections refuse its attempts. While
+// such a zone is degraded, its table is halved until it is narrow enough, and halved further while
+// connections are refused.
 //
-// Invariants: servers that are warming up are in no subset; nothing is split while much of the
-// fleet is warming up; a proxy keeps its subset while the count stays the same and the
-// subset holds its weight.
-// docs/design.md, "Changed" 4, has the reasons.
+// A server's subset follows from its subset hash. Proxies are assigned, highest announced rate
+// first, to the subset with the lowest announced rate per weight. A proxy leaves a subset whose
+// weight falls to half of the mean or less.
+//
+// Invariants: servers that are warming up are in no subset; no zone is split while much of the
+// fleet is warming up; a proxy keeps its subset while the number of subsets is unchanged and the
+// subset keeps its weight. docs/design.md, "Changed" 4, has the reasons.
 #pragma once
 
 #include <cstddef>
@@ -27,15 +29,17 @@
 
 namespace badgergrade::policy {
 
-/// A subset is not made narrower than this for warm connections: a proxy needs a choice.
+/// The least width, in servers, down to which a table is split to keep connections open: proxies
+/// need several servers to choose from.
 constexpr std::size_t kMinSubsetWidth = 12;
 
 struct ZoneSubsets {
     int count = 1;
-    /// Not split after this, unless the zone is degraded again.
+    /// The zone is no longer split from this time on, unless it is degraded again.
     Micros split_until{};
+    /// The earliest next split for refused connections.
     Micros next_split{};
-    /// By subset: the announced rate of its proxies, and the weight of its servers.
+    /// By subset: the announced rate of its proxies (per second), and the weight of its servers.
     std::vector<double> rate;
     std::vector<double> weight;
 };
@@ -45,24 +49,26 @@
     int count;
 };
 
-/// The place of a server with this hash among `count` subsets.
+/// The subset, out of `count`, of a server with this hash.
 inline std::size_t subset_of(double subset_hash, int count) {
     return static_cast<std::size_t>(subset_hash * count);
 }
 
-/// The part with the lowest requested rate for each unit of weight, were `more` added to it. Parts
-/// of `min_weight` or less take no more proxies; nothing: all are closed.
+/// The index with the lowest rate per weight if `more` is added to its rate, out of those with a
+/// weight above `min_weight`; no value if there is none.
 std::optional<std::size_t> least_loaded(const std::vector<double>& rate,
                                         const std::vector<double>& weight, double more,
                                         double min_weight);
 
-/// Assigns the connected proxies of a zone to its subsets.
+/// Assigns the connected proxies of a zone to its subsets and adds their rates to `subsets.rate`.
 void assign_proxies(ZoneId zone, ZoneSubsets& subsets, FleetState& fleet);
 
 class Subsetting {
 public:
     Subsetting(int zone_count, Micros connection_idle_timeout);
 
+    /// Splits zones or ends their splits, fills the subset tables and assigns proxies. Call it once
+    /// per decision, after the base tables are filled.
     std::vector<SubsetCountChange> update(Micros now, FleetState& fleet,
                                           const OutlierDetector& outliers,
                                           const SlowStart& slow_start);
--- a/src/policy/table_planner.cpp
+++ b/src/policy/table_planner.cpp
@@ -1,3 +1,5 @@
+// The choice between zone tables and the full table, and the weights in them; table_planner.h
+// describes the rules.
 #include "policy/table_planner.h"
 
 #include <algorithm>
@@ -8,22 +10,25 @@
 namespace badgergrade::policy {
 namespace {
 
-/// From this load on (in mean loads) a degraded zone's demand is spread over all servers: the
-/// ceiling itself where a healthy zone is heard and admission can be limited ...
+/// Above this load, in multiples of the mean load, the demand of a degraded zone is spread over all
+/// servers with the full table: the ceiling itself if a healthy zone is reported and admission can
+/// be limited ...
 constexpr double kMaxZoneLoad = 1.2;
-/// ... and later where it is unknown whether other zones have room, or where nothing limits what is
-/// spread: one wrongly ejected server must not send all proxies to the faulty ones of another zone.
+/// ... and a higher load if it is unknown whether other zones have spare capacity, or if nothing
+/// limits the demand that is spread: one wrongly ejected server must not make all proxies use the
+/// faulty servers of another zone.
 constexpr double kMaxZoneLoadCautious = 1.4;
-/// The overload score from which on the only zone that is heard counts as overloaded.
+/// Above this overload score the only reported zone counts as overloaded.
 constexpr double kOnlyZoneOverloadScore = 0.2;
 
-/// Against a division by zero in a zone without servers.
+/// Prevents a division by zero for a zone without servers.
 constexpr double kMinZoneWeight = 1e-9;
-/// A zone table of at most so many servers names warming ones beside so many warm ones or more.
+/// A zone table with at most kNarrowTableServers servers contains warming servers only beside at
+/// least kMinWarmServers warm ones.
 constexpr std::ptrdiff_t kNarrowTableServers = 5;
 constexpr std::ptrdiff_t kMinWarmServers = 2;
 
-/// Whether the proxies ask for more than they announced, past the allowed overload.
+/// Whether the proxies receive more than they announced plus the allowed overload.
 bool demand_exceeds_announced(Micros now, const FleetState& fleet) {
     double requested = 0;
     double announced = 0;
@@ -36,8 +41,8 @@
     return requested > announced * (1 + kAllowedOverloadFraction);
 }
 
-/// Fills the full table and the local-only tables that ejections have left empty with all servers
-/// that belong there.
+/// Fills the full table and the local-only tables, if ejections or slow start have left them empty,
+/// with all servers that belong there.
 void fill_empty_tables(FleetState& fleet, const std::vector<ServerCapacity>& ready) {
     std::set<TableId> empty;
     for (TableId table = fleet.full_table(); table <= fleet.last_base_table(); ++table.value) {
@@ -124,7 +129,8 @@
     return ready;
 }
 
-// The hold-down is for drift; a zone past the ceiling is not left to wait for it.
+// The hold-down is meant for slow changes: shares that load a zone above the ceiling are adopted
+// without it.
 ZoneAllocation TablePlanner::allocate(const Context& context,
                                       const std::vector<ServerCapacity>& ready) {
     const auto allocate_by_shares = [&] {
@@ -147,7 +153,7 @@
     return allocation;
 }
 
-/// Why a feasible allocation is not used; empty: it is.
+/// Why a feasible allocation is not used; empty if it is used.
 std::string TablePlanner::fallback_reason(const Context& context,
                                           const ZoneAllocation& allocation) const {
     const std::vector<ZoneHealth>& health = context.outliers.health();
@@ -155,13 +161,14 @@
         std::ranges::count(health, ZoneCondition::Unreported, &ZoneHealth::condition);
     const double max_score =
         std::ranges::max(health, {}, &ZoneHealth::overload_score).overload_score;
-    // An instance that hears a single zone sees no idle one beside its overload. With many servers
-    // warming up every zone is overloaded, and spreading would meet in those servers.
+    // An instance with reports of a single zone can't see that other zones are idle. With many
+    // servers warming up every zone is overloaded, and the spread demand would overload those
+    // servers.
     if (context.slow_start.warming_fraction(context.now, context.fleet) <=
             kManyWarmingFraction / 2 &&
         demand_exceeds_announced(context.now, context.fleet) &&
         unreported == context.fleet.zone_count - 1 && max_score > kOnlyZoneOverloadScore) {
-        return "a zone jams, and no other is heard";
+        return "the only reported zone is overloaded";
     }
     const bool any_zone_healthy =
         std::ranges::count(health, ZoneCondition::Healthy, &ZoneHealth::condition) > 0;
@@ -169,7 +176,7 @@
         any_zone_healthy && can_limit_admission_ ? kMaxZoneLoad : kMaxZoneLoadCautious;
     const double load =
         worst_zone_load(context.demand.shares(), allocation.usable, health, ZoneFilter::Degraded);
-    return load > max_load ? "a zone stays over the ceiling after all moves" : "";
+    return load > max_load ? "a degraded zone stays above the load ceiling after all moves" : "";
 }
 
 std::optional<std::string> TablePlanner::update_mode(const Context& context,
@@ -179,7 +186,7 @@
         full_table_mode_ = true;
         recomputations_since_infeasible_ = 0;
         full_table_reason_ = reason;
-        return changed ? std::optional("full table for all: " + reason) : std::nullopt;
+        return changed ? std::optional("all proxies use the full table: " + reason) : std::nullopt;
     }
     if (!full_table_mode_) {
         return std::nullopt;
@@ -190,7 +197,7 @@
         return std::nullopt;
     }
     full_table_mode_ = false;
-    return "zone tables again";
+    return "proxies use zone tables again";
 }
 
 void TablePlanner::fill_tables(const Context& context,
@@ -229,8 +236,9 @@
     }
 }
 
-// Of two lines a proxy that takes the less loaded of two picks either half of the time, and one
-// that avoids its failing servers has the warming one left: a low weight does not hold.
+// A low weight does not protect a warming server in a narrow table: with two servers, a proxy that
+// uses least request picks either half of the time, and a proxy that avoids its failing servers has
+// only the warming one left.
 void TablePlanner::keep_warming_out_of_narrow_tables(const Context& context) {
     FleetState& fleet = context.fleet;
     const auto is_warming = [&](const auto& entry) {
--- a/src/policy/table_planner.h
+++ b/src/policy/table_planner.h
@@ -1,19 +1,23 @@
-// What the full table, the zone tables and the local-only tables are to hold, and whether zone
-// tables or the full table are in force.
+// Table planning: the desired weights of the base tables (full table, zone tables, local-only
+// tables), and the mode, which says whether proxies use the zone tables or all use the full table.
 //
 // Inputs: the ready servers, demand shares, ejections, slow start, and each zone's health. Outputs:
 // Table::desired_weights, and the mode.
 //
-// The allocation (zone_allocation.h) decides. All proxies get the full table where it is
-// infeasible, and in two more cases that the design's 20% ceiling does not hold by moves alone: a
-// degraded zone stays too far above the mean load; or the one zone that is heard is overloaded
-// while its proxies ask for more than they announced. Zone tables come back once the allocation was
-// feasible for the hold-down rounds and all servers are warm, against flapping.
+// Zone tables follow the zone allocation (zone_allocation.h). All proxies use the full table
+// (fallback)
+//   - if the allocation is infeasible;
+//   - if a degraded zone stays too far above the mean load after all moves;
+//   - if this instance has reports of one zone only, that zone is overloaded, and its proxies
+//   receive
+//     more than they announced, past the allowed overload.
+// Zone tables are used again once the allocation was feasible for the hold-down recomputations and
+// no server is warming up, to prevent flapping.
 //
 // Invariants: an ejection never leaves the full table or a local-only table without servers; a
-// server that slow start gives nothing is in no table, unless that table would be empty; a narrow
-// zone table names warming servers only beside several warm ones.
-// docs/design.md, "Changed" 3, has the reasons.
+// server with a slow start weight of 0 is in no table, except in a full or local-only table that
+// would otherwise be empty; a zone table with few servers contains warming servers only beside
+// several warm ones. docs/design.md, "Changed" 3, has the reasons.
 #pragma once
 
 #include <map>
@@ -30,11 +34,11 @@
 
 namespace badgergrade::policy {
 
-/// The zones that worst_zone_load looks at.
+/// The zones that worst_zone_load() considers.
 enum class ZoneFilter { All, Degraded };
 
-/// The load of the most loaded zone's servers, as a multiple of the mean load. `usable`: weight by
-/// zone.
+/// The load (demand for each unit of usable weight) of the most loaded zone, as a multiple of the
+/// mean load. `usable`: usable weight by zone.
 double worst_zone_load(const std::vector<double>& demand_shares, const std::vector<double>& usable,
                        const std::vector<ZoneHealth>& health, ZoneFilter filter);
 
@@ -42,20 +46,20 @@
 public:
     explicit TablePlanner(const Settings& settings);
 
-    /// A recomputation of the demand shares took place.
+    /// To be called after each recomputation of the demand shares.
     void on_demand_recomputed() { ++recomputations_since_infeasible_; }
 
-    /// Decides on the mode and fills the desired weights of all tables but the subsets. The text
-    /// for the operator's log where the mode changed.
+    /// Decides on the mode and fills the desired weights of the base tables. Returns a text for the
+    /// operator's log if the mode changed.
     std::optional<std::string> update(Micros now, FleetState& fleet,
                                       const OutlierDetector& outliers, const SlowStart& slow_start,
                                       DemandEstimator& demand);
 
-    /// All proxies use the full table.
+    /// Whether all proxies use the full table.
     bool full_table_mode() const { return full_table_mode_; }
 
 private:
-    /// What one update works with.
+    /// The inputs of one update.
     struct Context {
         Micros now;
         FleetState& fleet;
@@ -74,11 +78,12 @@
     bool only_instance_;
     bool can_limit_admission_;
     bool warming_servers_can_collapse_;
+    /// The current allocation.
     std::map<ServerId, ZoneId> zone_of_server_;
     bool full_table_mode_ = false;
     std::string full_table_reason_;
     int recomputations_since_infeasible_ = 0;
-    /// Before it, shares are not adopted early again.
+    /// Shares are not adopted ahead of the hold-down before this time.
     Micros next_early_adoption_{};
 };
 
--- a/src/policy/zone_allocation.cpp
+++ b/src/policy/zone_allocation.cpp
@@ -1,3 +1,4 @@
+// Feasibility and the moves of servers between zones; zone_allocation.h describes the algorithm.
 #include "policy/zone_allocation.h"
 
 #include <algorithm>
@@ -7,10 +8,10 @@
 namespace badgergrade::policy {
 namespace {
 
-/// Sums of weights are compared with this tolerance for rounding.
+/// Tolerance for rounding when sums of weights are compared.
 constexpr double kRoundingTolerance = 1e-9;
-/// A server that is smaller counts as this much where it is moved (the design's figure), so that
-/// small servers do not follow every small change of demand.
+/// Smaller servers count as this weight when they are moved (the design's figure), so that they
+/// don't follow every small change of demand.
 constexpr double kMinMoveSize = 0.5;
 
 double total_usable(const std::vector<ServerCapacity>& servers) {
@@ -21,7 +22,7 @@
     return total;
 }
 
-/// Empty where the allocation is feasible.
+/// Why the allocation is infeasible; empty if it is feasible.
 std::string infeasibility(const std::vector<double>& demand_shares,
                           const std::vector<ServerCapacity>& servers) {
     const int zones = static_cast<int>(demand_shares.size());
@@ -38,18 +39,18 @@
         minimums += min_servers_for(share * listed);
     }
     if (zones_with_demand < 2) {
-        return "under two zones";
+        return "fewer than two zones with demand";
     }
     if (static_cast<std::size_t>(zones_with_demand) > servers.size()) {
-        return "more zones than servers";
+        return "more zones with demand than servers";
     }
     if (minimums > listed + kRoundingTolerance) {
-        return "minimums exceed the servers";
+        return "zone minimums exceed the listed servers";
     }
     return server_without_zone ? "a server without a zone" : "";
 }
 
-/// What a zone has above what it desires; negative: its deficit.
+/// Each zone's usable weight above its desired weight; negative: its deficit.
 std::vector<double> surplus_by_zone(const std::vector<double>& demand_shares,
                                     const std::vector<ServerCapacity>& servers) {
     const double usable = total_usable(servers);
@@ -80,8 +81,9 @@
             -*smallest};
 }
 
-/// Whether a server may make this move. One that is warming up stays at home: in a zone whose own
-/// servers have just died it would be the only one that answers, and would take its whole demand.
+/// Whether a server may make this move. A server that is warming up stays in its own zone: in a
+/// zone whose own servers have just failed, it would be the only one that answers and would receive
+/// the whole demand.
 bool can_move(const ServerCapacity& server, ZoneId current_zone, const ServerMove& move) {
     if (server.zone != move.from || current_zone != move.from || server.usable <= 0 ||
         server.warming_up) {
@@ -91,7 +93,8 @@
     return size <= move.surplus + kRoundingTolerance && size <= move.deficit + kRoundingTolerance;
 }
 
-/// Of the servers that fit, one that stood there before, then the largest; null: none can_move.
+/// Of the servers that can move: one that was allocated to the target zone before, then the
+/// largest; null if none can move.
 const ServerCapacity* server_to_move(const std::vector<ServerCapacity>& servers,
                                      const ServerMove& move,
                                      const std::map<ServerId, ZoneId>& zone_of_server,
--- a/src/policy/zone_allocation.h
+++ b/src/policy/zone_allocation.h
@@ -1,18 +1,19 @@
-// Which zone's proxies use which server: the paper's mechanism.
+// Zone allocation: which zone's proxies use which server (the paper's algorithm).
 //
 // Inputs: each zone's share of the demand (fractions that sum to 1), the ready servers with their
-// listed and usable weight (in units of the mean listed weight, so that 1 is one average server),
-// and the allocation before.
+// listed and usable weight (in units of the mean listed weight: 1 is one average server), and the
+// previous allocation.
 //
-// desired = a zone's share x all weight; minimum = ceil(desired / 1.2), so that no zone's servers
-// carry more than 20% above their share. Feasibility is decided by listed weights, so that neither
-// an ejection nor slow start changes it by the count; infeasible: one full table for all. Every
-// server starts in its own zone; then servers move one at a time from the zone with the largest
-// surplus to the one with the largest deficit, as long as a whole server fits on both sides.
+// The desired weight of a zone is its share x the weight of all servers. Its minimum is
+// ceil(desired / 1.2), so that no zone's servers are loaded more than 20% above their share.
+// Feasibility is decided by listed weights, so that an ejection or slow start does not change it;
+// if the allocation is infeasible, all proxies use one full table. Every server starts in its own
+// zone; then servers are moved one at a time from the zone with the largest surplus to the zone
+// with the largest deficit, as long as a whole server fits into both.
 //
-// Invariants: every ready server has exactly one zone; a server that is warming up stays in its own
-// zone; the result depends on the arguments alone.
-// docs/design.md names the sources.
+// Invariants: every ready server is allocated to exactly one zone; a server that is warming up
+// stays in its own zone; the result depends on the arguments alone. docs/design.md names the
+// sources.
 #pragma once
 
 #include <map>
@@ -23,28 +24,29 @@
 
 namespace badgergrade::policy {
 
-/// How far a zone's servers may be loaded above their share (the paper's figure).
+/// How far a zone's servers may be loaded above their share, as a fraction (the paper's figure).
 constexpr double kAllowedOverloadFraction = 0.2;
 
 struct ServerCapacity {
     ServerId server;
     ZoneId zone;
-    /// Weight from the endpoint list, in mean listed weights.
+    /// Weight from the endpoint list, in units of the mean listed weight.
     double listed;
-    /// The part of it that the server can be given now.
+    /// The part of `listed` that the server can be given now: 0 if ejected, less on probation or
+    /// while warming up.
     double usable;
     bool warming_up = false;
 };
 
 struct ZoneAllocation {
-    /// Why the allocation is infeasible; empty where it is feasible.
+    /// Why the allocation is infeasible; empty if it is feasible.
     std::string infeasible_reason;
     std::map<ServerId, ZoneId> zone_of_server;
-    /// Usable weight by zone; empty where infeasible.
+    /// Usable weight by zone; empty if infeasible.
     std::vector<double> usable;
 };
 
-/// The fewest servers for a zone that desires this many.
+/// The least number of servers for a zone whose desired number is this.
 double min_servers_for(double desired);
 
 ZoneAllocation allocate_zones(const std::vector<double>& demand_shares,
--- a/tests/policy/table_planner_test.cpp
+++ b/tests/policy/table_planner_test.cpp
@@ -72,7 +72,8 @@
 TEST_F(TablePlannerTest, InfeasibleMeansTheFullTableUntilTheHoldDownIsOver) {
     demand.update(kStart + kRecomputeInterval, fleet);
     add_server(fleet, 9, -1);
-    EXPECT_EQ(update(kStart + kRecomputeInterval), "full table for all: a server without a zone");
+    EXPECT_EQ(update(kStart + kRecomputeInterval),
+              "all proxies use the full table: a server without a zone");
     EXPECT_EQ(update(kStart + kRecomputeInterval), std::nullopt);
     fleet.servers.erase({9});
     for (int round = 1; round <= kHoldDownRecomputations; ++round) {
@@ -80,7 +81,7 @@
         EXPECT_TRUE(planner.full_table_mode());
         planner.on_demand_recomputed();
     }
-    EXPECT_EQ(update(kStart + kRecomputeInterval), "zone tables again");
+    EXPECT_EQ(update(kStart + kRecomputeInterval), "proxies use zone tables again");
 }
 
 // A zone all of whose servers are ejected would leave its local-only operations without any: the
--- a/tests/policy/zone_allocation_test.cpp
+++ b/tests/policy/zone_allocation_test.cpp
@@ -50,11 +50,12 @@
 
 // Where zones can't each have a server, or not enough of them, zone tables can't keep the ceiling.
 TEST(ZoneAllocation, SaysWhyItIsInfeasible) {
-    EXPECT_EQ(allocate_zones({1, 0}, servers({0, 1}), {}).infeasible_reason, "under two zones");
+    EXPECT_EQ(allocate_zones({1, 0}, servers({0, 1}), {}).infeasible_reason,
+              "fewer than two zones with demand");
     EXPECT_EQ(allocate_zones({0.5, 0.5}, servers({0}), {}).infeasible_reason,
-              "more zones than servers");
+              "more zones with demand than servers");
     EXPECT_EQ(allocate_zones({0.65, 0.35}, servers({0, 1}), {}).infeasible_reason,
-              "minimums exceed the servers");
+              "zone minimums exceed the listed servers");
     EXPECT_EQ(allocate_zones({0.5, 0.5}, servers({0, 0, 1, -1}), {}).infeasible_reason,
               "a server without a zone");
 }
