--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -1,5 +1,5 @@
-// Plays scenario files (docs in tests/README.md) against one policy::Planner, or wire text against
-// the adapter's host.
+// Plays scenario files against one policy::Planner, or wire text against the adapter's host.
+// tests/README.md describes the notation. A failed check prints the scenario line and aborts.
 #undef NDEBUG
 #include <cassert>
 #include <cmath>
@@ -17,27 +17,28 @@
 
 namespace {
 
+/// The current line of the scenario file, for messages.
 int line_number = 0;
 
-#define CHECK(what)                                                                \
+#define CHECK(condition)                                                           \
     do {                                                                           \
-        if (!(what))                                                               \
-            std::fprintf(stderr, "scenario line %d does not hold\n", line_number); \
-        assert(what);                                                              \
+        if (!(condition))                                                          \
+            std::fprintf(stderr, "scenario line %d: check failed\n", line_number); \
+        assert(condition);                                                         \
     } while (false)
 
-/// The scenario can't be played as it stands: it names what the notation does not have.
-[[noreturn]] void fail(const std::string& why) {
-    std::fprintf(stderr, "scenario line %d: %s\n", line_number, why.c_str());
+/// Aborts because the scenario uses a word that the notation does not have.
+[[noreturn]] void fail(const std::string& reason) {
+    std::fprintf(stderr, "scenario line %d: %s\n", line_number, reason.c_str());
     std::abort();
 }
 
 using Words = std::vector<std::string>;
 
-Words split(const std::string& text, char by) {
+Words split(const std::string& text, char separator) {
     Words out;
     std::istringstream in(text);
-    for (std::string word; std::getline(in, word, by);) {
+    for (std::string word; std::getline(in, word, separator);) {
         if (!word.empty()) {
             out.push_back(word);
         }
@@ -45,65 +46,67 @@
     return out;
 }
 
-Micros secs(const std::string& text) {
+Micros parse_seconds(const std::string& text) {
     return Micros(std::llround(std::stod(text) * 1e6));
 }
 
-// What the orders so far have made of tables, bindings and levels.
-struct World {
+// Applies the planner's commands: the resulting tables, table assignments and admission limits, and
+// how many commands of each kind there were. Checks that commands refer to listed servers and
+// connected proxies.
+struct AppliedCommands {
     std::map<int, std::map<std::uint32_t, double>> tables;
-    std::map<int, std::map<OperationMask, int>> bound;
-    std::map<std::pair<int, OperationMask>, command::SetAdmission> levels;
+    std::map<int, std::map<OperationMask, int>> assignments;
+    std::map<std::pair<int, OperationMask>, command::SetAdmission> limits;
     std::map<std::string, int> counts;
-    std::map<std::uint32_t, ServerState> listed;
+    std::map<std::uint32_t, ServerState> server_states;
     std::string logs;
 
     void operator()(const command::SetTimer&) {}
 
-    void operator()(const command::LogMessage& a) { logs += a.text + "\n"; }
+    void operator()(const command::LogMessage& command) { logs += command.text + "\n"; }
 
     void operator()(const command::WatchEndpoints&) { ++counts["watch"]; }
 
     void operator()(const command::FetchEndpoints&) { ++counts["fetch"]; }
 
-    void operator()(const command::CheckHealth& a) {
+    void operator()(const command::CheckHealth& command) {
         ++counts["probe"];
-        CHECK(listed.contains(a.server.value));
+        CHECK(server_states.contains(command.server.value));
     }
 
     void operator()(const command::SendGossip&) { ++counts["tell"]; }
 
-    void operator()(const command::SetWeight& a) {
+    void operator()(const command::SetWeight& command) {
         ++counts["line"];
-        CHECK(a.table.value >= 0 && a.table.value < 65535 && a.weight >= 0 &&
-              std::isfinite(a.weight));
-        CHECK(listed.contains(a.server.value));
-        if (a.weight > 0) {
-            tables[a.table.value][a.server.value] = a.weight;
+        CHECK(command.table.value >= 0 && command.table.value < 65535 && command.weight >= 0 &&
+              std::isfinite(command.weight));
+        CHECK(server_states.contains(command.server.value));
+        if (command.weight > 0) {
+            tables[command.table.value][command.server.value] = command.weight;
         } else {
-            tables[a.table.value].erase(a.server.value);
+            tables[command.table.value].erase(command.server.value);
         }
     }
 
-    void operator()(const command::ClearTable& a) { tables.erase(a.table.value); }
+    void operator()(const command::ClearTable& command) { tables.erase(command.table.value); }
 
-    void operator()(const command::AssignTable& a) {
+    void operator()(const command::AssignTable& command) {
         ++counts["bind"];
-        CHECK(bound.contains(a.proxy.value));
-        if (a.operations == 0) {
-            bound[a.proxy.value].clear();
+        CHECK(assignments.contains(command.proxy.value));
+        if (command.operations == 0) {
+            assignments[command.proxy.value].clear();
         }
-        bound[a.proxy.value][a.operations] = a.table.value;
+        assignments[command.proxy.value][command.operations] = command.table.value;
     }
 
     void operator()(const command::SetEjected&) { ++counts["withdraw"]; }
 
-    void operator()(const command::SetAdmission& a) {
+    void operator()(const command::SetAdmission& command) {
         ++counts["level"];
-        CHECK(a.limit >= 0);
+        CHECK(command.limit >= 0);
         for (OperationMask bit = 1; bit < 64; bit <<= 1) {
-            if (a.operations == 0 || (a.operations & bit)) {
-                levels[{a.table.value, bit}] = a;
+            if (command.operations == 0 || (command.operations & bit)) {
+                limits[{command.table.value, bit}] = command;
             }
         }
     }
@@ -113,84 +116,85 @@
 
 class Player {
 public:
-    // A word FIRST..LAST[:REST] stands for one word a number: in a list all of them, elsewhere a
-    // line each.
-    static std::vector<std::string> spread(const std::string& word) {
+    // Expands a word FIRST..LAST[:REST] to one word for each number.
+    static std::vector<std::string> expand_range(const std::string& word) {
         const std::size_t dots = word.find("..");
         if (dots == std::string::npos) {
             return {word};
         }
         const std::size_t colon = std::min(word.find(':'), word.size());
         std::vector<std::string> out;
-        for (int n = std::stoi(word), last = std::stoi(word.substr(dots + 2)); n <= last; ++n) {
-            out.push_back(std::to_string(n) + word.substr(colon));
+        for (int number = std::stoi(word), last = std::stoi(word.substr(dots + 2)); number <= last;
+             ++number) {
+            out.push_back(std::to_string(number) + word.substr(colon));
         }
         return out;
     }
 
-    void event_each(const Words& w) {
+    // Sends one event for each combination of the ranges; a `list` event takes all numbers at once.
+    void play_events(const Words& words) {
         std::vector<Words> lines{{}};
-        for (const std::string& word : w) {
+        for (const std::string& word : words) {
             std::vector<Words> longer;
-            const auto all = spread(word);
-            if (w[0] == "list") {
+            const auto all = expand_range(word);
+            if (words[0] == "list") {
                 lines[0].insert(lines[0].end(), all.begin(), all.end());
             } else {
                 for (const Words& line : lines) {
-                    for (const auto& one : all) {
+                    for (const auto& number_text : all) {
                         longer.push_back(line);
-                        longer.back().push_back(one);
+                        longer.back().push_back(number_text);
                     }
                 }
             }
-            if (w[0] != "list") {
+            if (words[0] != "list") {
                 lines = longer;
             }
         }
         for (const Words& line : lines) {
-            event(line);
+            send_event(line);
         }
     }
 
-    void play(const Words& w) {
-        if (w[0] == "site") {
-            return site(w);
+    void play(const Words& words) {
+        if (words[0] == "site") {
+            return configure(words);
         }
-        if (w[0] == "op") {
-            return operation(w);
+        if (words[0] == "op") {
+            return add_operation(words);
         }
-        if (w[0] == "up") {
-            return up(w.size() > 1 ? w[1] : "1");
+        if (words[0] == "up") {
+            return start_planner(words.size() > 1 ? words[1] : "1");
         }
-        if (w[0] == "at") {
-            return advance(start_ + secs(w[1]));
+        if (words[0] == "at") {
+            return advance(start_ + parse_seconds(words[1]));
         }
-        if (w[0] == "bare") {
-            return void(may_bare_ = w[1] == "allowed");
+        if (words[0] == "bare") {
+            return void(empty_tables_allowed_ = words[1] == "allowed");
         }
-        if (w[0] == "acks") {
-            return void(acks_ = w[1] == "on");
+        if (words[0] == "acks") {
+            return void(acks_enabled_ = words[1] == "on");
         }
-        if (w[0] == "every") {
-            return void(standing_.push_back(w));
+        if (words[0] == "every") {
+            return void(periodic_events_.push_back(words));
         }
-        if (w[0] == "stop") {
-            return standing_.clear();
+        if (words[0] == "stop") {
+            return periodic_events_.clear();
         }
-        if (w[0] == "expect") {
-            return expect(w);
+        if (words[0] == "expect") {
+            return expect(words);
         }
-        if (w[0] == "forget") {
-            world_.counts.clear();
-            world_.logs.clear();
+        if (words[0] == "forget") {
+            applied_.counts.clear();
+            applied_.logs.clear();
             return void();
         }
-        event_each(w);
+        play_events(words);
         decide();
     }
 
 private:
-    void site(const Words& w) {
+    void configure(const Words& words) {
         static const std::map<std::string, double Settings::*> kReals = {
             {"rate", &Settings::channel_lines_per_second},
             {"head", &Settings::message_header_lines},
@@ -217,168 +221,172 @@
             {"bare", &Settings::max_time_without_server},
             {"period", &Settings::report_interval},
             {"idle", &Settings::connection_idle_timeout}};
-        for (std::size_t k = 1; k < w.size(); ++k) {
-            const auto pair = split(w[k], '=');
+        for (std::size_t k = 1; k < words.size(); ++k) {
+            const auto pair = split(words[k], '=');
             if (kReals.contains(pair[0])) {
-                told_.*kReals.at(pair[0]) = std::stod(pair[1]);
+                settings_.*kReals.at(pair[0]) = std::stod(pair[1]);
             } else if (kIntegers.contains(pair[0])) {
-                told_.*kIntegers.at(pair[0]) = std::stoi(pair[1]);
+                settings_.*kIntegers.at(pair[0]) = std::stoi(pair[1]);
             } else if (kBooleans.contains(pair[0])) {
-                told_.*kBooleans.at(pair[0]) = pair[1] == "yes";
+                settings_.*kBooleans.at(pair[0]) = pair[1] == "yes";
             } else if (kTimes.contains(pair[0])) {
-                told_.*kTimes.at(pair[0]) = secs(pair[1]);
+                settings_.*kTimes.at(pair[0]) = parse_seconds(pair[1]);
             } else if (pair[0] == "admit") {
-                told_.admission_mode = pair[1] == "share"  ? AdmissionMode::Fraction
-                                       : pair[1] == "rate" ? AdmissionMode::Rate
-                                                           : AdmissionMode::None;
+                settings_.admission_mode = pair[1] == "share"  ? AdmissionMode::Fraction
+                                           : pair[1] == "rate" ? AdmissionMode::Rate
+                                                               : AdmissionMode::None;
             } else if (pair[0] == "listed") {
-                told_.listed_weights =
+                settings_.listed_weights =
                     pair[1] == "none" ? ListedWeights::None : ListedWeights::Nominal;
             } else if (pair[0] == "reports") {
-                told_.load_metric_names = {pair[1]};
+                settings_.load_metric_names = {pair[1]};
             } else {
                 fail("unknown setting: " + pair[0]);
             }
         }
     }
 
-    void operation(const Words& w) {
+    void add_operation(const Words& words) {
         Operation op;
-        op.name = w[1];
-        op.effect = w[2] == "idempotent"      ? Effect::Idempotent
-                    : w[2] == "fingerprinted" ? Effect::Fingerprinted
-                                              : Effect::SideEffecting;
-        op.latency_objective = secs(w[3]);
-        op.integration_timeout = secs(w[4]);
-        op.priority_weight = std::stod(w[5]);
-        for (std::size_t k = 6; k < w.size(); ++k) {
-            if (w[k] == "own-zone") {
+        op.name = words[1];
+        op.effect = words[2] == "idempotent"      ? Effect::Idempotent
+                    : words[2] == "fingerprinted" ? Effect::Fingerprinted
+                                                  : Effect::SideEffecting;
+        op.latency_objective = parse_seconds(words[3]);
+        op.integration_timeout = parse_seconds(words[4]);
+        op.priority_weight = std::stod(words[5]);
+        for (std::size_t k = 6; k < words.size(); ++k) {
+            if (words[k] == "own-zone") {
                 op.local_only = true;
             }
-            if (w[k] == "cell") {
+            if (words[k] == "cell") {
                 op.scope = Scope::Cell;
             }
-            if (w[k].starts_with("ttl=")) {
-                op.fingerprint_ttl = secs(w[k].substr(4));
+            if (words[k].starts_with("ttl=")) {
+                op.fingerprint_ttl = parse_seconds(words[k].substr(4));
             }
         }
-        told_.operations.push_back(op);
+        settings_.operations.push_back(op);
     }
 
-    void up(const std::string& seed) {
-        governor_ = std::make_unique<policy::Planner>(told_, std::stoull(seed), now_);
-        world_.tables.clear();
-        world_.bound.clear();
+    void start_planner(const std::string& seed) {
+        planner_ = std::make_unique<policy::Planner>(settings_, std::stoull(seed), now_);
+        applied_.tables.clear();
+        applied_.assignments.clear();
         timers_.clear();
         decide();
     }
 
-    // Servers: number:zone[:weight[:state[:age]]]; age in seconds, counted from now; absent is long
-    // ago.
-    void list(const Words& w) {
+    // Servers: number:zone[:weight[:state[:age]]]; age in seconds since the start; without it the
+    // server started long ago.
+    void update_endpoints(const Words& words) {
         event::EndpointListUpdate out{UpdateKind::Snapshot, {}};
-        if (out.kind == UpdateKind::Snapshot && w[1] != "delta" && w[1] != "failed") {
-            for (auto& [server, state] : world_.listed) {
+        if (out.kind == UpdateKind::Snapshot && words[1] != "delta" && words[1] != "failed") {
+            for (auto& [server, state] : applied_.server_states) {
                 state = ServerState::Gone;
             }
         }
-        if (w[1] == "failed") {
+        if (words[1] == "failed") {
             out.kind = UpdateKind::WatchFailed;
         }
-        if (w[1] == "delta") {
+        if (words[1] == "delta") {
             out.kind = UpdateKind::Delta;
         }
-        if (w[1] == "cached") {
+        if (words[1] == "cached") {
             out.kind = UpdateKind::Cached;
         }
-        for (std::size_t k = 2; k < w.size(); ++k) {
-            const auto f = split(w[k], ':');
-            Endpoint row;
-            row.server = {static_cast<std::uint32_t>(std::stoul(f[0]))};
-            row.zone = {std::stoi(f[1])};
-            if (f.size() > 2) {
-                row.weight = std::stod(f[2]);
+        for (std::size_t k = 2; k < words.size(); ++k) {
+            const auto fields = split(words[k], ':');
+            Endpoint endpoint;
+            endpoint.server = {static_cast<std::uint32_t>(std::stoul(fields[0]))};
+            endpoint.zone = {std::stoi(fields[1])};
+            if (fields.size() > 2) {
+                endpoint.weight = std::stod(fields[2]);
             }
-            if (f.size() > 3 && f[3] == "draining") {
-                row.state = ServerState::Draining;
+            if (fields.size() > 3 && fields[3] == "draining") {
+                endpoint.state = ServerState::Draining;
             }
-            if (f.size() > 3 && f[3] == "gone") {
-                row.state = ServerState::Gone;
+            if (fields.size() > 3 && fields[3] == "gone") {
+                endpoint.state = ServerState::Gone;
             }
-            if (f.size() > 4) {
-                row.started_at = now_ - secs(f[4]);
+            if (fields.size() > 4) {
+                endpoint.started_at = now_ - parse_seconds(fields[4]);
             }
-            world_.listed[row.server.value] = row.state;
-            out.endpoints.push_back(row);
+            applied_.server_states[endpoint.server.value] = endpoint.state;
+            out.endpoints.push_back(endpoint);
         }
-        governor_->on_event(now_, out);
+        planner_->on_event(now_, out);
     }
 
-    void event(const Words& w) {
-        if (w[0] == "list") {
-            return list(w);
+    void send_event(const Words& words) {
+        if (words[0] == "list") {
+            return update_endpoints(words);
         }
         const auto number = [&](std::size_t k) {
-            return std::stoi(w.at(k));
+            return std::stoi(words.at(k));
         };
-        if (w[0] == "join") {
-            world_.bound[number(1)].clear();
-            governor_->on_event(
-                now_, event::ProxyConnected{{number(1)}, true, {number(2)}, std::stod(w.at(3))});
-        } else if (w[0] == "leave") {
-            world_.bound.erase(number(1));
-            governor_->on_event(now_, event::ProxyDisconnected{{number(1)}});
-        } else if (w[0] == "heard") {
+        if (words[0] == "join") {
+            applied_.assignments[number(1)].clear();
+            planner_->on_event(now_, event::ProxyConnected{
+                                         {number(1)}, true, {number(2)}, std::stod(words.at(3))});
+        } else if (words[0] == "leave") {
+            applied_.assignments.erase(number(1));
+            planner_->on_event(now_, event::ProxyDisconnected{{number(1)}});
+        } else if (words[0] == "heard") {
             std::vector<double> load;
-            if (w.size() > 6) {
-                load.push_back(std::stod(w[6]));
+            if (words.size() > 6) {
+                load.push_back(std::stod(words[6]));
             }
-            governor_->on_event(
+            planner_->on_event(
                 now_, event::ServerLoadReport{{number(1)},
-                                              {static_cast<std::uint32_t>(std::stoul(w[2]))},
+                                              {static_cast<std::uint32_t>(std::stoul(words[2]))},
                                               number(3),
                                               number(4),
-                                              secs(w.at(5)),
+                                              parse_seconds(words.at(5)),
                                               Micros{1000000},
                                               load});
-        } else if (w[0] == "demand") {
-            governor_->on_event(now_, event::ProxyDemandReport{
-                                          {number(1)}, {number(2)}, number(3), 0, secs(w.at(4))});
-        } else if (w[0] == "ack") {
-            governor_->on_event(now_, event::ConfigAcknowledged{{number(1)}, {number(2)}, {}});
-        } else if (w[0] == "due") {
-            governor_->on_event(now_, event::TimerFired{w.at(1)});
-        } else if (w[0] == "slice") {
-            governor_->on_event(now_,
-                                event::ShardAssignmentChanged{{number(1)}, w.at(2) == "given"});
-        } else if (w[0] == "stored") {
-            governor_->on_event(
+        } else if (words[0] == "demand") {
+            planner_->on_event(
+                now_, event::ProxyDemandReport{
+                          {number(1)}, {number(2)}, number(3), 0, parse_seconds(words.at(4))});
+        } else if (words[0] == "ack") {
+            planner_->on_event(now_, event::ConfigAcknowledged{{number(1)}, {number(2)}, {}});
+        } else if (words[0] == "due") {
+            planner_->on_event(now_, event::TimerFired{words.at(1)});
+        } else if (words[0] == "slice") {
+            planner_->on_event(now_,
+                               event::ShardAssignmentChanged{{number(1)}, words.at(2) == "given"});
+        } else if (words[0] == "stored") {
+            planner_->on_event(
                 now_, event::ShardReplica{
-                          {number(1)}, {static_cast<std::uint32_t>(std::stoul(w[2]))}, 1});
+                          {number(1)}, {static_cast<std::uint32_t>(std::stoul(words[2]))}, 1});
         } else {
-            fail("unknown word: " + w[0]);
+            fail("unknown word: " + words[0]);
         }
     }
 
+    // Applies the commands of one decision and checks that no connected proxy is left with an empty
+    // table while servers are ready.
     void decide() {
-        for (const Command& action : governor_->decide(now_)) {
-            if (const auto* timer = std::get_if<command::SetTimer>(&action)) {
+        for (const Command& next_command : planner_->decide(now_)) {
+            if (const auto* timer = std::get_if<command::SetTimer>(&next_command)) {
                 timers_.emplace(now_ + timer->delay, timer->token);
             }
-            if (const auto* m = std::get_if<command::RequestAck>(&action); m && acks_) {
-                marks_.emplace(now_ + Micros{200000}, m->version);
+            if (const auto* request = std::get_if<command::RequestAck>(&next_command);
+                request && acks_enabled_) {
+                pending_acks_.emplace(now_ + Micros{200000}, request->version);
             }
-            std::visit(world_, action);
+            std::visit(applied_, next_command);
         }
-        for (const auto& [proxy, bound] : world_.bound) {
-            for (const auto& [ops, table] : bound) {
-                CHECK(may_bare_ || !world_.tables[table].empty() || !any_ready());
+        for (const auto& [proxy, assigned] : applied_.assignments) {
+            for (const auto& [operations, table] : assigned) {
+                CHECK(empty_tables_allowed_ || !applied_.tables[table].empty() || !any_ready());
             }
         }
     }
 
     bool any_ready() const {
-        for (const auto& [server, state] : world_.listed) {
+        for (const auto& [server, state] : applied_.server_states) {
             if (state == ServerState::Ready) {
                 return true;
             }
@@ -386,6 +394,8 @@
         return false;
     }
 
+    // Moves the clock to `to`: fires timers, acknowledges versions after 0.2 s and repeats the
+    // periodic events once a second.
     void advance(Micros to) {
         CHECK(to >= now_);
         while (!timers_.empty() && timers_.begin()->first <= to) {
@@ -393,117 +403,122 @@
             timers_.erase(timers_.begin());
             const bool second = at / Micros{1000000} != now_ / Micros{1000000};
             now_ = at;
-            while (!marks_.empty() && marks_.begin()->first <= now_) {
-                for (const auto& [proxy, bound] : world_.bound) {
-                    governor_->on_event(
-                        now_, event::ConfigAcknowledged{{proxy}, marks_.begin()->second, {}});
+            while (!pending_acks_.empty() && pending_acks_.begin()->first <= now_) {
+                for (const auto& [proxy, assigned] : applied_.assignments) {
+                    planner_->on_event(now_, event::ConfigAcknowledged{
+                                                 {proxy}, pending_acks_.begin()->second, {}});
                 }
-                marks_.erase(marks_.begin());
+                pending_acks_.erase(pending_acks_.begin());
             }
             if (second) {
-                for (const Words& s : standing_) {
-                    event_each({s.begin() + 1, s.end()});
+                for (const Words& periodic_event : periodic_events_) {
+                    play_events({periodic_event.begin() + 1, periodic_event.end()});
                 }
             }
-            governor_->on_event(now_, event::TimerFired{token});
+            planner_->on_event(now_, event::TimerFired{token});
             decide();
         }
         now_ = to;
     }
 
-    void expect(const Words& w) {
-        if (w[1] == "table") {
-            Words got;
-            for (const auto& [server, weight] : world_.tables[std::stoi(w[2])]) {
+    void expect(const Words& words) {
+        if (words[1] == "table") {
+            Words actual;
+            for (const auto& [server, weight] : applied_.tables[std::stoi(words[2])]) {
                 std::ostringstream text;
                 text << server;
                 if (std::abs(weight - 1) > 1e-6) {
                     text << "*" << std::round(weight * 100) / 100;
                 }
-                got.push_back(text.str());
+                actual.push_back(text.str());
             }
-            if (got != Words(w.begin() + 3, w.end())) {
-                for (const auto& g : got) {
-                    std::fprintf(stderr, "%s ", g.c_str());
+            if (actual != Words(words.begin() + 3, words.end())) {
+                for (const auto& entry : actual) {
+                    std::fprintf(stderr, "%s ", entry.c_str());
                 }
-                std::fprintf(stderr, "are in table %s\n", w[2].c_str());
+                std::fprintf(stderr, "are in table %s\n", words[2].c_str());
             }
-            CHECK(got == Words(w.begin() + 3, w.end()));
-        } else if (w[1] == "gone") {
-            for (std::size_t k = 3; k < w.size(); ++k) {
-                for (const auto& one : spread(w[k])) {
-                    CHECK(!world_.tables[std::stoi(w[2])].contains(
-                        static_cast<std::uint32_t>(std::stoul(one))));
+            CHECK(actual == Words(words.begin() + 3, words.end()));
+        } else if (words[1] == "gone") {
+            for (std::size_t k = 3; k < words.size(); ++k) {
+                for (const auto& number_text : expand_range(words[k])) {
+                    CHECK(!applied_.tables[std::stoi(words[2])].contains(
+                        static_cast<std::uint32_t>(std::stoul(number_text))));
                 }
             }
-        } else if (w[1] == "dealt") {
+        } else if (words[1] == "dealt") {
             std::set<int> used;
-            for (const auto& one : spread(w[2])) {
-                used.insert(world_.bound[std::stoi(one)][0]);
+            for (const auto& number_text : expand_range(words[2])) {
+                used.insert(applied_.assignments[std::stoi(number_text)][0]);
             }
-            const std::size_t least = std::stoul(w[3]);
+            const std::size_t least = std::stoul(words[3]);
             if (used.size() < least) {
                 std::fprintf(stderr, "%zu tables\n", used.size());
             }
             CHECK(least == 1 ? used.size() == 1 : used.size() >= least);
-        } else if (w[1] == "size") {
-            CHECK(world_.tables[std::stoi(w[2])].size() == std::stoul(w[3]));
-        } else if (w[1] == "bound") {
-            CHECK(world_.bound[std::stoi(w[2])][w.size() > 4 ? std::stoull(w[4]) : 0] ==
-                  std::stoi(w[3]));
-        } else if (w[1] == "unbound") {
-            CHECK(world_.bound[std::stoi(w[2])].empty());
-        } else if (w[1] == "count") {
-            const int n = world_.counts[w[2]];
-            const int most = std::stoi(w[4]);
-            if (!(w[3] == "most" ? n <= most : w[3] == "least" ? n >= most : n == most)) {
-                std::fprintf(stderr, "%d seen\n", n);
+        } else if (words[1] == "size") {
+            CHECK(applied_.tables[std::stoi(words[2])].size() == std::stoul(words[3]));
+        } else if (words[1] == "bound") {
+            CHECK(applied_.assignments[std::stoi(words[2])]
+                                      [words.size() > 4 ? std::stoull(words[4]) : 0] ==
+                  std::stoi(words[3]));
+        } else if (words[1] == "unbound") {
+            CHECK(applied_.assignments[std::stoi(words[2])].empty());
+        } else if (words[1] == "count") {
+            const int seen = applied_.counts[words[2]];
+            const int expected = std::stoi(words[4]);
+            if (!(words[3] == "most"    ? seen <= expected
+                  : words[3] == "least" ? seen >= expected
+                                        : seen == expected)) {
+                std::fprintf(stderr, "%d seen\n", seen);
             }
-            CHECK(w[3] == "most" ? n <= most : w[3] == "least" ? n >= most : n == most);
-        } else if (w[1] == "level") {
-            const auto it = world_.levels.find({std::stoi(w[2]), std::stoull(w[3])});
-            const double let_in = it != world_.levels.end() ? it->second.limit : 1;
-            if ((w[4] == "under") != (let_in < std::stod(w[5]))) {
-                std::fprintf(stderr, "level %g\n", let_in);
+            CHECK(words[3] == "most"    ? seen <= expected
+                  : words[3] == "least" ? seen >= expected
+                                        : seen == expected);
+        } else if (words[1] == "level") {
+            const auto it = applied_.limits.find({std::stoi(words[2]), std::stoull(words[3])});
+            const double limit = it != applied_.limits.end() ? it->second.limit : 1;
+            if ((words[4] == "under") != (limit < std::stod(words[5]))) {
+                std::fprintf(stderr, "level %g\n", limit);
             }
-            CHECK(w[4] == "under" ? let_in < std::stod(w[5]) : let_in >= std::stod(w[5]));
-        } else if (w[1] == "again") {
-            for (const auto& [key, level] : world_.levels) {
-                if (key.second == std::stoull(w[2])) {
-                    CHECK(static_cast<int>(level.retry_mode) == std::stoi(w[3]));
+            CHECK(words[4] == "under" ? limit < std::stod(words[5]) : limit >= std::stod(words[5]));
+        } else if (words[1] == "again") {
+            for (const auto& [key, admission] : applied_.limits) {
+                if (key.second == std::stoull(words[2])) {
+                    CHECK(static_cast<int>(admission.retry_mode) == std::stoi(words[3]));
                 }
             }
-        } else if (w[1] == "log") {
-            std::string text = w[2];
-            for (std::size_t k = 3; k < w.size(); ++k) {
-                text += " " + w[k];
+        } else if (words[1] == "log") {
+            std::string text = words[2];
+            for (std::size_t k = 3; k < words.size(); ++k) {
+                text += " " + words[k];
             }
-            if (world_.logs.find(text) == std::string::npos) {
-                std::fprintf(stderr, "logs:\n%s", world_.logs.c_str());
+            if (applied_.logs.find(text) == std::string::npos) {
+                std::fprintf(stderr, "logs:\n%s", applied_.logs.c_str());
             }
-            CHECK(world_.logs.find(text) != std::string::npos);
+            CHECK(applied_.logs.find(text) != std::string::npos);
         } else {
-            fail("unknown expectation: " + w[1]);
+            fail("unknown expectation: " + words[1]);
         }
     }
 
-    Settings told_;
-    std::unique_ptr<policy::Planner> governor_;
-    World world_;
+    Settings settings_;
+    std::unique_ptr<policy::Planner> planner_;
+    AppliedCommands applied_;
     const Micros start_{1000000000};
     Micros now_ = start_;
     std::multimap<Micros, std::string> timers_;
-    std::multimap<Micros, ConfigVersion> marks_;
-    std::vector<Words> standing_;
-    bool acks_ = true, may_bare_ = false;
+    std::multimap<Micros, ConfigVersion> pending_acks_;
+    std::vector<Words> periodic_events_;
+    bool acks_enabled_ = true, empty_tables_allowed_ = false;
 };
 
-// Wire scenarios: '>' lines go in ('|' stands for a tab), '<' must be in the replies, '!' in the
-// complaints.
+// Wire scenarios: '>' lines are the input ('|' is a tab), '<' lines must be in the replies, '-'
+// lines must not, and '!' lines must be in the error output.
 void play_wire(std::istream& in) {
     std::string input;
     std::string text;
-    std::vector<std::pair<char, std::string>> wanted;
+    std::vector<std::pair<char, std::string>> expectations;
     while (std::getline(in, text)) {
         ++line_number;
         if (text.size() < 2 || text[0] == '#') {
@@ -518,31 +533,31 @@
         if (text[0] == '>') {
             input += rest + "\n";
         } else {
-            wanted.emplace_back(text[0], rest);
+            expectations.emplace_back(text[0], rest);
         }
     }
     std::istringstream from(input);
     std::ostringstream replies;
-    std::ostringstream complaints;
-    wire::Host(replies, complaints).run(from);
-    for (const auto& [kind, what] : wanted) {
-        const std::string& seen = kind == '!' ? complaints.str() : replies.str();
-        const bool there = seen.find(what) != std::string::npos;
-        if (there == (kind == '-')) {
-            std::fprintf(stderr, "%c %s; replies:\n%s\ncomplaints:\n%s\n", kind, what.c_str(),
-                         replies.str().c_str(), complaints.str().c_str());
-        }
-        assert(there == (kind != '-'));
+    std::ostringstream errors;
+    wire::Host(replies, errors).run(from);
+    for (const auto& [kind, expected] : expectations) {
+        const std::string& output = kind == '!' ? errors.str() : replies.str();
+        const bool found = output.find(expected) != std::string::npos;
+        if (found == (kind == '-')) {
+            std::fprintf(stderr, "%c %s; replies:\n%s\nerrors:\n%s\n", kind, expected.c_str(),
+                         replies.str().c_str(), errors.str().c_str());
+        }
+        assert(found == (kind != '-'));
     }
 }
 
 }  // namespace
 
-int main(int count, char** names) {
+int main(int count, char** arguments) {
     assert(count == 2);
-    std::ifstream in(names[1]);
+    std::ifstream in(arguments[1]);
     assert(in);
-    if (std::string(names[1]).find("wire") != std::string::npos) {
+    if (std::string(arguments[1]).find("wire") != std::string::npos) {
         play_wire(in);
         return 0;
     }
