--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -11,7 +11,7 @@
 #include <set>
 #include <sstream>
 
-#include "host.h"
+#include "instance_host.h"
 
 using namespace badgergrade;
 
@@ -539,7 +539,7 @@
     std::istringstream from(input);
     std::ostringstream replies;
     std::ostringstream errors;
-    wire::Host(replies, errors).run(from);
+    wire::InstanceHost(replies, errors).run(from);
     for (const auto& [kind, expected] : expectations) {
         const std::string& output = kind == '!' ? errors.str() : replies.str();
         const bool found = output.find(expected) != std::string::npos;
