--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -51,8 +51,8 @@
 }
 
 // Applies the planner's commands: the resulting tables, table assignments and admission limits, and
-// how many commands of each kind there were. Checks that commands refer to listed servers and
-// connected proxies.
+// how many commands of each kind there were. Checks that commands refer only to servers that were
+// listed at some time and to connected proxies.
 struct AppliedCommands {
     std::map<int, std::map<std::uint32_t, double>> tables;
     std::map<int, std::map<OperationMask, int>> assignments;
