--- a/tests/policy/demand_estimator_test.cpp
+++ b/tests/policy/demand_estimator_test.cpp
@@ -7,7 +7,7 @@
 namespace badgergrade::policy {
 namespace {
 
-// Before a proxy reports, what it announced stands for it; then its reports do.
+// Before its first report a proxy counts with the rate that it announced, then with its reports.
 TEST(DemandEstimator, ReportsReplaceTheAnnouncedRate) {
     Proxy proxy;
     proxy.announced_rate = 7;
@@ -16,8 +16,8 @@
     EXPECT_EQ(requested_rate(kStart, proxy), 10);
 }
 
-// The first report of a restarted proxy reaches back over the time it was dead. Taken whole its
-// zone would seem to ask for a fraction, and would lose its servers.
+// The interval of a restarted proxy's first report includes the time when it was down. Used in
+// full, it would make the zone's demand appear far lower, and the zone would lose its servers.
 TEST(DemandEstimator, ARestartedProxyCountsSinceItsStart) {
     Proxy proxy;
     proxy.process_started_at = kStart - kSecond;
@@ -25,9 +25,9 @@
     EXPECT_EQ(requested_rate(kStart, proxy), 20);
 }
 
-// An instance that hears one zone alone must not take it for the whole demand: the unheard proxies
-// count as average and stand in the other zones.
-TEST(DemandEstimator, UnheardProxiesStandInTheOtherZones) {
+// An instance with proxies of one zone must not take that zone for the whole demand: proxies that
+// it does not know count with the average rate, in the other zones.
+TEST(DemandEstimator, UnknownProxiesCountInTheOtherZones) {
     FleetState fleet = empty_fleet(2);
     add_proxy(fleet, 1, 0, 10);
     add_proxy(fleet, 2, 0, 10);
@@ -37,8 +37,8 @@
 }
 
 // Without a hold-down tables would follow every fluctuation. A change is adopted after three
-// rounds in which a whole server was off.
-TEST(DemandEstimator, AdoptsAChangeAfterThreeRounds) {
+// recomputations in a row in which a share was off by at least one server.
+TEST(DemandEstimator, AdoptsAChangeAfterThreeRecomputations) {
     FleetState fleet = empty_fleet(2);
     for (unsigned id = 0; id < 10; ++id) {
         add_server(fleet, id, 0);
@@ -56,8 +56,8 @@
     EXPECT_DOUBLE_EQ(estimator.shares()[1], 0.75);
 }
 
-// A zone that the only instance can't reach would draw servers from the zones that go on.
-TEST(DemandEstimator, AnUnreachableZoneAsksForItsOwnServersAlone) {
+// A zone that the only instance can't reach would be allocated servers of the other zones.
+TEST(DemandEstimator, AnUnreachableZoneIsLimitedToItsOwnServers) {
     FleetState fleet = empty_fleet(2);
     add_proxy(fleet, 1, 0, 10);
     Proxy& away = add_proxy(fleet, 2, 1, 10);
--- a/tests/policy/drain_deadline_test.cpp
+++ b/tests/policy/drain_deadline_test.cpp
@@ -1,4 +1,5 @@
-// Drained servers leave all proxies within the grace, whatever waits in the channel.
+// Drained servers must leave the tables of all proxies within the drain grace, whatever is queued
+// in the channel.
 
 #include <gtest/gtest.h>
 
@@ -11,18 +12,18 @@
 
 constexpr int kProxies = 400;
 constexpr Micros kStep{20'000};
-/// Allowed beyond the grace, as on the platform's protocol page.
+/// The tolerance beyond the grace, as on the platform's protocol page.
 constexpr Micros kSlack{300'000};
 
-/// Servers that the list names as draining at one moment.
+/// Servers that are listed as draining at one moment.
 struct Drain {
     Micros at;
     unsigned first;
     unsigned last;
 };
 
-/// Within the grace the channel carries 35 lines for each proxy; its queue holds 28.
-Settings settings_of_a_full_instance(int zones) {
+/// In the grace the channel carries 35 lines for each proxy; its queue holds 28 for each.
+Settings settings_of_full_instance(int zones) {
     Settings settings = basic_settings(zones);
     settings.channel_lines_per_second = 2230;
     settings.message_header_lines = 3;
@@ -35,19 +36,19 @@
     return settings;
 }
 
-/// A day on which one instance takes over the proxies of others.
-class TakeoverDay {
+/// A scenario in which one instance takes over the proxies of others.
+class TakeoverScenario {
 public:
-    TakeoverDay(double slowdown, int zones, unsigned servers, std::vector<Drain> drains)
-        : settings_(settings_of_a_full_instance(zones)),
+    TakeoverScenario(double slowdown, int zones, unsigned servers, std::vector<Drain> drains)
+        : settings_(settings_of_full_instance(zones)),
           planner_(settings_, 1, kStart),
           channel_(settings_, slowdown),
           slowdown_(slowdown),
           servers_(servers),
           drains_(std::move(drains)) {}
 
-    /// The first fifth of the proxies is connected from the start, the others come from `takeover`
-    /// on, spread over a second.
+    /// A fifth of the proxies is connected from the start; the others connect within one second
+    /// from `takeover` on.
     void play(Micros takeover, Micros length) {
         list_all_servers();
         for (now_ = kStart; now_ <= kStart + length; now_ += kStep) {
@@ -55,16 +56,17 @@
                 planner_.on_event(now_, acknowledged);
             }
             connect_proxies(kStart + takeover);
-            list_drains();
+            list_draining_servers();
             if ((now_ - kStart) % kDecisionInterval < kStep) {
                 planner_.on_event(now_, event::TimerFired{""});
             }
             channel_.send(now_, planner_.decide(now_));
-            look_for_drained_servers();
+            count_late_steps();
         }
     }
 
-    /// Pairs of proxy and server, at 20 ms each, past the grace.
+    /// The number of (proxy, drained server, step of 20 ms) in which a proxy held the server past
+    /// the grace.
     int late_steps() const { return late_steps_; }
 
     double max_queued_lines() const { return channel_.max_queued_lines(); }
@@ -102,7 +104,7 @@
         }
     }
 
-    void list_drains() {
+    void list_draining_servers() {
         for (const Drain& drain : drains_) {
             if (now_ < kStart + drain.at || now_ - kStep >= kStart + drain.at) {
                 continue;
@@ -116,8 +118,8 @@
         }
     }
 
-    // The platform's page: where the channel is slower, the grace grows by the same factor.
-    void look_for_drained_servers() {
+    // The platform's page: with a slower channel the grace grows by the same factor.
+    void count_late_steps() {
         const Micros grace{static_cast<std::int64_t>(
             static_cast<double>(settings_.drain_grace.count()) * slowdown_)};
         for (const auto& [server, drained_at] : drained_at_) {
@@ -145,8 +147,8 @@
 
 class DrainDeadlineTest : public testing::TestWithParam<double> {
 protected:
-    /// Drains 15% of the servers three times and then 5% while most proxies come over.
-    static TakeoverDay release_day(int zones, unsigned servers) {
+    /// Drains 15% of the servers three times and then 5%, while most proxies are taken over.
+    static TakeoverScenario release_scenario(int zones, unsigned servers) {
         const unsigned step = servers * 15 / 100;
         return {GetParam(),
                 zones,
@@ -157,36 +159,38 @@
                  {Micros{14'100'000}, 3 * step, 3 * step + step / 3 - 1}}};
     }
 
-    static void play(TakeoverDay& day) {
-        day.play(10 * kSecond, Micros{static_cast<std::int64_t>((20 + 10 * GetParam()) * 1e6)});
+    static void play(TakeoverScenario& scenario) {
+        scenario.play(10 * kSecond,
+                      Micros{static_cast<std::int64_t>((20 + 10 * GetParam()) * 1e6)});
     }
 };
 
-// Failure guarded against: an instance takes over most proxies during a release; their first
-// assignments fill the channel, and removals reach proxies past the grace.
+// Guards against late removals during a takeover: an instance takes over most proxies during a
+// release, their first assignments fill the channel, and removals reach proxies after the grace.
 TEST_P(DrainDeadlineTest, HoldsWhileMostProxiesConnect) {
-    TakeoverDay day = release_day(2, 60);
-    play(day);
-    EXPECT_EQ(day.late_steps(), 0);
-    EXPECT_LE(day.max_queued_lines(), day.max_allowed_lines());
+    TakeoverScenario scenario = release_scenario(2, 60);
+    play(scenario);
+    EXPECT_EQ(scenario.late_steps(), 0);
+    EXPECT_LE(scenario.max_queued_lines(), scenario.max_allowed_lines());
 }
 
-// Failure guarded against: whole tables for all proxies that come over take the channel longer than
-// the grace; the last of them go on using servers that have drained.
+// Guards against late first assignments: complete tables for all proxies that are taken over occupy
+// the channel for longer than the grace, and the last of them keep using servers that have drained.
 TEST_P(DrainDeadlineTest, HoldsWhereWholeTablesTakeLongerThanTheGrace) {
-    TakeoverDay day = release_day(2, 100);
-    play(day);
-    EXPECT_EQ(day.late_steps(), 0);
-    EXPECT_LE(day.max_queued_lines(), day.max_allowed_lines());
+    TakeoverScenario scenario = release_scenario(2, 100);
+    play(scenario);
+    EXPECT_EQ(scenario.late_steps(), 0);
+    EXPECT_LE(scenario.max_queued_lines(), scenario.max_allowed_lines());
 }
 
-// Failure guarded against: with one zone every table is as wide as the fleet; removals for the
-// proxies that have whole tables keep the channel from those that wait for their first.
+// Guards against late first assignments with one zone: every table is as wide as the fleet, and
+// removals for the proxies with complete tables keep the channel from those that wait for their
+// first tables.
 TEST_P(DrainDeadlineTest, HoldsWithOneZone) {
-    TakeoverDay day = release_day(1, 100);
-    play(day);
-    EXPECT_EQ(day.late_steps(), 0);
-    EXPECT_LE(day.max_queued_lines(), day.max_allowed_lines());
+    TakeoverScenario scenario = release_scenario(1, 100);
+    play(scenario);
+    EXPECT_EQ(scenario.late_steps(), 0);
+    EXPECT_LE(scenario.max_queued_lines(), scenario.max_allowed_lines());
 }
 
 INSTANTIATE_TEST_SUITE_P(ChannelSlowdown, DrainDeadlineTest, testing::Values(1, 2.5, 4.3, 18));
--- a/tests/policy/endpoint_list_test.cpp
+++ b/tests/policy/endpoint_list_test.cpp
@@ -22,8 +22,8 @@
     Settings settings = basic_settings(1);
 };
 
-// A snapshot names all servers: one that is missing is gone, or proxies would go on sending there.
-TEST_F(EndpointListTest, ASnapshotRemovesWhatItDoesNotName) {
+// A snapshot lists all servers: one that is missing is gone, or proxies would keep using it.
+TEST_F(EndpointListTest, ASnapshotRemovesUnlistedServers) {
     EndpointList list(settings, 1);
     apply(list, UpdateKind::Snapshot, {endpoint(1), endpoint(2)});
     apply(list, UpdateKind::Delta, {endpoint(3)});
@@ -33,9 +33,9 @@
     EXPECT_TRUE(fleet.is_ready({2}));
 }
 
-// A list that falls back to an old state names most of a live fleet gone. Where only a stated drain
-// binds, servers that answer stay, and those that show failures leave.
-TEST_F(EndpointListTest, VanishedServersStayWhileTheyAnswer) {
+// A list that falls back to an old state omits most of a live fleet. If only a listed drain is
+// binding, servers that answer stay in use, and those that fail are removed.
+TEST_F(EndpointListTest, UnlistedServersStayWhileTheyAnswer) {
     settings.keep_unlisted_servers = true;
     EndpointList list(settings, 1);
     apply(list, UpdateKind::Snapshot, {endpoint(1), endpoint(2)});
@@ -48,8 +48,8 @@
     EXPECT_FALSE(fleet.is_ready({2}));
 }
 
-// A stated drain always binds.
-TEST_F(EndpointListTest, AStatedDrainBindsAtOnce) {
+// A listed drain is always applied.
+TEST_F(EndpointListTest, AListedDrainIsAppliedAtOnce) {
     settings.keep_unlisted_servers = true;
     EndpointList list(settings, 1);
     apply(list, UpdateKind::Snapshot, {endpoint(1)});
@@ -57,7 +57,8 @@
     EXPECT_FALSE(fleet.is_ready({1}));
 }
 
-// Live weights follow the load; used as capacity they would send all to whoever is idle now.
+// Live weights change with the load; used as capacity they would send everything to the server that
+// is idle at the moment.
 TEST_F(EndpointListTest, LiveWeightsAreNotCapacity) {
     settings.listed_weights = ListedWeights::Live;
     EndpointList live(settings, 1);
@@ -69,7 +70,7 @@
     EXPECT_EQ(fleet.servers[{1}].weight, 2);
 }
 
-// A server that restarts must keep its subset, or its proxies would all change connections.
+// A server that restarts must keep its subset, or its proxies would all open new connections.
 TEST_F(EndpointListTest, ARestartKeepsTheSubsetHash) {
     EndpointList list(settings, 1);
     apply(list, UpdateKind::Delta, {endpoint(1)});
--- a/tests/policy/fleet_builder.h
+++ b/tests/policy/fleet_builder.h
@@ -1,4 +1,4 @@
-// Builds small fleets for the tests of single rules.
+// Builds small fleets for the unit tests of the policy's rules.
 #pragma once
 
 #include "policy/fleet_state.h"
@@ -10,7 +10,7 @@
 constexpr Micros kStart{100'000'000};
 constexpr Micros kSecond{1'000'000};
 constexpr Micros kObjective{100'000};
-/// No column of the load metrics: servers count as busy.
+/// Not a column of the load metrics: servers count as busy.
 constexpr std::size_t kNoCpuColumn = 9;
 
 /// One operation that any zone may serve, and no servers or proxies.
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -17,7 +17,7 @@
         }
     }
 
-    /// All servers of the zone answer well, but this one.
+    /// All servers of the zone answer well, except this one.
     void report(Micros now, unsigned bad_server, int failures_of_ten, Micros latency) {
         for (unsigned id = 0; id < 10; ++id) {
             const bool bad = id == bad_server;
@@ -34,9 +34,9 @@
     OutlierDetector detector{1, kObjective, kNoCpuColumn};
 };
 
-// A hung server stays in the endpoint list and eats every invocation that is sent there. It leaves
-// the zone's tables, and comes back by a probation that counts new reports alone.
-TEST_F(OutlierDetection, EjectsAFailingServerAndTriesItAgain) {
+// A hung server stays in the endpoint list, and every invocation sent to it is lost. It leaves the
+// zone's tables, and returns through a probation that counts only new reports.
+TEST_F(OutlierDetection, EjectsAFailingServerAndReturnsItOnProbation) {
     report(kStart, 3, 10, kFast);
     const auto changes = evaluate(kStart);
     ASSERT_EQ(changes.size(), 1U);
@@ -52,8 +52,8 @@
     EXPECT_FALSE(back[0].ejected);
 }
 
-// A server that fails its probation would otherwise cost its zone an invocation in every round: it
-// stays out twice as long.
+// A server that fails its probation would otherwise cost its zone invocations again and again: it
+// is ejected for twice as long.
 TEST_F(OutlierDetection, FailingOnProbationDoublesTheEjection) {
     report(kStart, 3, 10, kFast);
     evaluate(kStart);
@@ -67,8 +67,8 @@
     EXPECT_TRUE(detector.is_on_probation({0}, {3}));
 }
 
-// In an overload all servers fail alike. Ejecting some would load the others still more.
-TEST_F(OutlierDetection, EjectsNobodyWhereAllFail) {
+// In an overload all servers fail alike. Ejecting some would load the others even more.
+TEST_F(OutlierDetection, EjectsNoServerIfAllFail) {
     for (unsigned id = 0; id < 10; ++id) {
         detector.on_load_report(kStart, load_report(0, id, 10, 6, kFast));
     }
@@ -77,14 +77,15 @@
     EXPECT_DOUBLE_EQ(detector.health({0}).overload_score, 0.6);
 }
 
-// Failures beside long answers are a server at its limit. Ejecting it tips the next one.
+// A server that fails beside long latencies is overloaded. Ejecting it would overload the next one.
 TEST_F(OutlierDetection, KeepsAnOverloadedServer) {
     report(kStart, 3, 6, Micros{90'000});
     EXPECT_TRUE(evaluate(kStart).empty());
 }
 
-// Of a loaded zone the weakest crawl, and ejecting them all tips it: a tenth may go.
-TEST_F(OutlierDetection, EjectsATenthOfCrawlingServers) {
+// In a loaded zone the weakest servers are slow, and ejecting them all would overload the zone: at
+// most a tenth is ejected.
+TEST_F(OutlierDetection, EjectsATenthOfSlowServers) {
     for (unsigned id = 0; id < 10; ++id) {
         detector.on_load_report(kStart,
                                 load_report(0, id, 10, 0, id < 3 ? 10 * kObjective : kFast));
@@ -92,22 +93,22 @@
     EXPECT_EQ(evaluate(kStart).size(), 1U);
 }
 
-// One attempt that failed says nothing; four are needed.
-TEST_F(OutlierDetection, NeedsSomeAttempts) {
+// Single failed attempts are not enough for an ejection; four attempts are needed.
+TEST_F(OutlierDetection, NeedsAMinimumOfAttempts) {
     report(kStart, 20, 0, kFast);
     detector.on_load_report(kStart + 4 * kSecond, load_report(0, 3, 3, 3, kFast));
     EXPECT_TRUE(evaluate(kStart + 4 * kSecond).empty());
 }
 
-// A restarted server answers for itself, not for the process before it.
-TEST_F(OutlierDetection, ForgetsARestartedServer) {
+// A restarted server is not judged by the attempts at its former process.
+TEST_F(OutlierDetection, DiscardsReportsOfARestartedServer) {
     report(kStart, 3, 10, kFast);
     detector.reset({3});
     EXPECT_TRUE(evaluate(kStart).empty());
 }
 
-// Failures beside idle CPUs are refused connections: admitting less would not mend them.
-TEST(OutlierHealth, TellsRefusedConnectionsFromAnOverload) {
+// Failures beside idle CPUs are refused connections: load shedding would not help.
+TEST(OutlierHealth, DistinguishesRefusedConnectionsFromAnOverload) {
     FleetState fleet = empty_fleet(1);
     OutlierDetector detector(1, kObjective, 0);
     for (unsigned id = 0; id < 4; ++id) {
--- a/tests/policy/overload_control_test.cpp
+++ b/tests/policy/overload_control_test.cpp
@@ -9,8 +9,8 @@
 namespace badgergrade::policy {
 namespace {
 
-// An overload is shed step by step, and never wholly: without any work the recovery could not be
-// seen.
+// Load is shed step by step, and never completely: without any work a recovery could not be
+// observed.
 TEST(OverloadControl, ShedsMoreWhileOverloadedUpToAMaximum) {
     EXPECT_DOUBLE_EQ(next_shed_fraction(0, 0.5), 0.2);
     double shed = 0;
@@ -20,9 +20,9 @@
     EXPECT_DOUBLE_EQ(shed, 0.8);
 }
 
-// Between overloaded and recovered nothing changes, against swinging; recovered, all is admitted
-// again in the end.
-TEST(OverloadControl, RecoversOnlyUnderALowScore) {
+// Between the two thresholds nothing changes, to prevent oscillation; below the lower one
+// everything is admitted again in the end.
+TEST(OverloadControl, RecoversOnlyBelowTheLowerThreshold) {
     EXPECT_EQ(next_shed_fraction(0.5, 0.1), 0.5);
     double shed = 0.8;
     for (int step = 0; step < 100; ++step) {
@@ -31,14 +31,15 @@
     EXPECT_EQ(shed, 0);
 }
 
-// One limit for all proxies, so the busiest are cut first and quiet ones keep what they ask for.
-TEST(OverloadControl, RateLimitCutsTheBusiestFirst) {
+// One rate limit applies to all proxies, so it limits the busiest first and quiet ones keep their
+// rate.
+TEST(OverloadControl, RateLimitAppliesToTheBusiestFirst) {
     EXPECT_DOUBLE_EQ(admission_rate_limit({1, 1, 10}, 0.5), 4);
     EXPECT_DOUBLE_EQ(admission_rate_limit({}, 0.5), command::SetAdmission::kUnlimitedRate);
 }
 
-// In an overload the operation that is worth least for its work is shed before the others.
-TEST(OverloadControl, ShedsTheLeastWorthFirst) {
+// In an overload the operation with the lowest priority weight per work is shed first.
+TEST(OverloadControl, ShedsTheLowestValueFirst) {
     Settings settings = basic_settings(1);
     settings.admission_mode = AdmissionMode::Fraction;
     settings.operations.push_back(settings.operations[0]);
@@ -64,7 +65,7 @@
 }
 
 // Proxies that can't limit admission are sent no limits.
-TEST(OverloadControl, SetsNothingWhereProxiesCannotLimit) {
+TEST(OverloadControl, SetsNoLimitsIfProxiesCannotLimitAdmission) {
     const Settings settings = basic_settings(1);
     FleetState fleet = empty_fleet(1);
     OverloadControl control(settings);
--- a/tests/policy/planner_test.cpp
+++ b/tests/policy/planner_test.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned kServersOfZone1 = 40;
 constexpr int kProxiesOfZone = 16;
 
-/// Two degraded zones, of eight and of four subsets.
+/// Two degraded zones, with eight and with four subsets.
 class SplitZonesTest : public testing::Test {
 protected:
     SplitZonesTest() {
@@ -61,12 +61,12 @@
     std::map<ProxyId, TableId> tables;
 };
 
-// Failure guarded against: a proxy that reconnects in another zone keeps its subset number, which
-// is read past the end of the weights of a zone with fewer subsets.
+// Guards against a read past the end of the subset weights: a proxy that reconnects in a zone with
+// fewer subsets kept its subset number.
 TEST_F(SplitZonesTest, AProxyThatChangesZonesGetsASubsetOfItsNewZone) {
     ASSERT_EQ(tables_of(0, kProxiesOfZone - 1).size(), 8U);
     ASSERT_EQ(tables_of(kProxiesOfZone, 2 * kProxiesOfZone - 1).size(), 4U);
-    // Their subsets have the highest numbers of the eight.
+    // The two proxies in the subsets with the highest numbers of the eight.
     std::vector<std::pair<TableId, ProxyId>> by_table;
     for (int proxy = 0; proxy < kProxiesOfZone; ++proxy) {
         by_table.emplace_back(tables[{proxy}], ProxyId{proxy});
--- a/tests/policy/publisher_test.cpp
+++ b/tests/policy/publisher_test.cpp
@@ -38,9 +38,9 @@
     Publisher publisher{settings, fleet, outliers, slow_start, subsetting, budget};
 };
 
-// Lines beyond the budget wait, so the order decides what proxies suffer: a lost server goes first,
-// then newcomers, and last what only moved to another table.
-TEST_F(PublisherTest, LostServersGoFirstAndMovedOnesLast) {
+// Lines over the budget are sent later, so their order matters: removals of gone servers first,
+// then new servers, and last servers that now belong to another table.
+TEST_F(PublisherTest, GoneServersAreFirstAndReassignedServersLast) {
     fleet.servers[{1}].state = ServerState::Gone;
     add_server(fleet, 4, 0);
     Table table;
@@ -55,8 +55,8 @@
     EXPECT_TRUE(result.has_removals);
 }
 
-// A table that is emptied before its newcomers arrive leaves its proxies without a server.
-TEST_F(PublisherTest, NewcomersComeBeforeATableIsEmptied) {
+// A table that is emptied before its new servers arrive leaves its proxies without a server.
+TEST_F(PublisherTest, NewServersAreSentBeforeATableIsEmptied) {
     fleet.servers[{1}].state = ServerState::Gone;
     Table table;
     table.published_weights = {{{1}, 1}};
@@ -68,16 +68,16 @@
     EXPECT_EQ(result.urgent_count, 2U);
 }
 
-// Nothing changed, nothing is sent: every line costs all users of the table.
-TEST_F(PublisherTest, NoDifferenceNoLines) {
+// Without a difference nothing is sent: every line costs the channel one line for each user.
+TEST_F(PublisherTest, WithoutADifferenceNothingIsSent) {
     Table table;
     table.published_weights = {{{1}, 1}};
     table.desired_weights = {{{1}, 1 + 1e-12}};
     EXPECT_TRUE(difference(table).lines.empty());
 }
 
-// A proxy that is assigned a table before its lines would pick from an empty one. The lines go
-// first, then the assignment, then one request for an acknowledgement.
+// A proxy that is assigned a table before the table's lines are sent would pick from an empty
+// table. The lines are sent first, then the assignment, then one request for an acknowledgement.
 TEST_F(PublisherTest, AnAssignmentFollowsTheLinesOfItsTable) {
     add_proxy(fleet, 1, 0, 1);
     fleet.tables[kZoneTable].desired_weights = {{{1}, 1}};
@@ -90,7 +90,7 @@
 }
 
 // A second change of a table waits until the first is acknowledged, or for two seconds, so that
-// changes are merged; a removal goes at once.
+// changes are merged; a removal is sent at once.
 TEST_F(PublisherTest, MergesChangesUntilTheyAreAcknowledged) {
     add_proxy(fleet, 1, 0, 1);
     Table& table = fleet.tables[kZoneTable];
@@ -105,9 +105,9 @@
     EXPECT_FALSE(publisher.publish(kStart + kSecond, false).empty());
 }
 
-// A proxy that waits for its first tables may hold servers that drain: what has only moved to
-// another table does not take the channel before it.
-TEST_F(PublisherTest, FirstAssignmentsGoBeforeWhatMoved) {
+// A proxy that waits for its first tables may hold draining servers: servers that now belong to
+// another table are not removed before its assignment.
+TEST_F(PublisherTest, FirstAssignmentsGoBeforeReassignedServers) {
     Table& table = fleet.tables[kZoneTable];
     table.desired_weights = {{{1}, 1}, {{2}, 1}, {{3}, 1}};
     add_proxy(fleet, 1, 0, 1);
@@ -120,7 +120,7 @@
     EXPECT_EQ(weight_of(commands[1]), 0);
 }
 
-// A proxy whose zone table is empty, or of no known zone, must get the full table.
+// A proxy whose zone table is empty, or whose zone is unknown, must get the full table.
 TEST_F(PublisherTest, WithoutAZoneTableAProxyGetsTheFullTable) {
     const Proxy& proxy = add_proxy(fleet, 1, 0, 1);
     const std::map<OperationMask, TableId> full{{0, fleet.full_table()}};
--- a/tests/policy/send_budget_test.cpp
+++ b/tests/policy/send_budget_test.cpp
@@ -36,17 +36,17 @@
     FleetState fleet = empty_fleet(1);
 };
 
-// A queue that is full of what can wait would delay drains past their grace: a reserve is kept.
-TEST_F(SendBudgetTest, KeepsAReserveForWhatIsUrgent) {
+// A queue full of deferrable lines would delay removals past the drain grace: a reserve is kept.
+TEST_F(SendBudgetTest, KeepsAReserveForUrgentLines) {
     SendBudget budget(settings, kStart);
     budget.begin_batch(kStart);
     EXPECT_EQ(available(budget, kStart, 1, Priority::Deferrable), 73U);
     EXPECT_EQ(available(budget, kStart, 1, Priority::Urgent), 93U);
 }
 
-// The queue can't be seen. Unacknowledged it is taken to drain at a twentieth of the stated pace,
-// since a slow network must not fill it; an acknowledgement empties it.
-TEST_F(SendBudgetTest, DrainsSlowlyOrByAcknowledgement) {
+// The queue can't be observed. Without acknowledgements it is assumed to shrink at a twentieth of
+// the stated pace, so that it does not overflow with a slow network; an acknowledgement empties it.
+TEST_F(SendBudgetTest, QueueShrinksSlowlyOrByAcknowledgement) {
     SendBudget budget(settings, kStart);
     send(budget, kStart, 1, 48);
     budget.begin_batch(kStart + 2 * kSecond);
@@ -55,8 +55,8 @@
     EXPECT_EQ(available(budget, kStart + 2 * kSecond, 1, Priority::Deferrable), 73U);
 }
 
-// Lines to one proxy leave the channel in order with those to all others: one acknowledgement
-// proves what was sent before it to anyone.
+// The channel sends the lines of all proxies in order: one acknowledgement proves that all earlier
+// lines, to any proxy, have left it.
 TEST_F(SendBudgetTest, AnAcknowledgementProvesEarlierLinesOfOthers) {
     SendBudget budget(settings, kStart);
     send(budget, kStart, 1, 40);
@@ -65,9 +65,9 @@
     EXPECT_EQ(available(budget, kStart, 1, Priority::Deferrable), 73U);
 }
 
-// What waited for a broken connection is lost, and newer lines may pass older ones. Until as many
-// are acknowledged, an acknowledgement proves its own proxy's lines alone.
-TEST_F(SendBudgetTest, AfterALossAnAcknowledgementProvesItsOwnProxyAlone) {
+// Lines queued for a lost connection are dropped, and newer lines may pass older ones. Until as
+// many lines are acknowledged, an acknowledgement proves only the lines of its own proxy.
+TEST_F(SendBudgetTest, AfterALossAnAcknowledgementProvesOnlyItsOwnProxysLines) {
     SendBudget budget(settings, kStart);
     add_proxy(fleet, 3, 0, 1);
     send(budget, kStart, 3, 30);
@@ -78,8 +78,8 @@
     EXPECT_FALSE(fleet.proxies[{3}].unacknowledged.empty());
 }
 
-// More messages than the settings allow break the deployment's rule; two fifths may be used for
-// what can wait.
+// More messages than the settings allow violate the deployment's rule; two fifths may be used for
+// deferrable lines.
 TEST_F(SendBudgetTest, LimitsMessages) {
     settings.max_messages = 5;
     settings.max_queued_lines = 0;
@@ -92,8 +92,8 @@
     EXPECT_GT(available(budget, kStart, 2, Priority::Deferrable), 0U);
 }
 
-// A removal waits behind all that is queued before it: while acknowledgements tell how fast the
-// channel is, only removals are added to a queue as long as a quarter of the drain grace.
+// A removal waits behind everything that is queued before it: while acknowledgements show the speed
+// of the channel, only removals are added to a queue that is a quarter of the drain grace long.
 TEST_F(SendBudgetTest, OnlyUrgentLinesJoinALongQueue) {
     settings.drain_grace = 2 * kSecond;
     SendBudget budget(settings, kStart);
@@ -108,10 +108,10 @@
     EXPECT_EQ(available(budget, kStart, 2, Priority::FirstAssignment), 93U);
 }
 
-// Acknowledgements that stay away for longer than a slow channel explains say nothing of it: the
-// queue is then taken to drain at a quarter of the pace, and time in which this process stood still
-// counts for half a second of that alone.
-TEST_F(SendBudgetTest, DrainsFasterWhereNoAcknowledgementComes) {
+// Acknowledgements that are overdue by more than a slow channel explains say nothing about it: the
+// queue is then assumed to shrink at a quarter of the pace. Of time in which this process did not
+// run only half a second counts at that pace.
+TEST_F(SendBudgetTest, QueueShrinksFasterWhileAcknowledgementsAreOverdue) {
     SendBudget budget(settings, kStart);
     for (int proxy = 1; proxy <= 9; ++proxy) {
         send(budget, kStart, proxy, 8);
@@ -127,8 +127,8 @@
     EXPECT_EQ(available_after(7 * kSecond, 7 * kSecond), 68U);
 }
 
-// A removal cut to single lines costs its message head with each of them.
-TEST_F(SendBudgetTest, APortionIsWorthItsMessageHead) {
+// A removal that is split into single lines costs a message header for each of them.
+TEST_F(SendBudgetTest, APartialRemovalIsWorthItsMessageHeader) {
     settings.message_header_lines = 3;
     const SendBudget budget(settings, kStart);
     EXPECT_EQ(budget.min_partial_lines(3, 5), 3U);
--- a/tests/policy/simulated_channel.h
+++ b/tests/policy/simulated_channel.h
@@ -1,5 +1,5 @@
-// A configuration channel for tests of the planner: one queue for all proxies, which sends its
-// messages in order at a limited pace, and proxies that apply and acknowledge what arrives.
+// A configuration channel for tests of the planner: one queue for all proxies, which sends messages
+// in order at a limited pace, and proxies that apply and acknowledge the messages.
 #pragma once
 
 #include <algorithm>
@@ -17,17 +17,17 @@
 /// Carries the commands of one planner to proxies that use one table each.
 class SimulatedChannel {
 public:
-    /// \param slowdown  the channel sends so many times slower than the settings say
+    /// \param slowdown  the factor by which the channel is slower than the settings say
     SimulatedChannel(const Settings& settings, double slowdown)
         : lines_per_second_(settings.channel_lines_per_second / slowdown),
-          head_lines_(settings.message_header_lines),
+          header_lines_(settings.message_header_lines),
           network_delay_(settings.mean_network_delay) {}
 
     void connect(ProxyId proxy, std::set<ServerId> held_servers) {
         held_servers_[proxy] = std::move(held_servers);
     }
 
-    /// Queues what one decision sends, one message a proxy.
+    /// Queues the commands of one decision, as one message for each proxy.
     void send(Micros now, const std::vector<Command>& commands) {
         std::map<ProxyId, Message> messages;
         for (const Command& command : commands) {
@@ -42,28 +42,28 @@
         for (auto& [proxy, message] : messages) {
             message.proxy = proxy;
             message.version = version_;
-            message.lines += head_lines_ + 1;
+            message.lines += header_lines_ + 1;
             queued_lines_ += message.lines;
             if (queue_.empty()) {
-                head_started_at_ = now;
+                sending_since_ = now;
             }
             queue_.push_back(std::move(message));
         }
         max_queued_lines_ = std::max(max_queued_lines_, queued_lines_);
     }
 
-    /// What proxies have applied up to now, and the acknowledgements that have come back.
+    /// Delivers all messages that have arrived by now, and returns their acknowledgements.
     std::vector<event::ConfigAcknowledged> advance(Micros now) {
-        while (!queue_.empty() && head_started_at_ + sending_time(queue_.front()) <= now) {
-            head_started_at_ += sending_time(queue_.front());
+        while (!queue_.empty() && sending_since_ + sending_time(queue_.front()) <= now) {
+            sending_since_ += sending_time(queue_.front());
             queued_lines_ -= queue_.front().lines;
-            travelling_.emplace_back(head_started_at_ + network_delay_, std::move(queue_.front()));
+            in_transit_.emplace_back(sending_since_ + network_delay_, std::move(queue_.front()));
             queue_.pop_front();
         }
         std::vector<event::ConfigAcknowledged> acknowledged;
-        while (!travelling_.empty() && travelling_.front().first <= now) {
-            acknowledged.push_back(apply(travelling_.front().second));
-            travelling_.pop_front();
+        while (!in_transit_.empty() && in_transit_.front().first <= now) {
+            acknowledged.push_back(apply(in_transit_.front().second));
+            in_transit_.pop_front();
         }
         return acknowledged;
     }
@@ -79,7 +79,7 @@
         ProxyId proxy{};
         ConfigVersion version{};
         double lines = 0;
-        bool replaces_all = false;
+        bool replaces_table = false;
         std::vector<std::pair<ServerId, double>> weights;
     };
 
@@ -101,7 +101,7 @@
         assigned_[assignment.proxy] = assignment.table;
         const auto& table = tables_[assignment.table];
         Message& message = messages[assignment.proxy];
-        message.replaces_all = true;
+        message.replaces_table = true;
         message.weights.assign(table.begin(), table.end());
         message.lines = 1 + static_cast<double>(table.size());
     }
@@ -112,7 +112,7 @@
 
     event::ConfigAcknowledged apply(const Message& message) {
         std::set<ServerId>& held = held_servers_[message.proxy];
-        if (message.replaces_all) {
+        if (message.replaces_table) {
             held.clear();
         }
         for (const auto& [server, weight] : message.weights) {
@@ -126,15 +126,15 @@
     }
 
     double lines_per_second_;
-    double head_lines_;
+    double header_lines_;
     Micros network_delay_;
     std::map<TableId, std::map<ServerId, double>> tables_;
     std::map<ProxyId, TableId> assigned_;
     std::map<ProxyId, std::set<ServerId>> held_servers_;
     ConfigVersion version_{};
     std::deque<Message> queue_;
-    std::deque<std::pair<Micros, Message>> travelling_;
-    Micros head_started_at_{};
+    std::deque<std::pair<Micros, Message>> in_transit_;
+    Micros sending_since_{};
     double queued_lines_ = 0;
     double max_queued_lines_ = 0;
 };
--- a/tests/policy/sliding_window_test.cpp
+++ b/tests/policy/sliding_window_test.cpp
@@ -7,9 +7,9 @@
 
 constexpr Micros kWidth{1'000'000};
 
-// A report must stop counting when its time has passed; a bucket that is used again without being
-// cleared would count it for ever.
-TEST(SlidingWindow, ReusedBucketForgetsItsOldTime) {
+// A sample must stop counting when its time has passed; a bucket that is reused without being
+// cleared would count it forever.
+TEST(SlidingWindow, AReusedBucketIsCleared) {
     SlidingWindow<double, 4> window;
     window.bucket(Micros{0}, kWidth) += 5;
     EXPECT_EQ(window.sum(3 * kWidth, kWidth), 5);
@@ -24,7 +24,7 @@
     EXPECT_EQ(window.sum(4 * kWidth, kWidth), 0);
 }
 
-// Some rules look at the newest seconds alone, to see a recovery early.
+// Some rules use only the newest seconds, to notice a recovery early.
 TEST(SlidingWindow, SumsTheNewestBuckets) {
     SlidingWindow<double, 4> window;
     for (int second = 0; second < 4; ++second) {
@@ -34,8 +34,8 @@
     EXPECT_EQ(window.sum(3 * kWidth, kWidth), 10);
 }
 
-// Without any success there is no latency; a division would give infinity and make every other
-// server look fast.
+// Without a success there is no latency; a division would give infinity and make every other server
+// look fast.
 TEST(AttemptStats, NoLatencyWithoutASuccess) {
     AttemptStats stats;
     stats.attempts = 3;
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -24,15 +24,15 @@
     return server;
 }
 
-// A warm server, or one whose start is long past, has its whole weight, whatever the overload.
+// A warm server, or one without a start time, has its whole weight in any overload.
 TEST(SlowStart, WarmServersHaveTheirWholeWeight) {
     const SlowStart slow_start(warming_settings(), kObjective, kStart);
     EXPECT_EQ(slow_start.weight_fraction(kStart, started(kStart - 16 * kSecond), 8), 1);
     EXPECT_EQ(slow_start.weight_fraction(kStart, started(Micros{0}), 8), 1);
 }
 
-// Proxies may still send to a restarted server by tables of their own. Until that is out of the
-// collapse window no weight is safe.
+// Proxies may still send to a restarted server by tables from elsewhere. Until these attempts are
+// out of the collapse window no weight is safe.
 TEST(SlowStart, WaitsForTheCollapseTimeAfterAStart) {
     const SlowStart slow_start(warming_settings(), kObjective, kStart);
     const Server server = started(kStart);
@@ -40,8 +40,8 @@
     EXPECT_EQ(slow_start.weight_fraction(kStart + kSecond, server, 1), 0.25);
 }
 
-// The weight rises with the age, and is lower where retries multiply what the server meets: at four
-// times the load it must stay under its capacity of the moment.
+// The weight rises with the age, and is lower if retries multiply the attempts at the server: at
+// four times the load it must stay below the current capacity.
 TEST(SlowStart, RisesAndIsLowerInAnOverload) {
     const SlowStart slow_start(warming_settings(), kObjective, kStart);
     const Server server = started(kStart - 8 * kSecond);
@@ -52,14 +52,14 @@
     EXPECT_DOUBLE_EQ(careful.weight_fraction(kStart, server, 4), 2.0 / 4 * 0.625);
 }
 
-// In a severe overload a warming server would draw what all busy ones turn away, and collapse.
-TEST(SlowStart, NothingInASevereOverload) {
+// In a severe overload a warming server would receive what all busy servers refuse, and collapse.
+TEST(SlowStart, NoWeightInASevereOverload) {
     const SlowStart slow_start(warming_settings(), kObjective, kStart);
     EXPECT_EQ(slow_start.weight_fraction(kStart, started(kStart - 8 * kSecond), kSevereOverload),
               0);
 }
 
-// An instance that starts in the middle of an overload has heard of none. It expects one at first;
+// An instance that starts during an overload has no reports of it. It expects an overload at first;
 // good reports end that after five seconds.
 TEST(SlowStart, ExpectsAnOverloadAtItsOwnStart) {
     const FleetState fleet = empty_fleet(1);
@@ -74,7 +74,7 @@
     EXPECT_GT(slow_start.weight_fraction(kStart + 5 * kSecond, server), 0);
 }
 
-// On probation a server carries a quarter at most, warm or not.
+// On probation a server gets at most a quarter of its weight, warm or not.
 TEST(SlowStart, ProbationReducesTheWeight) {
     const SlowStart slow_start(warming_settings(), kObjective, kStart);
     EXPECT_EQ(slow_start.planned_weight(kStart, started(Micros{0}), true), 0.25);
--- a/tests/policy/subsetting_test.cpp
+++ b/tests/policy/subsetting_test.cpp
@@ -35,16 +35,16 @@
     Subsetting subsetting{1, kSecond};
 };
 
-// A healthy zone keeps its whole table, however wide: subsets cost evenness.
+// A healthy zone keeps its complete table, however wide: subsets distribute load less evenly.
 TEST_F(SubsettingTest, AHealthyZoneIsNotSplit) {
     report(kStart, 0);
     EXPECT_TRUE(subsetting.update(kStart, fleet, outliers, slow_start).empty());
     EXPECT_EQ(subsetting.count({0}), 1);
 }
 
-// In a degraded zone whose table is far wider than its proxies' connections nearly every invocation
-// opens a connection. The table is halved until twelve servers are left in each, every server is in
-// one subset, and every proxy has one.
+// In a degraded zone whose table is far wider than the connections of its proxies, nearly every
+// invocation opens a connection. The table is halved until each subset has twelve servers; every
+// server is in one subset, and every proxy uses one.
 TEST_F(SubsettingTest, ADegradedWideZoneIsSplit) {
     report(kStart, 10);
     const auto changes = subsetting.update(kStart, fleet, outliers, slow_start);
@@ -62,7 +62,7 @@
     EXPECT_EQ(proxies, (std::map<int, int>{{0, 2}, {1, 2}, {2, 2}, {3, 2}}));
 }
 
-// A split that ended with the degradation at once would flap; it lasts fifteen seconds more.
+// A split that ended together with the degradation would flap; it lasts fifteen seconds longer.
 TEST_F(SubsettingTest, ASplitOutlastsTheDegradation) {
     report(kStart, 10);
     subsetting.update(kStart, fleet, outliers, slow_start);
@@ -74,7 +74,8 @@
     EXPECT_EQ(fleet.proxies[{0}].subset, -1);
 }
 
-// A subset that has lost most of its servers would overload the rest: its proxies move.
+// The proxies of a subset that has lost most of its servers would overload the rest: they move to
+// another subset.
 TEST_F(SubsettingTest, ProxiesLeaveASubsetThatLostItsServers) {
     ZoneSubsets subsets;
     subsets.count = 2;
--- a/tests/policy/table_planner_test.cpp
+++ b/tests/policy/table_planner_test.cpp
@@ -43,8 +43,9 @@
     EXPECT_EQ(width(fleet.full_table()), 6U);
 }
 
-// In a table of two lines a warming server meets half of the zone's attempts, whatever its weight,
-// and all of them while proxies avoid the other: it collapses (two-governors.day, seeds 115, 119).
+// In a table of two servers a warming server receives half of the zone's attempts, whatever its
+// weight, and all of them while proxies avoid the other: it collapses (two-governors.day, seeds 115
+// and 119).
 TEST_F(TablePlannerTest, ANarrowTableHasNoWarmingServerBesideASingleWarmOne) {
     settings.slow_start_window = 16 * kSecond;
     settings.overload_collapse_factor = 4;
@@ -67,8 +68,8 @@
     EXPECT_TRUE(names_warming_server(fleet.full_table()));
 }
 
-// Where zone tables can't keep the ceiling all proxies get the full table. It is logged once, and
-// zone tables come back only after the hold-down, against flapping.
+// If zone tables can't keep the load ceiling all proxies use the full table. That is logged once,
+// and zone tables return only after the hold-down, to prevent flapping.
 TEST_F(TablePlannerTest, InfeasibleMeansTheFullTableUntilTheHoldDownIsOver) {
     demand.update(kStart + kRecomputeInterval, fleet);
     add_server(fleet, 9, -1);
@@ -84,8 +85,8 @@
     EXPECT_EQ(update(kStart + kRecomputeInterval), "proxies use zone tables again");
 }
 
-// A zone all of whose servers are ejected would leave its local-only operations without any: the
-// table then holds them all.
+// If all servers of a zone are ejected, its local-only operations would have no server: the table
+// then contains them all.
 TEST_F(TablePlannerTest, EjectionsNeverEmptyALocalOnlyTable) {
     fleet.operations = {3, 2, 1};
     for (unsigned id = 0; id < 6; ++id) {
@@ -98,9 +99,9 @@
     EXPECT_EQ(width(fleet.local_only_table({0})), 3U);
 }
 
-// The load of a zone is its demand for its servers, in units of the mean; an empty zone counts as
-// overloaded, not as a division by zero.
-TEST(WorstZoneLoad, LooksAtTheMostLoadedZone) {
+// The load of a zone is its demand per usable weight, in units of the mean; a zone without servers
+// counts as overloaded and does not cause a division by zero.
+TEST(WorstZoneLoad, IsTheLoadOfTheMostLoadedZone) {
     std::vector<ZoneHealth> health(2);
     EXPECT_DOUBLE_EQ(worst_zone_load({0.5, 0.5}, {1, 3}, health, ZoneFilter::All), 2);
     EXPECT_EQ(worst_zone_load({0.5, 0.5}, {1, 3}, health, ZoneFilter::Degraded), 0);
--- a/tests/policy/zone_allocation_test.cpp
+++ b/tests/policy/zone_allocation_test.cpp
@@ -21,25 +21,25 @@
     EXPECT_EQ(min_servers_for(0), 0);
 }
 
-// A zone with half the demand and a quarter of the servers would carry twice its share: a server
-// moves to it.
+// The servers of a zone with half the demand and a quarter of the servers would carry twice their
+// share: a server moves to it.
 TEST(ZoneAllocation, MovesAServerFromSurplusToDeficit) {
     const auto allocation = allocate_zones({0.5, 0.5}, servers({0, 0, 0, 1}), {});
     ASSERT_EQ(allocation.infeasible_reason, "");
     EXPECT_EQ(allocation.usable, (std::vector<double>{2, 2}));
 }
 
-// Without a preference for the server that stood there, each recomputation would move another one
-// and every proxy would open new connections.
+// Without a preference for the server that was allocated there before, each recomputation would
+// move another one, and every proxy would open new connections.
 TEST(ZoneAllocation, PrefersTheServerThatMovedBefore) {
     const auto allocation = allocate_zones({0.5, 0.5}, servers({0, 0, 0, 1}), {{{2}, {1}}});
     EXPECT_EQ(allocation.zone_of_server.at({2}), ZoneId{1});
     EXPECT_EQ(allocation.zone_of_server.at({0}), ZoneId{0});
 }
 
-// A server that is warming up, lent to a zone whose own servers then die, would be the only one
-// that answers there and would meet the zone's whole demand.
-TEST(ZoneAllocation, WarmingServersStayAtHome) {
+// A warming server that is allocated to a zone whose own servers then fail would be the only one
+// that answers there, and would receive the zone's whole demand.
+TEST(ZoneAllocation, WarmingServersStayInTheirZone) {
     auto fleet = servers({0, 0, 0, 1});
     for (auto& server : fleet) {
         server.warming_up = true;
@@ -48,8 +48,8 @@
     EXPECT_EQ(allocation.usable, (std::vector<double>{3, 1}));
 }
 
-// Where zones can't each have a server, or not enough of them, zone tables can't keep the ceiling.
-TEST(ZoneAllocation, SaysWhyItIsInfeasible) {
+// If a zone can't have a server, or not enough servers, zone tables can't keep the load ceiling.
+TEST(ZoneAllocation, ReportsWhyItIsInfeasible) {
     EXPECT_EQ(allocate_zones({1, 0}, servers({0, 1}), {}).infeasible_reason,
               "fewer than two zones with demand");
     EXPECT_EQ(allocate_zones({0.5, 0.5}, servers({0}), {}).infeasible_reason,
