--- a/src/policy/demand_estimator.h
+++ b/src/policy/demand_estimator.h
@@ -49,6 +49,7 @@
     /// The adopted shares.
     const std::vector<double>& shares() const { return shares_; }
 
+    /// The shares as measured now, whether adopted or not.
     std::vector<double> measure(Micros now, const FleetState& fleet) const {
         return measure_demand_shares(now, fleet, proxy_count_);
     }
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -65,8 +65,10 @@
     ZoneId zone;
     /// Invocations per second that it announced when it connected.
     double announced_rate = 0;
+    /// When it last connected with a newly started process.
     Micros process_started_at{};
     Micros disconnected_at{};
+    /// The invocations that it reported, by operation.
     std::map<OperationId, SlidingWindow<DemandSample, kDemandBuckets>> demand;
     /// The table that it is assigned, by operations.
     std::map<OperationMask, TableId> assigned_tables;
@@ -130,13 +132,13 @@
         return {2 * zone_count + 1 + index * 2 + static_cast<int>(local_only)};
     }
 
-    /// The most interim tables of one base table; see interim_tables.h.
+    /// The most interim tables of one table; see interim_tables.h.
     static constexpr int kMaxInterimTables = 16;
 
     /// Interim tables have the highest numbers: proxies use them only for a short time.
-    TableId interim_table(TableId base, int part) const {
+    TableId interim_table(TableId table, int part) const {
         const int first = 2 * zone_count + 1 + zone_count * kMaxSubsets * 2;
-        return {first + base.value * kMaxInterimTables + part};
+        return {first + table.value * kMaxInterimTables + part};
     }
 };
 
--- a/src/policy/interim_tables.cpp
+++ b/src/policy/interim_tables.cpp
@@ -29,6 +29,7 @@
     return warm;
 }
 
+/// The warm servers of one interim table out of `count`; all of them if that is too few.
 Weights part_weights(const Weights& warm, std::size_t part, std::size_t count,
                      const FleetState& fleet) {
     Weights weights;
@@ -40,6 +41,7 @@
     return weights.size() < kMinRemainingServers ? warm : weights;
 }
 
+/// Whether any server that was ever listed is draining or gone.
 bool any_server_unavailable(const FleetState& fleet) {
     return std::ranges::any_of(
         fleet.servers, [](const auto& entry) { return entry.second.state != ServerState::Ready; });
@@ -130,8 +132,8 @@
 // servers that are still ready.
 void InterimTables::update_parts(Micros now, TableId id, Split& parts, FleetState& fleet,
                                  const SlowStart& slow_start) {
-    const Table& base = fleet.tables[id];
-    const Weights warm = warm_weights(now, base, fleet, slow_start);
+    const Table& complete = fleet.tables[id];
+    const Weights warm = warm_weights(now, complete, fleet, slow_start);
     for (std::size_t part = 0; part < parts.tables.size(); ++part) {
         Table& table = fleet.tables[parts.tables[part]];
         Weights kept;
@@ -144,7 +146,7 @@
         table.desired_weights = kept.size() < kMinRemainingServers
                                     ? part_weights(warm, part, parts.tables.size(), fleet)
                                     : kept;
-        table.desired_limits = base.desired_limits;
+        table.desired_limits = complete.desired_limits;
         parts.weight[part] = sum(table.desired_weights);
     }
 }
@@ -190,7 +192,7 @@
 
 void InterimTables::on_assigned(const Proxy& proxy) {
     for (const auto& [operations, id] : proxy.assigned_tables) {
-        for (auto& [base, parts] : split_tables_) {
+        for (auto& [complete, parts] : split_tables_) {
             const auto found = std::ranges::find(parts.tables, id);
             if (found == parts.tables.end()) {
                 continue;
--- a/src/policy/interim_tables.h
+++ b/src/policy/interim_tables.h
@@ -12,8 +12,8 @@
 // drained one.
 //
 // Invariants: servers that are warming up are in no interim table; an interim table with users only
-// loses servers until few remain, and is then filled anew; no interim table is empty while its base
-// table has a warm server. docs/design.md, "Changed" 6, has the reasons.
+// loses servers until few remain, and is then filled anew; no interim table is empty while the
+// complete table has a warm server. docs/design.md, "Changed" 6, has the reasons.
 #pragma once
 
 #include <map>
@@ -58,11 +58,14 @@
 
     static void update_parts(Micros now, TableId id, Split& parts, FleetState& fleet,
                              const SlowStart& slow_start);
+    /// Splits the complete tables of the pending assignments that are not split yet.
     void split_pending_tables(Micros now, const std::vector<Assignment>& pending, FleetState& fleet,
                               const SlowStart& slow_start);
     void count_users(const FleetState& fleet);
     void release_unused(FleetState& fleet);
+    /// Reserves interim tables for a table that is wide enough.
     void split(Micros now, TableId id, FleetState& fleet, const SlowStart& slow_start);
+    /// The lines of one message with this assignment.
     double assignment_lines(const Assignment& assignment, const FleetState& fleet) const;
 
     double header_lines_;
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -59,7 +59,7 @@
 struct OutlierState {
     SlidingWindow<AttemptStats, kReportBuckets> attempts;
     EjectionState state = EjectionState::Healthy;
-    /// The end of the ejection or of the probation.
+    /// When the ejection or the probation ends.
     Micros until{};
     /// How long the next ejection lasts.
     Micros ejection_time = kFirstEjectionTime;
@@ -114,7 +114,7 @@
 
     bool is_ejected(ZoneId zone, ServerId server) const;
     bool is_on_probation(ZoneId zone, ServerId server) const;
-    /// By how many zones the server is ejected.
+    /// The number of zones in which the server is ejected.
     int ejecting_zone_count(ServerId server) const;
 
     const ZoneHealth& health(ZoneId zone) const { return health_[index_of(zone)]; }
--- a/src/policy/overload_control.h
+++ b/src/policy/overload_control.h
@@ -59,13 +59,14 @@
         TableId table;
         OperationMask operations;
         double shed_fraction;
-        /// An upper bound for local-only operations.
+        /// The largest admitted fraction (0 to 1) of local-only operations.
         double local_only_fraction;
     };
 
     /// `zone`: only the proxies of this zone; null: all proxies.
     Demand measure_demand(Micros now, const FleetState& fleet, const ZoneId* zone) const;
     void set_limits(FleetState& fleet, const Demand& demand, const Limits& limits) const;
+    /// The mean over the connected proxies of their zones' shed fractions.
     double mean_shed_fraction(const FleetState& fleet) const;
 
     AdmissionMode admission_mode_;
--- a/src/policy/publisher.h
+++ b/src/policy/publisher.h
@@ -10,9 +10,8 @@
 //   2. new servers, raised weights, ejections, and admission limits;
 //   3. servers that are ready but now belong to another table.
 // Where the table keeps none of its published servers, 2 comes before 1. The budget may cut this
-// order at any point: the table stays usable. Removals are sent at once; other
-// changes are merged until the users of the table have acknowledged its last change, or for
-// kAckTimeout.
+// order at any point: the table stays usable. Removals are sent at once; other changes are merged
+// until the users of the table have acknowledged its last change, or for kAckTimeout.
 //
 // Tables of one batch, in order: tables without users, so that a later assignment finds them
 // complete; urgent lines of tables in use; first assignments; changed assignments; all other lines.
@@ -64,6 +63,7 @@
     bool has_removals = false;
 };
 
+/// Compares the desired weights and limits of a table with the published ones.
 TableDifference table_difference(TableId id, const Table& table, const FleetState& fleet,
                                  const OutlierDetector& outliers);
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -41,8 +41,9 @@
         return 1;
     }
     const double age = std::max(0.0, to_seconds(now - server.started_at) / to_seconds(window_));
-    // Proxies that restarted together with the server may still use tables from elsewhere. Their
-    // attempts must be out of the collapse window before this instance can give the server weight.
+    // Proxies that restarted together with the server may still use tables that this instance did
+    // not send. Their attempts must be out of the collapse window before this instance can give the
+    // server weight.
     if (overload >= kSevereOverload || now < server.start_reported_at + collapse_time_) {
         return 0;
     }
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -14,8 +14,8 @@
 // rises in eight steps over the slow start window.
 //
 // The expected overload is the number of attempts per success in the whole fleet. It is severe
-// while load is shed or the fleet's answers are late; late answers count half while much of the
-// fleet is warming up.
+// while load is shed or the fleet's answers are late; while much of the fleet is warming up, late
+// answers count as half of a severe overload only.
 //
 // Invariants: a warm server has its whole weight; the expected overload rises at once and falls
 // only after one slow start window, because the next wave of retries reaches the servers that are
--- a/src/policy/subsetting.cpp
+++ b/src/policy/subsetting.cpp
@@ -121,7 +121,7 @@
     const auto table = fleet.tables.find(FleetState::zone_table(zone));
     const auto width =
         static_cast<double>(table == fleet.tables.end() ? 0 : table->second.desired_weights.size());
-    // The number of connections that a proxy's own traffic keeps from the idle timeout.
+    // The number of connections that a proxy's own traffic keeps from being closed as idle.
     const double sustained_connections =
         proxies > 0 ? std::max<double>(kMinSubsetWidth, announced / proxies * idle_seconds_)
                     : width;
--- a/src/policy/table_planner.h
+++ b/src/policy/table_planner.h
@@ -9,8 +9,7 @@
 //   - if the allocation is infeasible;
 //   - if a degraded zone stays too far above the mean load after all moves;
 //   - if this instance has reports of one zone only, that zone is overloaded, and its proxies
-//   receive
-//     more than they announced, past the allowed overload.
+//     receive more than they announced, past the allowed overload.
 // Zone tables are used again once the allocation was feasible for the hold-down recomputations and
 // no server is warming up, to prevent flapping.
 //
@@ -68,9 +67,14 @@
         DemandEstimator& demand;
     };
 
+    /// The ready servers with their weights in units of the mean listed weight.
     std::vector<ServerCapacity> ready_servers(const Context& context) const;
+    /// The zone allocation by the adopted shares. Adopts the measured shares first if they load a
+    /// zone above the ceiling.
     ZoneAllocation allocate(const Context& context, const std::vector<ServerCapacity>& ready);
     std::string fallback_reason(const Context& context, const ZoneAllocation& allocation) const;
+    /// Changes the mode by the reason for the full table (empty: none). Returns a text for the log
+    /// if the mode or the reason changed.
     std::optional<std::string> update_mode(const Context& context, const std::string& reason);
     void fill_tables(const Context& context, const std::vector<ServerCapacity>& ready) const;
     static void keep_warming_out_of_narrow_tables(const Context& context);
--- a/src/policy/zone_allocation.h
+++ b/src/policy/zone_allocation.h
@@ -49,6 +49,8 @@
 /// The least number of servers for a zone whose desired number is this.
 double min_servers_for(double desired);
 
+/// Allocates servers to zones. `previous_zone_of_server`: the previous allocation; a move prefers a
+/// server that was in the target zone there.
 ZoneAllocation allocate_zones(const std::vector<double>& demand_shares,
                               const std::vector<ServerCapacity>& servers,
                               const std::map<ServerId, ZoneId>& previous_zone_of_server);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -31,8 +31,8 @@
     EXPECT_EQ(slow_start.weight_fraction(kStart, started(Micros{0}), 8), 1);
 }
 
-// Proxies may still send to a restarted server by tables from elsewhere. Until these attempts are
-// out of the collapse window no weight is safe.
+// Proxies may still use tables with a restarted server that this instance did not send. Until their
+// attempts are out of the collapse window no weight is safe.
 TEST(SlowStart, WaitsForTheCollapseTimeAfterAStart) {
     const SlowStart slow_start(warming_settings(), kObjective, kStart);
     const Server server = started(kStart);
