--- a/src/policy/demand_estimator.cpp
+++ b/src/policy/demand_estimator.cpp
@@ -117,11 +117,12 @@
     for (const auto& [id, server] : fleet.servers) {
         ready += static_cast<double>(server.state == ServerState::Ready);
     }
-    double max_deviation = 0;
+    double max_deviation_servers = 0;
     for (std::size_t zone = 0; zone < measured.size(); ++zone) {
-        max_deviation = std::max(max_deviation, std::abs(measured[zone] - shares_[zone]) * ready);
+        max_deviation_servers =
+            std::max(max_deviation_servers, std::abs(measured[zone] - shares_[zone]) * ready);
     }
-    deviating_recomputations_ = max_deviation >= 1 ? deviating_recomputations_ + 1 : 0;
+    deviating_recomputations_ = max_deviation_servers >= 1 ? deviating_recomputations_ + 1 : 0;
     if (deviating_recomputations_ >= kHoldDownRecomputations || recomputations_ == 0) {
         adopt(measured);
     }
--- a/src/policy/overload_control.cpp
+++ b/src/policy/overload_control.cpp
@@ -124,9 +124,9 @@
         }
         // Otherwise a single warming server, left of a zone that was just lost, would receive all
         // invocations of the zone.
-        const double wanted_weight = std::max(1e-9, demand_shares[index_of(zone)] * total_weight);
+        const double demanded_weight = std::max(1e-9, demand_shares[index_of(zone)] * total_weight);
         const double local_only_fraction =
-            std::min(1.0, kWarmingHeadroom * zone_weight / wanted_weight);
+            std::min(1.0, kWarmingHeadroom * zone_weight / demanded_weight);
         set_limits(fleet, demand,
                    {fleet.local_only_table(zone), operations.local_only, shed_fraction,
                     local_only_fraction});
@@ -168,16 +168,16 @@
 
 void OverloadControl::set_limits(FleetState& fleet, const Demand& demand,
                                  const Limits& limits) const {
-    double to_shed = limits.shed_fraction * demand.work;
+    double work_to_shed = limits.shed_fraction * demand.work;
     for (const OperationId operation : shed_order_) {
         const auto k = index_of(operation);
         const std::vector<double>& rates = demand.rates[k];
         const double rate = std::accumulate(rates.begin(), rates.end(), 0.0);
         double admitted = 1;
-        if (rate > 0 && to_shed > 0) {
-            admitted = std::max(kMinAdmittedFraction, 1 - to_shed / (rate * work_seconds_[k]));
+        if (rate > 0 && work_to_shed > 0) {
+            admitted = std::max(kMinAdmittedFraction, 1 - work_to_shed / (rate * work_seconds_[k]));
         }
-        to_shed -= (1 - admitted) * rate * work_seconds_[k];
+        work_to_shed -= (1 - admitted) * rate * work_seconds_[k];
         if ((limits.operations >> k & 1) == 0) {
             continue;
         }
--- a/src/policy/publisher.cpp
+++ b/src/policy/publisher.cpp
@@ -80,8 +80,8 @@
         urgent.swap(added);
     }
     difference.lines = std::move(urgent);
-    for (const auto* rest : {&added, &reassigned}) {
-        difference.lines.insert(difference.lines.end(), rest->begin(), rest->end());
+    for (const auto* remaining : {&added, &reassigned}) {
+        difference.lines.insert(difference.lines.end(), remaining->begin(), remaining->end());
     }
     return difference;
 }
@@ -183,9 +183,9 @@
     if (count == 0) {
         return;
     }
-    for (std::size_t k = 0; k < count; ++k) {
-        record_published(table, difference.lines[k]);
-        commands_.push_back(difference.lines[k]);
+    for (std::size_t index = 0; index < count; ++index) {
+        record_published(table, difference.lines[index]);
+        commands_.push_back(difference.lines[index]);
     }
     if (users.empty()) {
         return;
@@ -265,12 +265,12 @@
     if (priority == Priority::FirstAssignment) {
         desired = interim_tables_.first_assignment(proxy, desired);
     }
-    std::size_t cost = 0;
+    std::size_t line_count = 0;
     for (const auto& [operations, table] : desired) {
         const Table& target = fleet_.tables[table];
-        cost += 1 + target.published_weights.size() + target.published_limits.size();
+        line_count += 1 + target.published_weights.size() + target.published_limits.size();
     }
-    if (budget_.lines_available(now, fleet_.proxies, {id}, priority) < cost) {
+    if (budget_.lines_available(now, fleet_.proxies, {id}, priority) < line_count) {
         return;
     }
     for (const auto& [operations, table] : desired) {
@@ -283,7 +283,7 @@
     if (priority == Priority::FirstAssignment) {
         interim_tables_.on_assigned(proxy);
     }
-    budget_.reserve(fleet_.proxies, {id}, static_cast<double>(cost));
+    budget_.reserve(fleet_.proxies, {id}, static_cast<double>(line_count));
 }
 
 }  // namespace badgergrade::policy
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -34,20 +34,21 @@
                             ? kLeastRequestFactor
                             : 1)),
       objective_seconds_(to_seconds(shortest_objective)),
-      expected_until_(now + kRecomputeInterval) {}
+      expected_overload_until_(now + kRecomputeInterval) {}
 
 double SlowStart::weight_fraction(Micros now, const Server& server, double overload) const {
     if (server.started_at <= Micros{0} || server.started_at + window_ <= now) {
         return 1;
     }
-    const double age = std::max(0.0, to_seconds(now - server.started_at) / to_seconds(window_));
+    const double age_fraction =
+        std::max(0.0, to_seconds(now - server.started_at) / to_seconds(window_));
     // Proxies that restarted together with the server may still use tables that this instance did
     // not send. Their attempts must be out of the collapse window before this instance can give the
     // server weight.
     if (overload >= kSevereOverload || now < server.start_reported_at + collapse_time_) {
         return 0;
     }
-    const double progress = std::floor(age * kWeightSteps) / kWeightSteps;
+    const double progress = std::floor(age_fraction * kWeightSteps) / kWeightSteps;
     const double capacity_bound =
         collapse_factor_ > 0
             ? collapse_factor_ / std::max(kMinExpectedOverload, overload) *
@@ -98,9 +99,9 @@
         overload = std::max(overload, many_warming ? kSevereOverload / 2 : kSevereOverload);
     }
     overload = std::exp2(std::ceil(std::log2(overload) - kRoundUpThreshold));
-    if (overload >= expected_overload_ || now >= expected_until_) {
+    if (overload >= expected_overload_ || now >= expected_overload_until_) {
         expected_overload_ = overload;
-        expected_until_ = now + window_;
+        expected_overload_until_ = now + window_;
     }
 }
 
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -66,7 +66,8 @@
     double objective_seconds_;
     /// Severe at first: an instance that starts during an overload has no reports of it yet.
     double expected_overload_ = kSevereOverload;
-    Micros expected_until_;
+    /// The expected overload does not fall before this time.
+    Micros expected_overload_until_;
 };
 
 }  // namespace badgergrade::policy
