--- a/src/xds/ads_client.cpp
+++ b/src/xds/ads_client.cpp
@@ -20,7 +20,8 @@
 
 namespace {
 
-constexpr int kInvalidArgument = 3;  // of the gRPC status codes
+/// gRPC status code INVALID_ARGUMENT, the code of every NACK.
+constexpr int kInvalidArgument = 3;
 constexpr std::uint32_t kMaxPort = 65535;
 constexpr double kMicrosPerSecond = 1e6;
 constexpr const char* kRateLimitFilter = "envoy.filters.http.local_ratelimit";
@@ -29,12 +30,12 @@
     return Micros(TimeUtil::DurationToMicroseconds(duration));
 }
 
-/// Whether a comma-separated list contains a word.
-bool contains_word(const std::string& list, std::string_view word) {
+/// Whether a comma-separated list has this element.
+bool list_contains(const std::string& list, std::string_view element) {
     std::size_t begin = 0;
     while (begin <= list.size()) {
         const auto end = std::min(list.find(',', begin), list.size());
-        if (std::string_view(list).substr(begin, end - begin) == word) {
+        if (std::string_view(list).substr(begin, end - begin) == element) {
             return true;
         }
         begin = end + 1;
@@ -42,24 +43,27 @@
     return false;
 }
 
-RejectedResponse unreadable(std::string text) {
-    return {ResponseError::Unreadable, std::move(text)};
+RejectedResponse malformed(std::string text) {
+    return {ResponseError::Malformed, std::move(text)};
 }
 
-RejectedResponse invalid(std::string text) {
+RejectedResponse invalid_field(std::string text) {
     return {ResponseError::InvalidField, std::move(text)};
 }
 
+/// The retry mode that a retry policy stands for; the inverse of the snapshot cache's mapping.
+/// "5xx" and "reset" allow to retry requests that the server may have processed.
 RetryMode retry_mode_of(const route_v3::RetryPolicy& policy) {
     const std::string& conditions = policy.retry_on();
-    const bool retries_processed =
-        contains_word(conditions, "5xx") || contains_word(conditions, "reset");
-    if (!retries_processed) {
+    const bool may_retry_processed =
+        list_contains(conditions, "5xx") || list_contains(conditions, "reset");
+    if (!may_retry_processed) {
         return RetryMode::OnlyUnprocessed;
     }
     return policy.num_retries().value() > 1 ? RetryMode::Twice : RetryMode::Once;
 }
 
+/// The value of the `denominator` enum; HUNDRED is its default.
 double denominator_of(const envoy::type::v3::FractionalPercent& fraction) {
     switch (fraction.denominator()) {
         case envoy::type::v3::FractionalPercent::MILLION:
@@ -125,7 +129,8 @@
     const auto type = resource_type_of(response.type_url());
     if (!type) {
         result.rejected = {ResponseError::UnknownType,
-                           "type '" + response.type_url() + "' was not asked for"};
+                           "field \"type_url\": expected a subscribed xDS resource type, got \"" +
+                               response.type_url() + "\""};
         return result;
     }
     SubscriptionState& state = subscription(*type);
@@ -134,7 +139,7 @@
     std::set<std::string> route_names = subscription(ResourceType::Routes).names;
     if (response_check) {
         if (std::string reason = response_check(response); !reason.empty()) {
-            result.rejected = {ResponseError::RefusedByCheck, std::move(reason)};
+            result.rejected = {ResponseError::RejectedByCheck, std::move(reason)};
         }
     }
     if (!result.rejected) {
@@ -151,7 +156,7 @@
     result.tables_changed = true;
     state.version = response.version_info();
     result.requests.push_back(make_request(*type, false));
-    // Subscribe to what the accepted resources name.
+    // Subscribe to the resources that the accepted ones name.
     if (*type == ResourceType::Cluster) {
         std::set<std::string> assignment_names{std::string(kStartupClusterName)};
         for (const auto& [name, table] : tables_.clusters) {
@@ -176,7 +181,8 @@
     for (const auto& any : response.resources()) {
         if (any.type_url() != response.type_url()) {
             return RejectedResponse{ResponseError::MixedTypes,
-                                    "a resource of type '" + any.type_url() + "' among others"};
+                                    "field \"resources.type_url\": expected \"" +
+                                        response.type_url() + "\", got \"" + any.type_url() + "\""};
         }
         Error error;
         switch (type) {
@@ -202,15 +208,15 @@
             table.listed = listed.contains(name);
         }
     }
-    // A control plane that restarted lists its new clusters before its routes. The clusters that
-    // the old routes name stay until then; otherwise this proxy would have no server to choose in
-    // between.
-    std::set<std::string> routed;
+    // A control plane that restarted sends its new clusters before its new routes. The clusters
+    // that the old routes name are kept until the routes arrive; otherwise this proxy would have no
+    // server to send requests to in between.
+    std::set<std::string> clusters_in_routes;
     for (const auto& [path, route] : tables.routes) {
-        routed.insert(route.cluster);
+        clusters_in_routes.insert(route.cluster);
     }
     std::erase_if(tables.clusters, [&](const auto& entry) {
-        return !entry.second.listed && !routed.contains(entry.first);
+        return !entry.second.listed && !clusters_in_routes.contains(entry.first);
     });
     return std::nullopt;
 }
@@ -219,10 +225,11 @@
                                           std::set<std::string>& listed) {
     cluster_v3::Cluster cluster;
     if (!cluster.ParseFromString(bytes)) {
-        return unreadable("a cluster that can't be read");
+        return malformed("field \"resources\": expected a serialized Cluster, got " +
+                         std::to_string(bytes.size()) + " bytes that do not parse");
     }
     if (cluster.name().empty()) {
-        return invalid("a cluster without a name");
+        return invalid_field("field \"Cluster.name\": expected a name, got an empty string");
     }
     ProxyTable& table = tables.clusters[cluster.name()];
     listed.insert(cluster.name());
@@ -237,7 +244,10 @@
             table.pick_policy = PickPolicy::WeightedRandom;
             break;
         default:
-            return invalid("cluster " + cluster.name() + ": a way of picking that is not known");
+            return invalid_field("cluster \"" + cluster.name() +
+                                 "\", field \"lb_policy\": expected ROUND_ROBIN, LEAST_REQUEST or "
+                                 "RANDOM, got value " +
+                                 std::to_string(cluster.lb_policy()));
     }
     const auto& outlier = cluster.outlier_detection();
     table.ejection_failures = static_cast<int>(outlier.consecutive_5xx().value());
@@ -249,10 +259,11 @@
                                              ProxyTables& tables) {
     endpoint_v3::ClusterLoadAssignment assignment;
     if (!assignment.ParseFromString(bytes)) {
-        return unreadable("an assignment that can't be read");
+        return malformed("field \"resources\": expected a serialized ClusterLoadAssignment, got " +
+                         std::to_string(bytes.size()) + " bytes that do not parse");
     }
     const bool lists_ejected = assignment.cluster_name() == kStartupClusterName;
-    std::vector<TableEndpoint> lines;
+    std::vector<TableEndpoint> table_endpoints;
     if (lists_ejected) {
         tables.ejected.clear();
     }
@@ -260,33 +271,36 @@
         for (const auto& endpoint : locality.lb_endpoints()) {
             const auto& socket = endpoint.endpoint().address().socket_address();
             if (socket.port_value() == 0 || socket.port_value() > kMaxPort) {
-                return invalid("assignment " + assignment.cluster_name() +
-                               ": an endpoint without a port");
+                return invalid_field("assignment \"" + assignment.cluster_name() +
+                                     "\", field \"port_value\": expected 1 to " +
+                                     std::to_string(kMaxPort) + ", got " +
+                                     std::to_string(socket.port_value()));
             }
-            TableEndpoint line;
-            line.address = {socket.address(), static_cast<std::uint16_t>(socket.port_value())};
-            line.zone = locality.locality().zone();
-            line.weight = 1;
+            TableEndpoint table_endpoint;
+            table_endpoint.address = {socket.address(),
+                                      static_cast<std::uint16_t>(socket.port_value())};
+            table_endpoint.zone = locality.locality().zone();
+            table_endpoint.weight = 1;
             if (endpoint.has_load_balancing_weight()) {
-                line.weight =
+                table_endpoint.weight =
                     static_cast<double>(endpoint.load_balancing_weight().value()) / kWeightScale;
             }
-            line.draining = endpoint.health_status() == core::DRAINING;
-            if (line.draining && lists_ejected) {
-                tables.ejected.insert(line.address);
+            table_endpoint.draining = endpoint.health_status() == core::DRAINING;
+            if (table_endpoint.draining && lists_ejected) {
+                tables.ejected.insert(table_endpoint.address);
             }
-            lines.push_back(std::move(line));
+            table_endpoints.push_back(std::move(table_endpoint));
         }
     }
     if (lists_ejected) {
         return std::nullopt;
     }
     const auto table = tables.clusters.find(assignment.cluster_name());
-    // An assignment for a cluster that was removed in the meantime is not an error.
+    // Not an error: the cluster may have been removed after the assignment was requested.
     if (table == tables.clusters.end()) {
         return std::nullopt;
     }
-    table->second.endpoints = std::move(lines);
+    table->second.endpoints = std::move(table_endpoints);
     table->second.version = version;
     return std::nullopt;
 }
@@ -296,13 +310,19 @@
     envoy::config::listener::v3::Listener listener;
     envoy::extensions::filters::network::http_connection_manager::v3::HttpConnectionManager manager;
     if (!listener.ParseFromString(bytes)) {
-        return unreadable("a listener that can't be read");
+        return malformed("field \"resources\": expected a serialized Listener, got " +
+                         std::to_string(bytes.size()) + " bytes that do not parse");
     }
     if (!listener.api_listener().api_listener().UnpackTo(&manager)) {
-        return unreadable("listener " + listener.name() + ": no manager in it");
+        return malformed(
+            "listener \"" + listener.name() +
+            "\", field \"api_listener\": expected an HttpConnectionManager, got type \"" +
+            listener.api_listener().api_listener().type_url() + "\"");
     }
     if (manager.rds().route_config_name().empty()) {
-        return invalid("listener " + listener.name() + ": names no routes");
+        return invalid_field(
+            "listener \"" + listener.name() +
+            "\", field \"rds.route_config_name\": expected a name, got an empty string");
     }
     route_names.insert(manager.rds().route_config_name());
     return std::nullopt;
@@ -311,20 +331,23 @@
 AdsClient::Error AdsClient::apply_routes(const std::string& bytes, ProxyTables& tables) {
     route_v3::RouteConfiguration config;
     if (!config.ParseFromString(bytes)) {
-        return unreadable("routes that can't be read");
+        return malformed("field \"resources\": expected a serialized RouteConfiguration, got " +
+                         std::to_string(bytes.size()) + " bytes that do not parse");
     }
     std::map<std::string, ProxyRoute> routes;
     for (const auto& host : config.virtual_hosts()) {
-        for (const auto& from : host.routes()) {
-            const std::string& path = from.match().path();
+        for (const auto& proto : host.routes()) {
+            const std::string& path = proto.match().path();
             if (path.empty()) {
-                return invalid("route " + from.name() + ": no path");
+                return invalid_field(
+                    "route \"" + proto.name() +
+                    "\", field \"match.path\": expected a path, got an empty string");
             }
-            if (from.has_direct_response()) {
-                continue;  // answers the requests that are not admitted
+            if (proto.has_direct_response()) {
+                continue;  // the response to requests that are not admitted; see admitted_fraction
             }
             ProxyRoute route;
-            if (Error error = read_route(from, tables, route)) {
+            if (Error error = parse_route(proto, tables, route)) {
                 return error;
             }
             routes[path] = std::move(route);
@@ -334,39 +357,47 @@
     return std::nullopt;
 }
 
-AdsClient::Error AdsClient::read_route(const route_v3::Route& from, const ProxyTables& tables,
-                                       ProxyRoute& route) {
-    route.cluster = from.route().cluster();
+AdsClient::Error AdsClient::parse_route(const route_v3::Route& proto, const ProxyTables& tables,
+                                        ProxyRoute& route) {
+    route.cluster = proto.route().cluster();
     if (!tables.clusters.contains(route.cluster)) {
         return RejectedResponse{ResponseError::UnknownCluster,
-                                "route " + from.name() + ": no cluster " + route.cluster};
-    }
-    route.timeout = to_micros(from.route().timeout());
-    if (from.route().has_retry_policy()) {
-        const auto& policy = from.route().retry_policy();
+                                "route \"" + proto.name() +
+                                    "\", field \"route.cluster\": expected a cluster that was sent "
+                                    "before, got \"" +
+                                    route.cluster + "\""};
+    }
+    route.timeout = to_micros(proto.route().timeout());
+    if (proto.route().has_retry_policy()) {
+        const auto& policy = proto.route().retry_policy();
         route.retry_mode = retry_mode_of(policy);
         route.attempt_timeout = to_micros(policy.per_try_timeout());
     }
-    if (from.match().has_runtime_fraction()) {
-        const auto& fraction = from.match().runtime_fraction().default_value();
+    if (proto.match().has_runtime_fraction()) {
+        const auto& fraction = proto.match().runtime_fraction().default_value();
         route.admitted_fraction = fraction.numerator() / denominator_of(fraction);
     }
-    return read_rate_limit(from, route);
+    return parse_rate_limit(proto, route);
 }
 
-AdsClient::Error AdsClient::read_rate_limit(const route_v3::Route& from, ProxyRoute& route) {
-    const auto filter = from.typed_per_filter_config().find(kRateLimitFilter);
-    if (filter == from.typed_per_filter_config().end()) {
+AdsClient::Error AdsClient::parse_rate_limit(const route_v3::Route& proto, ProxyRoute& route) {
+    const auto filter = proto.typed_per_filter_config().find(kRateLimitFilter);
+    if (filter == proto.typed_per_filter_config().end()) {
         return std::nullopt;
     }
     envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit limit;
     if (!filter->second.UnpackTo(&limit)) {
-        return unreadable("route " + from.name() + ": a limit that can't be read");
+        return malformed(
+            "route \"" + proto.name() +
+            "\", field \"typed_per_filter_config\": expected a LocalRateLimit, got type \"" +
+            filter->second.type_url() + "\"");
     }
     const auto& bucket = limit.token_bucket();
     const Micros fill_interval = to_micros(bucket.fill_interval());
     if (fill_interval <= Micros{0}) {
-        return invalid("route " + from.name() + ": a limit that never fills");
+        return invalid_field("route \"" + proto.name() +
+                             "\", field \"fill_interval\": expected more than 0 us, got " +
+                             std::to_string(fill_interval.count()) + " us");
     }
     route.admitted_per_second = bucket.tokens_per_fill().value() * kMicrosPerSecond /
                                 static_cast<double>(fill_interval.count());
--- a/src/xds/ads_server.cpp
+++ b/src/xds/ads_server.cpp
@@ -5,15 +5,17 @@
 namespace badgergrade::xds {
 
 namespace {
-/// Under this name the set of clusters stands for the newest update itself. No cluster has an empty
-/// name.
-const std::string kUpdateItself;
+/// Name of a pseudo-resource in the set of clusters. Its version is the newest update that the
+/// stream named, so that an update without any changed resource can be acknowledged too. Empty, as
+/// no cluster has an empty name.
+const std::string kUpdateMarker;
 
-/// Field number of the nonce in a DiscoveryResponse, and its wire type.
+/// Field number of `nonce` in DiscoveryResponse, and the protobuf wire type of strings.
 constexpr int kNonceField = 5;
 constexpr int kLengthDelimited = 2;
 
-/// Shared responses are sent within one burst; older entries are not needed again.
+/// Limit of the response cache. Streams that share a response are sent it within one burst; older
+/// entries are not needed again.
 constexpr std::size_t kMaxCachedResponses = 256;
 }  // namespace
 
@@ -28,12 +30,13 @@
     const auto type = resource_type_of(request.type_url());
     if (!type) {
         result.ignored = {IgnoreReason::UnknownType,
-                          "type '" + request.type_url() + "' is not served"};
+                          "field \"type_url\": expected a served xDS resource type, got \"" +
+                              request.type_url() + "\""};
         return result;
     }
     SubscriptionState& state = subscription(*type);
     if (request.response_nonce().empty()) {
-        start_over(*type, state);
+        reset_type(*type, state);
         update_subscription(*type, state, request);
         state.requested = true;
         return result;
@@ -42,18 +45,20 @@
         state.in_flight.begin(), state.in_flight.end(),
         [&](const InFlightResponse& r) { return r.nonce == request.response_nonce(); });
     if (response == state.in_flight.end()) {
-        result.ignored = {IgnoreReason::UnknownNonce,
-                          "stale or unknown nonce '" + request.response_nonce() + "'"};
+        result.ignored = {
+            IgnoreReason::UnknownNonce,
+            "field \"response_nonce\": expected the nonce of a response in flight, got \"" +
+                request.response_nonce() + "\""};
         return result;
     }
-    handle_answer(*type, *response, request, result);
+    handle_ack_or_nack(*type, *response, request, result);
     update_subscription(*type, state, request);
     return result;
 }
 
-/// The first request of a type. A later one without a nonce is a proxy that starts the type over:
-/// it may have forgotten everything.
-void AdsServer::start_over(ResourceType type, SubscriptionState& state) {
+/// Handles a request without a nonce: the first one of a type, or a later one of a proxy that
+/// starts the type anew and may have lost all its resources. Everything counts as not sent.
+void AdsServer::reset_type(ResourceType type, SubscriptionState& state) {
     state.in_flight.clear();
     for (auto& [name, resource] : state.resources) {
         resource.sent_version = 0;
@@ -63,8 +68,8 @@
 
 void AdsServer::update_subscription(ResourceType type, SubscriptionState& state,
                                     const Request& request) {
-    const bool names_nothing = request.resource_names_size() == 0;
-    if (is_sent_completely(type) && names_nothing && (!state.requested || state.wildcard)) {
+    const bool has_no_names = request.resource_names_size() == 0;
+    if (is_sent_completely(type) && has_no_names && (!state.requested || state.wildcard)) {
         state.wildcard = true;
         return;
     }
@@ -73,8 +78,8 @@
     if (names == state.names) {
         return;
     }
-    // A name that is new in the subscription is sent again, even if it was sent before: the proxy
-    // may have dropped the resource in between.
+    // A resource whose name is new in the subscription is sent again, even if it was sent before:
+    // the proxy may have dropped it in between.
     for (const auto& name : names) {
         const auto resource = state.resources.find(name);
         if (!state.names.contains(name) && resource != state.resources.end()) {
@@ -87,26 +92,26 @@
     }
 }
 
-void AdsServer::handle_answer(ResourceType type, InFlightResponse& response, const Request& request,
-                              RequestResult& result) {
-    // The same nonce a second time only changes a subscription. Its first answer counts, whatever
-    // this one says; otherwise an ACK after a NACK would pass off a rejected update as applied.
+void AdsServer::handle_ack_or_nack(ResourceType type, InFlightResponse& response,
+                                   const Request& request, RequestResult& result) {
+    // A second request with the same nonce can only change the subscription. The first ACK or NACK
+    // of a nonce counts; otherwise an ACK after a NACK would mark a rejected update as applied.
     if (response.answered) {
         return;
     }
     SubscriptionState& state = subscription(type);
-    const InFlightResponse answered = response;
+    const InFlightResponse response_copy = response;
     if (request.has_error_detail()) {
-        result.rejected = reject(type, state, answered, request.error_detail().message());
+        result.rejected = reject(type, state, response_copy, request.error_detail().message());
     } else {
-        acknowledge(type, state, answered);
+        acknowledge(type, state, response_copy);
     }
-    // The newest answered nonce stays known, so that a change of subscription with it is not
-    // reported as stale.
+    // The last answered response stays in the list, so that a subscription change with its nonce is
+    // not reported as stale.
     response.answered = true;
     response.resources.clear();
     std::erase_if(state.in_flight, [&](const InFlightResponse& r) {
-        return r.answered && r.nonce != answered.nonce;
+        return r.answered && r.nonce != response_copy.nonce;
     });
     result.acknowledged = take_acknowledged_updates();
 }
@@ -116,7 +121,7 @@
                                        const std::string& reason) {
     Rejection rejection{type, response.version, reason, {}};
     for (const auto& [name, version] : response.resources) {
-        if (name != kUpdateItself) {
+        if (name != kUpdateMarker) {
             rejection.resource_names.push_back(name);
         }
         const auto resource = state.resources.find(name);
@@ -145,14 +150,15 @@
     const bool routes_are_current =
         std::none_of(state.resources.begin(), state.resources.end(), [](const auto& entry) {
             const ResourceState& resource = entry.second;
-            return resource.wanted && resource.acked_version < resource.wanted->version;
+            return resource.desired && resource.acked_version < resource.desired->version;
         });
     if (routes_are_current) {
         remove_retired_clusters();
     }
 }
 
-/// Make before break: no route of the proxy names the removed clusters any more.
+/// Drops removed clusters and their assignments. Called when the proxy has acknowledged all current
+/// routes, none of which names a removed cluster (make before break).
 void AdsServer::remove_retired_clusters() {
     SubscriptionState& clusters = subscription(ResourceType::Cluster);
     SubscriptionState& assignments = subscription(ResourceType::Endpoints);
@@ -177,15 +183,16 @@
     return resource.retiring || resource.acked_version >= required.version;
 }
 
-/// Updates are acknowledged in their order: one that waits holds back all later ones.
+/// Returns the updates that are acknowledged by now. They are acknowledged in order: an update that
+/// is not acknowledged holds back all later ones.
 std::vector<AdsServer::AcknowledgedUpdate> AdsServer::take_acknowledged_updates() {
     std::vector<AcknowledgedUpdate> acknowledged;
-    const auto done = [&](const ResourceVersion& required) {
+    const auto is_satisfied = [&](const ResourceVersion& required) {
         return is_acknowledged(required);
     };
     while (!pending_updates_.empty()) {
         const PendingUpdate& first = pending_updates_.front();
-        if (!std::all_of(first.required.begin(), first.required.end(), done)) {
+        if (!std::all_of(first.required.begin(), first.required.end(), is_satisfied)) {
             break;
         }
         acknowledged.push_back(first.update);
@@ -198,16 +205,16 @@
 
 void AdsServer::release(Micros now, const ProxyMessage& message) {
     PendingUpdate pending = apply_changes(message);
-    schedule_rejected_again();
+    schedule_resend_of_rejected();
     if (pending.required.empty()) {
-        // Nothing changed for this proxy, but an acknowledgement is wanted: the complete set of
-        // clusters is sent again, and its acknowledgement is the answer.
+        // Nothing changed for this proxy, but an acknowledgement is requested: the complete set of
+        // clusters is sent again, and the ACK of that response acknowledges the update.
         SubscriptionState& clusters = subscription(ResourceType::Cluster);
-        clusters.resources[kUpdateItself];
+        clusters.resources[kUpdateMarker];
         clusters.send_due = true;
-        pending.required.push_back({ResourceType::Cluster, kUpdateItself, message.update_number});
+        pending.required.push_back({ResourceType::Cluster, kUpdateMarker, message.update_number});
     }
-    unannounced_.push_back({message.update_number, message.decided_at, now, message.lines});
+    unannounced_updates_.push_back({message.update_number, message.decided_at, now, message.lines});
     pending_updates_.push_back(std::move(pending));
     limit_pending_updates();
 }
@@ -224,41 +231,41 @@
             continue;
         }
         ResourceState& resource = state.resources[change.name];
-        resource.wanted = change.resource;
+        resource.desired = change.resource;
         resource.retiring = false;
         if (is_sent_completely(change.type)) {
             state.send_due = true;
         }
-        // The resource's own version, not the number of this update: a cluster that is assigned
-        // again was made by an earlier update and may be acknowledged already.
+        // The version of the resource, not the number of this update: a cluster that is assigned
+        // again was built by an earlier update and may have been acknowledged already.
         pending.required.push_back({change.type, change.name, change.resource->version});
     }
     return pending;
 }
 
-/// What was rejected is sent again with the next update. Not at once: a proxy that can't take it
-/// would be sent it in a loop. Not never: a removal would stay out for ever, and so would what
-/// depends on a rejected cluster (its assignment, and the routes to it).
-void AdsServer::schedule_rejected_again() {
+/// Rejected resources are sent again with the next update. Sending them at once would loop if the
+/// proxy keeps rejecting them. Never sending them again would lose a removal for good, and with it
+/// everything that depends on a rejected cluster (its assignment and the routes to it).
+void AdsServer::schedule_resend_of_rejected() {
     for (const ResourceType type : kResourceTypes) {
         SubscriptionState& state = subscription(type);
         if (is_sent_completely(type)) {
             state.send_due = state.send_due || state.has_rejected;
         } else {
-            state.retry_rejected = state.retry_rejected || state.has_rejected;
+            state.resend_rejected = state.resend_rejected || state.has_rejected;
         }
         state.has_rejected = false;
     }
 }
 
-/// A proxy that never answers must not fill the memory: the oldest updates are dropped. They are
-/// then never reported as acknowledged.
+/// Bounds the memory for a proxy that never acknowledges: the oldest updates are dropped and are
+/// never reported as acknowledged.
 void AdsServer::limit_pending_updates() {
     while (pending_updates_.size() > max_pending_updates_) {
         pending_updates_.pop_front();
     }
-    if (unannounced_.size() > max_pending_updates_) {
-        unannounced_.erase(unannounced_.begin());
+    if (unannounced_updates_.size() > max_pending_updates_) {
+        unannounced_updates_.erase(unannounced_updates_.begin());
     }
 }
 
@@ -277,9 +284,9 @@
         if (auto draft = next_draft(type, Selection::Changed)) {
             drafts.push_back(std::move(*draft));
         }
-        // What was rejected is sent in a response of its own: a second rejection would otherwise
-        // take the new resources beside it down as well.
-        if (may_send(type) && std::exchange(subscription(type).retry_rejected, false)) {
+        // Rejected resources are sent in a response of their own: otherwise a second rejection
+        // would also reject the new resources in the same response.
+        if (may_send(type) && std::exchange(subscription(type).resend_rejected, false)) {
             if (auto draft = next_draft(type, Selection::Rejected)) {
                 drafts.push_back(std::move(*draft));
             }
@@ -316,8 +323,8 @@
         std::string key =
             std::to_string(index(draft.type)) + " " + draft.version + " " + draft.release_text;
         for (const ResourcePtr& resource : draft.resources) {
-            // One update may make several resources of one name and version, since routes differ
-            // between proxies. Only the address of the object tells them apart.
+            // One update may build several resources with the same name and version, since routes
+            // differ between proxies. Only the address of the object distinguishes them.
             key += " " + resource->name + "=" +
                    std::to_string(reinterpret_cast<std::uintptr_t>(resource.get()));
         }
@@ -325,7 +332,7 @@
         if (!shared) {
             shared = std::make_shared<const std::string>(to_response(draft).SerializeAsString());
         }
-        // The nonce is appended behind the shared fields: protobuf allows fields in any order. Its
+        // The nonce is appended after the shared fields: protobuf allows fields in any order. Its
         // length fits into one byte, since a nonce is a decimal number of at most 20 digits.
         std::string nonce_field = {static_cast<char>(kNonceField << 3 | kLengthDelimited),
                                    static_cast<char>(draft.nonce.size())};
@@ -348,54 +355,56 @@
     draft.type = type;
     InFlightResponse response;
     select_resources(type, state, selection, draft, response);
-    // An empty response is sent only to say that all resources of the type are gone.
-    const bool says_all_are_gone = complete && !state.in_flight.empty();
-    if (draft.resources.empty() && !says_all_are_gone) {
+    // An empty response is sent only if it removes all resources of the type from the proxy.
+    const bool removes_all = complete && !state.in_flight.empty();
+    if (draft.resources.empty() && !removes_all) {
         return std::nullopt;
     }
     std::uint64_t newest_update = 0;
     for (const auto& [name, version] : response.resources) {
         newest_update = std::max(newest_update, version);
     }
-    for (const ReleasedUpdate& update : unannounced_) {
+    for (const ReleasedUpdate& update : unannounced_updates_) {
         newest_update = std::max(newest_update, update.update_number);
     }
-    announced_update_ = std::max(announced_update_, newest_update);
+    newest_announced_update_ = std::max(newest_announced_update_, newest_update);
     if (type == ResourceType::Cluster) {
-        response.resources.emplace_back(kUpdateItself, announced_update_);
+        response.resources.emplace_back(kUpdateMarker, newest_announced_update_);
     }
     draft.version = origin_ + "/" + std::to_string(newest_update);
     draft.nonce = std::to_string(++last_nonce_);
-    draft.release_text = to_release_text(origin_, unannounced_);
-    unannounced_.clear();
+    draft.release_text = to_release_text(origin_, unannounced_updates_);
+    unannounced_updates_.clear();
     response.nonce = draft.nonce;
     response.version = draft.version;
     state.in_flight.push_back(std::move(response));
     return draft;
 }
 
-/// Puts the subscribed resources that are due into the draft and marks them as sent.
+/// Adds the subscribed resources that are due to the draft and marks them as sent.
 void AdsServer::select_resources(ResourceType type, SubscriptionState& state, Selection selection,
                                  ResponseDraft& draft, InFlightResponse& response) {
     for (auto& [name, resource] : state.resources) {
         const bool subscribed = state.wildcard || state.names.contains(name);
-        if (!resource.wanted || !subscribed) {
+        if (!resource.desired || !subscribed) {
             continue;
         }
         const bool due = selection == Selection::Rejected
                              ? resource.rejected
-                             : resource.sent_version < resource.wanted->version;
+                             : resource.sent_version < resource.desired->version;
         if (!due && !is_sent_completely(type)) {
             continue;
         }
-        draft.resources.push_back(resource.wanted);
-        resource.sent_version = resource.wanted->version;
+        draft.resources.push_back(resource.desired);
+        resource.sent_version = resource.desired->version;
         resource.rejected = false;
         response.resources.emplace_back(name, resource.sent_version);
     }
 }
 
-/// Make before break: routes are sent only after the assignments that they lead to.
+/// Whether the proxy has subscribed to the type and all resources that the type refers to were
+/// sent. Routes wait until every assignment has been sent (make before break), except the list of
+/// ejected servers, which no route names.
 bool AdsServer::may_send(ResourceType type) const {
     if (!subscription(type).requested) {
         return false;
@@ -406,8 +415,8 @@
     const auto& assignments = subscription(ResourceType::Endpoints).resources;
     return std::none_of(assignments.begin(), assignments.end(), [](const auto& entry) {
         const auto& [name, resource] = entry;
-        return name != kStartupClusterName && resource.wanted &&
-               resource.sent_version < resource.wanted->version;
+        return name != kStartupClusterName && resource.desired &&
+               resource.sent_version < resource.desired->version;
     });
 }
 
--- a/src/xds/load_report.cpp
+++ b/src/xds/load_report.cpp
@@ -14,12 +14,14 @@
 namespace load_stats_v3 = envoy::service::load_stats::v3;
 
 namespace {
-/// No proxy sends this many requests within one report; a higher count is a fault of the sender.
+/// No proxy sends more requests than this within one report interval; a higher count is an error of
+/// the sender.
 constexpr std::uint64_t kMaxCount = 1000000000;
+/// One hour.
 constexpr std::int64_t kMaxIntervalUs = 3600LL * 1000000;
 /// The highest valid TCP port.
 constexpr std::uint32_t kMaxPort = 65535;
-/// All servers are reported under this cluster name: a server is identified by its address.
+/// Cluster name under which all servers are reported: a server is identified by its address alone.
 constexpr const char* kServersCluster = "servers";
 }  // namespace
 
@@ -80,31 +82,34 @@
 }
 
 namespace {
-bool in_range(std::uint64_t count) {
+bool is_valid_count(std::uint64_t count) {
     return count <= kMaxCount;
 }
 
-RejectedLoad count_out_of_range(const std::string& whose) {
-    return {LoadReportError::CountOutOfRange, "sums for '" + whose + "' are out of range"};
+RejectedLoad count_out_of_range(const std::string& subject) {
+    return {LoadReportError::CountOutOfRange,
+            "load of \"" + subject + "\": expected counts of at most " + std::to_string(kMaxCount) +
+                " and a port of 1 to " + std::to_string(kMaxPort)};
 }
 
-void read_endpoint(const endpoint_v3::UpstreamEndpointStats& from, ParsedLoadReport& out) {
-    const auto& socket = from.address().socket_address();
+void parse_endpoint(const endpoint_v3::UpstreamEndpointStats& stats, ParsedLoadReport& out) {
+    const auto& socket = stats.address().socket_address();
     const net::Address address{socket.address(), static_cast<std::uint16_t>(socket.port_value())};
     if (socket.port_value() == 0 || socket.port_value() > kMaxPort ||
-        !in_range(from.total_issued_requests()) || !in_range(from.total_error_requests()) ||
-        !in_range(from.total_successful_requests())) {
+        !is_valid_count(stats.total_issued_requests()) ||
+        !is_valid_count(stats.total_error_requests()) ||
+        !is_valid_count(stats.total_successful_requests())) {
         out.rejected.push_back(
             count_out_of_range(socket.address() + ":" + std::to_string(socket.port_value())));
         return;
     }
     EndpointLoad load;
-    load.attempts = static_cast<std::int64_t>(from.total_issued_requests());
-    load.failures = static_cast<std::int64_t>(from.total_error_requests());
-    load.successes = static_cast<std::int64_t>(from.total_successful_requests());
-    // Other implementations may count issued requests only when they end.
+    load.attempts = static_cast<std::int64_t>(stats.total_issued_requests());
+    load.failures = static_cast<std::int64_t>(stats.total_error_requests());
+    load.successes = static_cast<std::int64_t>(stats.total_successful_requests());
+    // Other xDS clients may count an issued request only when it ends.
     load.attempts = std::max(load.attempts, load.failures + load.successes);
-    for (const auto& metric : from.load_metric_stats()) {
+    for (const auto& metric : stats.load_metric_stats()) {
         if (!std::isfinite(metric.total_metric_value())) {
             continue;
         }
@@ -119,9 +124,10 @@
     out.report.endpoints[address] += load;
 }
 
-void read_operation(const std::string& cluster_name,
-                    const endpoint_v3::UpstreamLocalityStats& locality, ParsedLoadReport& out) {
-    if (!in_range(locality.total_issued_requests()) || !in_range(locality.total_error_requests())) {
+void parse_operation(const std::string& cluster_name,
+                     const endpoint_v3::UpstreamLocalityStats& locality, ParsedLoadReport& out) {
+    if (!is_valid_count(locality.total_issued_requests()) ||
+        !is_valid_count(locality.total_error_requests())) {
         out.rejected.push_back(count_out_of_range(cluster_name));
         return;
     }
@@ -138,18 +144,21 @@
         const auto interval_us = TimeUtil::DurationToMicroseconds(cluster.load_report_interval());
         if (interval_us < 0 || interval_us > kMaxIntervalUs) {
             out.rejected.push_back({LoadReportError::IntervalOutOfRange,
-                                    "a report over " + std::to_string(interval_us) + " us"});
+                                    "cluster \"" + cluster.cluster_name() +
+                                        "\", field \"load_report_interval\": expected 0 to " +
+                                        std::to_string(kMaxIntervalUs) + " us, got " +
+                                        std::to_string(interval_us) + " us"});
             continue;
         }
         out.report.interval = std::max(out.report.interval, Micros(interval_us));
         const bool is_operation = cluster.cluster_name().rfind(kOperationClusterPrefix, 0) == 0;
         for (const auto& locality : cluster.upstream_locality_stats()) {
             if (is_operation) {
-                read_operation(cluster.cluster_name(), locality, out);
+                parse_operation(cluster.cluster_name(), locality, out);
                 continue;
             }
             for (const auto& endpoint : locality.upstream_endpoint_stats()) {
-                read_endpoint(endpoint, out);
+                parse_endpoint(endpoint, out);
             }
         }
     }
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -27,9 +27,10 @@
 constexpr std::uint32_t kTooManyRequests = 429;
 constexpr const char* kRateLimitFilter = "envoy.filters.http.local_ratelimit";
 constexpr const char* kRouterFilter = "envoy.filters.http.router";
-/// Weights above this are cut off, so that the sum of a locality fits into 32 bits.
+/// Scaled weights are capped here, so that the sum over a locality of 1000 servers fits into 32
+/// bits.
 constexpr double kMaxScaledWeight = 4e9 / 1000;
-/// A lower rate is raised to this: a token bucket must fill at some time.
+/// Lower rates are raised to this one: a token bucket needs a finite fill interval.
 constexpr double kMinRatePerSecond = 0.001;
 
 void set_source_to_ads(core::ConfigSource* source) {
@@ -37,7 +38,7 @@
     source->set_resource_api_version(core::V3);
 }
 
-/// Serializes so that equal content gives equal bytes: the entries of maps are sorted.
+/// Serializes equal content to equal bytes: the entries of protobuf maps are sorted.
 std::string serialize_deterministically(const google::protobuf::Message& message) {
     std::string out;
     google::protobuf::io::StringOutputStream stream(&out);
@@ -48,8 +49,8 @@
     return out;
 }
 
-/// "connect-failure" and "refused-stream" prove that the server did not process the request; after
-/// the others it may have.
+/// The `retry_on` conditions of a retry mode. After "connect-failure" and "refused-stream" the
+/// server provably did not process the request; after "reset" and "5xx" it may have.
 std::string retry_conditions(RetryMode mode) {
     return mode == RetryMode::OnlyUnprocessed ? "connect-failure,refused-stream"
                                               : "connect-failure,refused-stream,reset,5xx";
@@ -109,25 +110,27 @@
     return update;
 }
 
-/// A command that names a server without a location can't be put into a resource: there is no
-/// address for it.
+/// Removes commands that name a server without a location: a resource can't be built without its
+/// address.
 void SnapshotCache::remove_unknown_servers(std::vector<Command>& commands,
                                            std::vector<RejectedCommand>& rejected) const {
     const auto is_unknown = [&](ServerId server, const char* command) {
         if (server_locations_.contains(server)) {
             return false;
         }
-        rejected.push_back({CommandError::UnknownServer, std::string(command) + " server " +
-                                                             std::to_string(server.value) +
-                                                             ", which no list named"});
+        rejected.push_back(
+            {CommandError::UnknownServer,
+             "command " + std::string(command) +
+                 ", field \"server\": expected a server that the registry listed, got id " +
+                 std::to_string(server.value)});
         return true;
     };
-    std::erase_if(commands, [&](const Command& any) {
-        if (const auto* set_weight = std::get_if<command::SetWeight>(&any)) {
-            return is_unknown(set_weight->server, "a line for");
+    std::erase_if(commands, [&](const Command& candidate) {
+        if (const auto* set_weight = std::get_if<command::SetWeight>(&candidate)) {
+            return is_unknown(set_weight->server, "SetWeight");
         }
-        const auto* set_ejected = std::get_if<command::SetEjected>(&any);
-        return set_ejected && is_unknown(set_ejected->server, "a withdrawal of");
+        const auto* set_ejected = std::get_if<command::SetEjected>(&candidate);
+        return set_ejected && is_unknown(set_ejected->server, "SetEjected");
     });
 }
 
@@ -139,14 +142,14 @@
     return tables;
 }
 
-/// Tables whose assignment differs after the update: by their lines, or because a server in them
-/// was ejected or readmitted.
+/// The tables whose endpoint assignment the update changes: their weights changed, or a server in
+/// them was ejected or readmitted.
 std::set<TableId> SnapshotCache::changed_tables(const runtime::ProxyUpdate& update,
                                                 const std::set<TableId>& assigned) const {
     std::set<TableId> changed;
-    for (const auto& part : update.tables) {
-        if (part->replace_all || !part->weights.empty()) {
-            changed.insert(part->table);
+    for (const auto& table_update : update.tables) {
+        if (table_update->replace_all || !table_update->weights.empty()) {
+            changed.insert(table_update->table);
         }
     }
     for (const auto* servers : {&update.eject, &update.restore}) {
@@ -161,6 +164,8 @@
     return changed;
 }
 
+/// Builds the changes of one proxy: new clusters, assignments, the ejected servers, listener and
+/// routes, and last the removed clusters. AdsServer orders them on the stream (make before break).
 std::vector<ResourceChange> SnapshotCache::changes_for(const runtime::ProxyUpdate& update) {
     SentState& sent = sent_.at(update.proxy);
     std::set<TableId> assigned = assigned_tables(update.proxy);
@@ -196,17 +201,17 @@
 
 void SnapshotCache::add_listener_and_routes(ProxyId proxy, SentState& sent,
                                             std::vector<ResourceChange>& changes) {
-    if (!std::exchange(sent.listener, true)) {
+    if (!std::exchange(sent.listener_sent, true)) {
         const ResourcePtr resource = listener();
         changes.push_back({resource->type, resource->name, resource});
     }
     std::string key = routes_key(proxy);
-    if (key == sent.routes) {
+    if (key == sent.routes_key) {
         return;
     }
     const ResourcePtr resource = routes(proxy);
     changes.push_back({resource->type, resource->name, resource});
-    sent.routes = std::move(key);
+    sent.routes_key = std::move(key);
 }
 
 // ---- resources
@@ -251,13 +256,14 @@
 }
 
 namespace {
+/// Adds a server to the locality of its zone, and its weight to the weight of the locality.
 void add_endpoint(envoy::config::endpoint::v3::ClusterLoadAssignment& out,
                   const ServerLocation& location, double weight, bool draining) {
-    auto* group = out.mutable_endpoints();
+    auto* localities = out.mutable_endpoints();
     envoy::config::endpoint::v3::LocalityLbEndpoints* locality = nullptr;
-    for (auto& known : *group) {
-        if (known.locality().zone() == location.zone) {
-            locality = &known;
+    for (auto& candidate : *localities) {
+        if (candidate.locality().zone() == location.zone) {
+            locality = &candidate;
         }
     }
     if (!locality) {
@@ -318,7 +324,7 @@
     set_source_to_ads(manager.mutable_rds()->mutable_config_source());
     manager.mutable_rds()->set_route_config_name(std::string(kRouteConfigName));
     if (admission_mode_ == AdmissionMode::Rate) {
-        // The filter without a limit of its own: each route brings its token bucket.
+        // The filter has no limit of its own: each route carries its token bucket.
         envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit unlimited;
         unlimited.set_stat_prefix("operations");
         auto* filter = manager.add_http_filters();
@@ -336,7 +342,7 @@
     return listener_;
 }
 
-/// Proxies with equal keys have equal routes.
+/// Identifies the content of a proxy's routes: proxies with equal keys have equal routes.
 std::string SnapshotCache::routes_key(ProxyId proxy) const {
     std::string key;
     for (std::size_t k = 0; k < operations_.size(); ++k) {
@@ -354,16 +360,20 @@
 }
 
 namespace {
-/// The protocol rule on retries: where a repeat has an effect of its own, a request that may have
-/// been processed is never sent again, whatever the policy decided.
-RetryMode safe_retry_mode(const Operation& operation, RetryMode decided) {
-    return operation.effect == Effect::SideEffecting ? std::min(decided, RetryMode::OnlyUnprocessed)
-                                                     : decided;
+/// The protocol rule on retries, applied to the mode that the policy decided: for an operation with
+/// side effects, a request that a server may have processed is never sent again. The modes are
+/// ordered from the fewest retries to the most.
+RetryMode safe_retry_mode(const Operation& operation, RetryMode policy_mode) {
+    return operation.effect == Effect::SideEffecting
+               ? std::min(policy_mode, RetryMode::OnlyUnprocessed)
+               : policy_mode;
 }
 
-void set_retry_policy(route_v3::RouteAction& action, const Operation& operation, RetryMode decided,
-                      double attempt_timeout_factor) {
-    const RetryMode mode = safe_retry_mode(operation, decided);
+/// Writes the retry policy of a route: none for `RetryMode::Never`; otherwise the conditions, the
+/// number of retries and, where a processed request may be retried, the time limit of one attempt.
+void set_retry_policy(route_v3::RouteAction& action, const Operation& operation,
+                      RetryMode policy_mode, double attempt_timeout_factor) {
+    const RetryMode mode = safe_retry_mode(operation, policy_mode);
     if (mode == RetryMode::Never) {
         return;
     }
@@ -379,8 +389,8 @@
         TimeUtil::MicrosecondsToDuration(static_cast<std::int64_t>(attempt_timeout_us));
 }
 
-/// A token bucket that gets one token at a time, so that a rate below one request a second still
-/// admits single requests.
+/// Sets a token bucket that is filled with one token at a time, so that a rate below one request
+/// per second still admits single requests.
 void set_rate_limit(route_v3::Route& route, const Operation& operation, double rate_per_second) {
     envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit limit;
     limit.set_stat_prefix(operation.name);
@@ -394,17 +404,19 @@
     (*route.mutable_typed_per_filter_config())[kRateLimitFilter].PackFrom(limit);
 }
 
-/// Admits this fraction of the requests; a second route behind it answers the rest.
+/// Limits the route to this fraction of the requests, and adds a second route with the same path
+/// that answers the other requests with HTTP status 429.
 void set_admitted_fraction(route_v3::VirtualHost& host, route_v3::Route& route,
                            const Operation& operation, double fraction) {
-    auto* admitted = route.mutable_match()->mutable_runtime_fraction()->mutable_default_value();
-    admitted->set_numerator(
+    auto* runtime_fraction =
+        route.mutable_match()->mutable_runtime_fraction()->mutable_default_value();
+    runtime_fraction->set_numerator(
         static_cast<std::uint32_t>(std::lround(std::max(0.0, fraction) * kMillion)));
-    admitted->set_denominator(envoy::type::v3::FractionalPercent::MILLION);
-    auto* rest = host.add_routes();
-    rest->set_name(operation.name + "/rate-limited");
-    rest->mutable_match()->set_path(operation_path(operation.name));
-    rest->mutable_direct_response()->set_status(kTooManyRequests);
+    runtime_fraction->set_denominator(envoy::type::v3::FractionalPercent::MILLION);
+    auto* reject_route = host.add_routes();
+    reject_route->set_name(operation.name + "/rate-limited");
+    reject_route->mutable_match()->set_path(operation_path(operation.name));
+    reject_route->mutable_direct_response()->set_status(kTooManyRequests);
 }
 }  // namespace
 
--- a/src/xds/snapshot_cache.h
+++ b/src/xds/snapshot_cache.h
@@ -1,6 +1,16 @@
 /// @file
-/// The configuration that the policy decided on, as xDS resources, and the message that each
-/// decision is for each connected proxy. No I/O, and no decision is made here.
+/// Translates the policy's decisions into xDS resources: holds the decided configuration and
+/// builds, for each decision, one message of resource changes per connected proxy. No I/O; no
+/// decision is made here.
+///
+/// Retries: what a proxy may retry is decided by two rules when routes are built.
+/// - The policy's decision: the retry mode of the admission setting of the table and operation
+///   (`runtime::ConfigState::admission`), or `Settings::default_retry_mode` if there is none.
+/// - The protocol rule, which overrides it: for an operation with side effects the mode is lowered
+/// to
+///   at most `RetryMode::OnlyUnprocessed`, so that a request that a server may have processed is
+///   never sent again. Idempotent and fingerprinted operations keep the policy's mode.
+/// The result is written into the route as `retry_on`, `num_retries` and `per_try_timeout`.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +30,13 @@
 
 namespace badgergrade::xds {
 
-/// One version of one resource: immutable, shared by all streams that carry it.
+/// One version of one xDS resource; immutable, shared by all streams that carry it.
 struct Resource {
     ResourceType type = ResourceType::Cluster;
     std::string name;
-    /// The number of the update that made it.
+    /// Number of the update that built this version.
     std::uint64_t version = 0;
-    /// The serialized message, without the `Any` around it.
+    /// The serialized resource, without the `Any` that wraps it on the wire.
     std::string bytes;
 };
 
@@ -36,78 +46,81 @@
 struct ResourceChange {
     ResourceType type = ResourceType::Cluster;
     std::string name;
-    /// Null: removed.
+    /// Null: the resource is removed.
     ResourcePtr resource;
 };
 
-/// What one update is for one proxy. It leaves the send queue as a whole.
+/// The changes of one update for one proxy. The send queue releases it as a whole.
 struct ProxyMessage {
     ProxyId proxy;
-    /// Updates of one control plane instance are numbered from 1.
+    /// Updates of one incarnation of a control plane instance are numbered from 1.
     std::uint64_t update_number = 0;
     Micros decided_at{};
-    /// Size as the send queue counts it: message head, acknowledgement request and changed lines.
+    /// Size as the send queue counts it: the message head, the acknowledgement request and the
+    /// changed lines.
     double lines = 0;
-    /// The acknowledgement that the policy asked for, if any.
+    /// The version whose acknowledgement the policy requested, if any.
     std::optional<ConfigVersion> requested_ack;
     std::vector<ResourceChange> changes;
 };
 
-/// Where a server is reached.
+/// The network address and zone of a server.
 struct ServerLocation {
     net::Address address;
     std::string zone;
 };
 
-/// Why a command of the policy could not be carried out.
+/// Why a command of the policy could not be executed.
 enum class CommandError { UnknownServer, UnknownProxy };
 
-/// A command that was left out.
+/// A command that was not executed.
 struct RejectedCommand {
     CommandError error = CommandError::UnknownServer;
-    /// Which command, and what it named, for the log.
+    /// The command and the unknown id in it, for the log.
     std::string text;
 };
 
 class SnapshotCache {
 public:
-    /// `ejection_time` is how long a proxy itself ejects a server that fails.
+    /// `ejection_time` is how long a proxy's own outlier detection ejects a server.
     SnapshotCache(const Settings& settings, Micros ejection_time);
 
-    /// Sets where a server is reached; commands may name it from then on.
+    /// Sets the location of a server. Commands that name the server are rejected before that.
     void set_server_location(ServerId server, ServerLocation location);
 
     /// Null for a server without a location.
     const ServerLocation* server_location(ServerId server) const;
 
-    /// A stream of this proxy opened: it was sent nothing yet, and no table is assigned to it.
+    /// A stream of this proxy opened. Nothing has been sent on it, and no table is assigned to the
+    /// proxy.
     void on_proxy_connected(ProxyId proxy);
 
-    /// Its stream ended.
+    /// The proxy's stream ended.
     void on_proxy_disconnected(ProxyId proxy);
 
-    /// What one decision is for the proxies, and which of its commands were left out.
+    /// The messages that result from one decision, and the commands that were not executed.
     struct Update {
-        /// One for each connected proxy concerned, by ascending id.
+        /// One for each connected proxy that the decision concerns, by ascending id.
         std::vector<ProxyMessage> messages;
         std::vector<RejectedCommand> rejected;
     };
 
-    /// Carries out the commands of one decision that change the configuration: weights, cleared
+    /// Executes the commands of one decision that change the configuration: weights, cleared
     /// tables, assignments of tables, ejections, admission limits and acknowledgement requests.
+    /// Other commands are ignored.
     Update apply(Micros now, std::vector<Command> commands);
 
-    /// The number of the newest update; 0 before the first.
+    /// Number of the newest update; 0 before the first.
     std::uint64_t update_number() const { return update_number_; }
 
 private:
-    /// What a proxy was sent on its stream.
+    /// What a proxy was sent on its current stream.
     struct SentState {
         /// Tables whose cluster was sent.
         std::set<TableId> tables;
-        bool listener = false;
-        /// What its routes were made from; see `routes_key`.
-        std::string routes;
+        bool listener_sent = false;
+        /// `routes_key()` of the routes that were sent last; empty: none were sent.
+        std::string routes_key;
     };
 
     void remove_unknown_servers(std::vector<Command>& commands,
@@ -130,7 +143,7 @@
     std::vector<Operation> operations_;
     PickPolicy pick_policy_;
     AdmissionMode admission_mode_;
-    /// Timeout of one attempt, as a multiple of the operation's latency objective.
+    /// Time limit of one attempt, as a multiple of the operation's latency objective.
     double attempt_timeout_factor_;
     int ejection_failures_;
     Micros ejection_time_;
@@ -138,8 +151,10 @@
     runtime::ConfigState config_;
     std::map<ProxyId, SentState> sent_;
     std::uint64_t update_number_ = 0;
-    /// Resources made in the current update, so that many proxies share one object.
+    /// Resources built in the current update, so that proxies with equal resources share one
+    /// object. Keys: the cluster name for an assignment, "routes " and `routes_key()` for routes.
     std::map<std::string, ResourcePtr> current_resources_;
+    /// The cluster of each table. It depends on the settings alone, and so does the listener.
     std::map<TableId, ResourcePtr> clusters_;
     ResourcePtr listener_;
 };
