--- a/src/xds_server/endpoint_list_validator.cpp
+++ b/src/xds_server/endpoint_list_validator.cpp
@@ -2,38 +2,42 @@
 
 namespace badgergrade::xds_server {
 
-EndpointListValidator::Result EndpointListValidator::validate(const EndpointListHeader& answer) {
+EndpointListValidator::Result EndpointListValidator::validate(const EndpointListHeader& header) {
     const bool same_incarnation =
-        has_accepted_ && answer.registry_incarnation == accepted_.registry_incarnation;
-    if (same_incarnation && answer.index == accepted_.index) {
+        has_accepted_ && header.registry_incarnation == accepted_.registry_incarnation;
+    if (same_incarnation && header.index == accepted_.index) {
         return {Decision::Unchanged, {}};
     }
-    if (same_incarnation && answer.index < accepted_.index) {
-        return {Decision::Reject, "index " + std::to_string(answer.index) + " is older than " +
-                                      std::to_string(accepted_.index)};
+    if (same_incarnation && header.index < accepted_.index) {
+        return {Decision::Reject, "field \"index\": expected at least " +
+                                      std::to_string(accepted_.index) + ", got " +
+                                      std::to_string(header.index)};
     }
-    const bool lost_all = has_accepted_ && accepted_.server_count > 0 && answer.server_count == 0;
+    const bool lost_all = has_accepted_ && accepted_.server_count > 0 && header.server_count == 0;
     if (lost_all && empty_list_ == config::EmptyList::Refuse) {
         return {Decision::Reject,
-                "it is empty, and the last one named " + std::to_string(accepted_.server_count)};
+                "field \"servers\": expected a list that is not empty after one of " +
+                    std::to_string(accepted_.server_count) + " servers, got an empty one"};
     }
     const double min_kept_servers =
         min_kept_fraction_ * static_cast<double>(accepted_.server_count);
-    if (has_accepted_ && static_cast<double>(answer.server_count) < min_kept_servers) {
+    if (has_accepted_ && static_cast<double>(header.server_count) < min_kept_servers) {
         const bool confirmed = has_unconfirmed_ &&
-                               unconfirmed_.registry_incarnation == answer.registry_incarnation &&
-                               unconfirmed_.server_count == answer.server_count;
+                               unconfirmed_.registry_incarnation == header.registry_incarnation &&
+                               unconfirmed_.server_count == header.server_count;
         has_unconfirmed_ = !confirmed;
-        unconfirmed_ = answer;
+        unconfirmed_ = header;
         if (!confirmed) {
-            return {Decision::Confirm, std::to_string(answer.server_count) + " servers after " +
+            return {Decision::Confirm, "field \"servers\": expected at least " +
+                                           std::to_string(min_kept_fraction_) + " of the last " +
                                            std::to_string(accepted_.server_count) +
-                                           "; asked a second time"};
+                                           " servers, got " + std::to_string(header.server_count) +
+                                           "; a second response must confirm this"};
         }
     }
     has_unconfirmed_ = false;
     has_accepted_ = true;
-    accepted_ = answer;
+    accepted_ = header;
     return {Decision::Accept, {}};
 }
 
--- a/src/xds_server/endpoint_list_validator.h
+++ b/src/xds_server/endpoint_list_validator.h
@@ -1,12 +1,15 @@
 /// @file
-/// Decides whether an answer of the registry is accepted as the new list of servers. No I/O.
+/// Decides whether a response of the registry is accepted as the new list of servers. No I/O.
 ///
 /// A registry that restarts empty, falls back to an old copy or loses most of its keys must not
-/// empty every table. But the rule on draining servers counts from the moment of the registry's
-/// answer, so a list is refused only where it can't be true:
-/// - a list with a lower index than the same incarnation of the registry gave before;
-/// - an empty list after one that was not empty, if the settings refuse that;
-/// - a much shorter list, if the settings say so, until a second answer confirms it.
+/// empty every table. On the other hand, the time limit for removing draining servers from tables
+/// starts with the registry's response, so valid lists must not be delayed. A list is therefore
+/// rejected only where it can't be true:
+/// - its index is lower than one that the same incarnation of the registry gave before;
+/// - it is empty after one that was not empty, if the settings refuse that;
+/// - it is much shorter than the last one, if the settings set a limit, until a second response
+/// with
+///   the same number of servers confirms it.
 #pragma once
 
 #include <cstdint>
@@ -16,39 +19,43 @@
 
 namespace badgergrade::xds_server {
 
-/// What identifies a version of the list.
+/// Identifies a version of the list.
 struct EndpointListHeader {
-    /// Which incarnation of the registry answered.
+    /// The incarnation of the registry that sent the list.
     std::string registry_incarnation;
-    /// Grows with each change of the list, within one incarnation.
+    /// Version of the list; grows with each change within one incarnation.
     std::uint64_t index = 0;
     std::size_t server_count = 0;
 };
 
 class EndpointListValidator {
 public:
-    /// A list with fewer servers than `min_kept_fraction` of the last one must be confirmed; 0
-    /// accepts any loss.
+    /// A list with fewer servers than `min_kept_fraction` (0 to 1) of the last accepted one must be
+    /// confirmed; 0 accepts any loss.
     EndpointListValidator(config::EmptyList empty_list, double min_kept_fraction)
         : empty_list_(empty_list),
           min_kept_fraction_(min_kept_fraction) {}
 
+    /// `Unchanged`: the list that was accepted last. `Confirm`: rejected until a second response
+    /// confirms it.
     enum class Decision { Accept, Unchanged, Reject, Confirm };
 
     struct Result {
         Decision decision = Decision::Accept;
-        /// Why a list is rejected or must be confirmed; else empty.
+        /// Why the list is rejected or must be confirmed; otherwise empty.
         std::string reason;
     };
 
-    /// Decides on an answer, and remembers it if it is accepted.
-    Result validate(const EndpointListHeader& answer);
+    /// Decides on a response and stores its header if it is accepted.
+    Result validate(const EndpointListHeader& header);
 
 private:
     config::EmptyList empty_list_;
     double min_kept_fraction_;
+    /// The last accepted list.
     bool has_accepted_ = false;
     EndpointListHeader accepted_;
+    /// The last list that must be confirmed.
     bool has_unconfirmed_ = false;
     EndpointListHeader unconfirmed_;
 };
--- a/src/xds_server/endpoint_watch.cpp
+++ b/src/xds_server/endpoint_watch.cpp
@@ -15,9 +15,9 @@
 
 constexpr Micros kFirstRetryDelay = 250ms;
 constexpr Micros kMaxRetryDelay = 5s;
-constexpr Micros kIdleConnectionTime = 60s;
-/// Delay until the next poll. A registry that answers at once would otherwise make a busy loop of
-/// the watch.
+constexpr Micros kIdleConnectionTimeout = 60s;
+/// Delays until the next poll. Without them, a registry that responds immediately would turn the
+/// watch into a busy loop.
 constexpr Micros kDelayAfterUpdate = 1ms;
 constexpr Micros kDelayAfterUnchanged = 100ms;
 
@@ -35,18 +35,22 @@
     if (state == "draining") {
         return ServerState::Draining;
     }
-    throw InvalidServerList("server " + server_id + ": state '" + state + "'");
+    throw InvalidServerList("server \"" + server_id +
+                            "\", field \"state\": expected \"ready\" or \"draining\", got \"" +
+                            state + "\"");
 }
 
-/// Reads one entry; `ids` holds the ids of the entries before it.
+/// Parses one entry. `ids` holds the ids of the entries before it, and gets the id of this one.
 ListedServer parse_server(const nlohmann::json& json, std::set<std::string>& ids) {
     ListedServer server;
     server.id = json.at("id").get<std::string>();
     if (server.id.empty() || server.id.size() > kMaxServerIdBytes) {
-        throw InvalidServerList("a server's id is 1 to 128 bytes");
+        throw InvalidServerList("field \"id\": expected 1 to " + std::to_string(kMaxServerIdBytes) +
+                                " bytes, got " + std::to_string(server.id.size()));
     }
     if (!ids.insert(server.id).second) {
-        throw InvalidServerList("server " + server.id + " stands twice");
+        throw InvalidServerList("server \"" + server.id +
+                                "\", field \"id\": expected a unique id, got a duplicate");
     }
     server.zone = json.value("zone", "");
     server.incarnation = json.value("incarnation", "");
@@ -54,12 +58,15 @@
     server.state = parse_state(json.value("state", "ready"), server.id);
     server.weight = json.value("weight", 1.0);
     if (!(server.weight > 0) || !std::isfinite(server.weight) || server.weight > kMaxWeight) {
-        throw InvalidServerList("server " + server.id +
-                                ": a weight is above 0 and at most 1000000");
+        throw InvalidServerList("server \"" + server.id +
+                                "\", field \"weight\": expected above 0 and at most 1000000, got " +
+                                std::to_string(server.weight));
     }
     const double age_ms = json.value("age_ms", 0.0);
     if (!(age_ms >= 0) || age_ms > kMaxAgeMs) {
-        throw InvalidServerList("server " + server.id + ": age_ms is out of range");
+        throw InvalidServerList("server \"" + server.id +
+                                "\", field \"age_ms\": expected 0 to 1e13, got " +
+                                std::to_string(age_ms));
     }
     server.age = Micros(static_cast<std::int64_t>(age_ms * kMicrosPerMilli));
     return server;
@@ -78,12 +85,14 @@
             list.servers.push_back(parse_server(entry, ids));
         }
     } catch (const nlohmann::json::exception& error) {
-        throw InvalidServerList(std::string("the list can't be read: ") + error.what());
+        throw InvalidServerList(std::string("malformed server list: ") + error.what());
     } catch (const std::invalid_argument& error) {
-        throw InvalidServerList(std::string("the list can't be read: ") + error.what());
+        throw InvalidServerList(std::string("malformed server list: ") + error.what());
     }
     if (list.servers.size() > kMaxServers) {
-        throw InvalidServerList("the list names more than 65535 servers");
+        throw InvalidServerList("field \"servers\": expected at most " +
+                                std::to_string(kMaxServers) + " entries, got " +
+                                std::to_string(list.servers.size()));
     }
     list.header.server_count = list.servers.size();
     return list;
@@ -97,7 +106,7 @@
       timeout_(config.registry_timeout),
       validator_(config.empty_list, config.min_endpoint_fraction),
       pool_(loop, actor, std::move(host), net::parse_address(config.registry_address),
-            config.registry_timeout, kIdleConnectionTime),
+            config.registry_timeout, kIdleConnectionTimeout),
       poll_timer_(loop.clock(), actor) {}
 
 void EndpointWatch::start() {
@@ -110,8 +119,8 @@
 void EndpointWatch::stop() {
     is_watching_ = false;
     poll_timer_.stop();
-    if (request_) {
-        pool_.cancel(std::exchange(request_, 0));
+    if (request_in_flight_) {
+        pool_.cancel(std::exchange(request_in_flight_, 0));
     }
 }
 
@@ -132,12 +141,12 @@
     request.target =
         "/v1/servers?index=" + std::to_string(known_index) + "&wait_ms=" + std::to_string(wait_ms);
     request.headers.emplace_back("x-governor", instance_id_);
-    // A registry that holds a poll for longer than it was asked to is dead: the request ends with a
-    // timeout and is retried.
-    const Micros time_to_answer = known_index == 0 ? Micros{0} : long_poll_wait_;
-    request_ =
-        pool_.send(std::move(request), time_to_answer + timeout_, [this](net::HttpOutcome outcome) {
-            request_ = 0;
+    // A registry that holds a poll for longer than requested counts as dead: the request times out
+    // and is retried. With index 0 the registry has nothing to wait for.
+    const Micros hold_time = known_index == 0 ? Micros{0} : long_poll_wait_;
+    request_in_flight_ =
+        pool_.send(std::move(request), hold_time + timeout_, [this](net::HttpOutcome outcome) {
+            request_in_flight_ = 0;
             on_outcome(std::move(outcome));
         });
 }
@@ -154,10 +163,11 @@
 void EndpointWatch::on_outcome(net::HttpOutcome outcome) {
     using Decision = EndpointListValidator::Decision;
     if (outcome.how != net::HttpOutcome::How::Answered) {
-        return retry_after_error("no answer: " + outcome.why);
+        return retry_after_error("no response from the registry: " + outcome.why);
     }
     if (outcome.response.status != kHttpOk) {
-        return retry_after_error("HTTP status " + std::to_string(outcome.response.status));
+        return retry_after_error("HTTP status: expected 200, got " +
+                                 std::to_string(outcome.response.status));
     }
     ServerList list;
     try {
@@ -167,13 +177,13 @@
     }
     const auto result = validator_.validate(list.header);
     if (result.decision == Decision::Reject) {
-        // The next poll still names the accepted index, not the rejected one, so that a registry
-        // with a valid list answers at once.
-        return retry_after_error("list refused: " + result.reason);
+        // The next poll still sends the index of the accepted list, not of the rejected one, so
+        // that a registry with a valid list responds immediately.
+        return retry_after_error("server list rejected: " + result.reason);
     }
     if (result.decision == Decision::Confirm) {
         fetch_whole_list_ = true;
-        return retry_after_error("list doubted: " + result.reason);
+        return retry_after_error("server list not confirmed yet: " + result.reason);
     }
     consecutive_errors_ = 0;
     fetch_whole_list_ = false;
--- a/src/xds_server/endpoint_watch.h
+++ b/src/xds_server/endpoint_watch.h
@@ -1,12 +1,14 @@
 /// @file
-/// Follows the list of servers at the registry by long polls over HTTP/1.1.
+/// Watches the registry's list of servers by long polling over HTTP/1.1.
 ///
 ///   GET /v1/servers?index=N&wait_ms=W  ->  200 {"registry": "...", "index": M, "servers": [
 ///       {"id": "...", "zone": "...", "address": "host:port", "state": "ready" | "draining",
 ///        "weight": 1.0, "incarnation": "...", "age_ms": 1234}, ...]}
 ///
-/// The answer comes when the index is above N, or after W with the same index. `age_ms` is how long
-/// ago the server last started; missing or 0 is long ago. `incarnation` changes with each start.
+/// The registry responds when the index is above N, or after W milliseconds with the same index.
+/// `age_ms` is how long ago the server last started; missing or 0: long ago. `incarnation` changes
+/// with each start. A list with an invalid entry is rejected as a whole; the last accepted list
+/// stays valid after every error.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +26,9 @@
 
 /// One server of the registry's list.
 struct ListedServer {
+    /// Name in the registry, 1 to 128 bytes.
     std::string id;
+    /// Name of the zone; empty if the registry gives none.
     std::string zone;
     /// Changes with each start of the server.
     std::string incarnation;
@@ -32,48 +36,54 @@
     ServerState state = ServerState::Ready;
     /// Capacity relative to the other servers; above 0.
     double weight = 1;
-    /// How long ago it started; 0: long ago.
+    /// Time since the server last started; 0: long ago.
     Micros age{};
 };
 
+/// A valid response of the registry.
 struct ServerList {
     EndpointListHeader header;
     std::vector<ListedServer> servers;
 };
 
-/// An answer of the registry that can't be used; `what()` says what is wrong with it.
+/// A malformed response of the registry; `what()` names the field, the expected and the actual
+/// value.
 class InvalidServerList : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Reads an answer of the registry; throws InvalidServerList.
+/// Parses a response body of the registry. Throws InvalidServerList.
 ServerList parse_server_list(const std::string& json);
 
-/// All callbacks run on the loop's one thread, from a timer or from the end of a request. They may
-/// call any method of this object, but must not destroy it.
+/// Polls the registry and reports each accepted list. All callbacks run on the loop's one thread,
+/// from a timer or from the end of a request. They may call any method of this object, but must not
+/// destroy it.
 class EndpointWatch {
 public:
+    /// `host` names the control plane instance on the network.
     EndpointWatch(net::Loop& loop, base::ActorId actor, std::string host,
                   const config::GovernorConfig& config);
 
-    /// An accepted list that differs from the last one.
+    /// Called with each accepted list that differs from the last one.
     std::function<void(const ServerList&)> on_update;
 
-    /// An answer did not come, could not be read or was rejected. The last list stays valid, and
-    /// the watch retries with exponential backoff.
+    /// Called if a response did not come, was malformed or was rejected. The last list stays valid,
+    /// and the watch retries with exponential backoff.
     std::function<void(const std::string& reason)> on_error;
 
-    /// Begins to poll, at once. No-op while the watch runs.
+    /// Starts polling immediately. No-op while the watch runs.
     void start();
 
-    /// Cancels the request in flight and the retries. The last list is kept. From within on_error
-    /// it does not cancel the retry, which is scheduled after that callback.
+    /// Stops polling: cancels the request in flight and the retry timer. The last list is kept.
+    /// Called from within on_error it does not cancel the retry, which is scheduled after that
+    /// callback.
     void stop();
 
-    /// Requests the whole list once more, at once, in place of the request in flight; also while
-    /// the watch is stopped; after an error it is then retried until an answer is accepted. Not
-    /// from within on_update of a running watch: it would poll twice from then on.
+    /// Requests the whole list immediately, in place of the request in flight. Works while the
+    /// watch is stopped too; after an error the request is then retried until a response is
+    /// accepted. Must not be called from within on_update of a running watch: two polls would run
+    /// from then on.
     void fetch();
 
 private:
@@ -83,7 +93,9 @@
 
     net::Loop& loop_;
     std::string instance_id_;
+    /// How long the registry is asked to hold a long poll.
     Micros long_poll_wait_;
+    /// Time limit of a request in addition to `long_poll_wait_`.
     Micros timeout_;
     EndpointListValidator validator_;
     net::HttpPool pool_;
@@ -92,10 +104,10 @@
     std::uint64_t index_ = 0;
     int consecutive_errors_ = 0;
     bool is_watching_ = false;
-    /// The next request asks for the whole list, whatever its index.
+    /// The next request asks for the whole list, even if its index has not changed.
     bool fetch_whole_list_ = true;
     /// The request in flight; 0: none.
-    net::HttpPool::TryId request_ = 0;
+    net::HttpPool::TryId request_in_flight_ = 0;
 };
 
 }  // namespace badgergrade::xds_server
--- a/src/xds_server/health_checker.cpp
+++ b/src/xds_server/health_checker.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr Micros kIdleConnectionTime = 5s;
+constexpr Micros kIdleConnectionTimeout = 5s;
 constexpr int kHttpOk = 200;
 constexpr int kHttpServiceUnavailable = 503;
 
-HealthCheckOutcome outcome_of_status(int status) {
+HealthCheckOutcome outcome_of_http_status(int status) {
     switch (status) {
         case kHttpOk:
             return HealthCheckOutcome::Healthy;
@@ -24,7 +24,7 @@
 HealthCheckOutcome outcome_of(const net::HttpOutcome& outcome) {
     using How = net::HttpOutcome::How;
     if (outcome.how == How::Answered) {
-        return outcome_of_status(outcome.response.status);
+        return outcome_of_http_status(outcome.response.status);
     }
     if (outcome.how == How::TimedOut) {
         return HealthCheckOutcome::TimedOut;
@@ -70,7 +70,7 @@
     auto& pool = pools_[server];
     if (!pool) {
         pool = std::make_unique<net::HttpPool>(loop_, actor_, host_, address, timeout_,
-                                               kIdleConnectionTime);
+                                               kIdleConnectionTimeout);
     }
     net::HttpMessage request;
     request.method = "GET";
--- a/src/xds_server/health_checker.h
+++ b/src/xds_server/health_checker.h
@@ -1,6 +1,7 @@
 /// @file
-/// Sends health checks to servers over HTTP/1.1 (`GET /probe/shallow`) and reports their outcomes.
-/// Which server is checked when is the policy's decision.
+/// Active health checks: sends `GET /probe/shallow` over HTTP/1.1 to a server and reports the
+/// outcome. HTTP status 200 is healthy, 503 overloaded, any other failed. The policy decides which
+/// server is checked and when.
 #pragma once
 
 #include <functional>
@@ -14,21 +15,22 @@
 
 namespace badgergrade::xds_server {
 
-/// The name of an outcome in the log.
+/// Name of an outcome in log lines.
 std::string to_text(HealthCheckOutcome outcome);
 
 class HealthChecker {
 public:
-    /// `host` names the control plane instance on the network.
+    /// `host` names the control plane instance on the network. `timeout` is the time limit of one
+    /// check and of connecting.
     HealthChecker(net::Loop& loop, base::ActorId actor, std::string host, Micros timeout);
 
-    /// The end of each health check. Called on the loop's one thread, from a timer or from the end
-    /// of a request. May start another check; must not destroy this object.
+    /// Called at the end of each health check, on the loop's one thread, from a timer or from the
+    /// end of a request. May start another check; must not destroy this object.
     std::function<void(const event::HealthCheckResult&)> on_result;
 
-    /// Starts a health check; on_result must be set. Checks of one server may run at the same
-    /// time, and each ends with one result, at the latest after the timeout. The address of a
-    /// server is fixed by its first check.
+    /// Starts a health check; on_result must be set. Several checks of one server may run at the
+    /// same time. Each ends with one result, at the latest after the timeout. The address of the
+    /// first check of a server is used for all later ones.
     void check(ServerId server, const net::Address& address);
 
 private:
@@ -36,6 +38,7 @@
     base::ActorId actor_;
     std::string host_;
     Micros timeout_;
+    /// Connections to each server that was ever checked; never removed.
     std::map<ServerId, std::unique_ptr<net::HttpPool>> pools_;
 };
 
--- a/src/xds_server/load_report_queue.cpp
+++ b/src/xds_server/load_report_queue.cpp
@@ -18,11 +18,11 @@
 
 std::vector<std::string> LoadReportQueue::add(Source source, const xds::LoadReport& report,
                                               const std::map<net::Address, ServerId>& servers) {
-    std::vector<std::string> unknown;
+    std::vector<std::string> unknown_names;
     for (const auto& [address, load] : report.endpoints) {
         const auto server = servers.find(address);
         if (server == servers.end()) {
-            unknown.push_back(net::to_text(address));
+            unknown_names.push_back(net::to_text(address));
             continue;
         }
         server_sums_[{source.zone, server->second}] += load;
@@ -30,7 +30,7 @@
     for (const auto& [name, demand] : report.operations) {
         const auto operation = operations_.find(name);
         if (operation == operations_.end()) {
-            unknown.push_back("operation " + name);
+            unknown_names.push_back("operation " + name);
             continue;
         }
         OperationSums& sums = operation_sums_[{source.proxy, operation->second}];
@@ -38,7 +38,7 @@
         sums.failures += demand.failures;
         sums.interval += report.interval;
     }
-    return unknown;
+    return unknown_names;
 }
 
 event::ServerLoadReport LoadReportQueue::to_event(ZoneId zone, ServerId server,
@@ -61,9 +61,9 @@
 }
 
 void LoadReportQueue::close_interval(Micros now) {
-    const bool is_first = interval_began_ <= Micros{0};
-    const Micros interval = is_first ? report_interval_ : now - interval_began_;
-    interval_began_ = now;
+    const bool is_first = interval_start_ <= Micros{0};
+    const Micros interval = is_first ? report_interval_ : now - interval_start_;
+    interval_start_ = now;
     for (const auto& [key, load] : server_sums_) {
         const auto& [zone, server] = key;
         if (load.attempts > 0) {
@@ -82,17 +82,16 @@
 }
 
 std::vector<Event> LoadReportQueue::pop(Micros now) {
-    const Micros elapsed = now - std::exchange(last_pop_, now);
+    const Micros elapsed = now - std::exchange(last_refill_, now);
     const double elapsed_seconds = to_seconds(elapsed);
-    // At most one second's worth of events is saved up while idle: the limit is a rate, and a burst
-    // after a pause would overrun the policy.
-    allowance_ =
-        std::min(allowance_ + elapsed_seconds * max_events_per_second_, max_events_per_second_);
+    // The bucket holds the tokens of one second: a larger burst after a pause would overload the
+    // policy.
+    tokens_ = std::min(tokens_ + elapsed_seconds * max_events_per_second_, max_events_per_second_);
     std::vector<Event> events;
-    while (!queue_.empty() && allowance_ >= 1) {
+    while (!queue_.empty() && tokens_ >= 1) {
         events.push_back(std::move(queue_.front()));
         queue_.pop_front();
-        allowance_ -= 1;
+        tokens_ -= 1;
     }
     return events;
 }
--- a/src/xds_server/load_report_queue.h
+++ b/src/xds_server/load_report_queue.h
@@ -2,9 +2,13 @@
 /// Aggregates the load reports of all proxies over each report interval and passes them to the
 /// policy at a limited rate. No I/O.
 ///
-/// At the end of an interval there is one event for each zone and server (attempts, failures and
-/// mean latency) and one for each proxy and operation (demand). They leave in this order, the
-/// oldest first, at most `max_reports_per_second`.
+/// At the end of an interval one event is queued for each zone and server with load (attempts,
+/// failures and mean latency) and then one for each proxy and operation (demand). The queue is
+/// first in, first out; a token bucket lets at most `Settings::max_reports_per_second` events out.
+///
+/// Memory: the sums of an interval are bounded by the numbers of zones, servers, proxies and
+/// operations. The queue has no limit of its own: if each interval adds more events than the rate
+/// lets out, it grows.
 #pragma once
 
 #include <cstdint>
@@ -25,21 +29,22 @@
 public:
     explicit LoadReportQueue(const Settings& settings);
 
-    /// Which proxy a report comes from.
+    /// The proxy that sent a report, and its zone.
     struct Source {
         ProxyId proxy;
         ZoneId zone;
     };
 
-    /// Adds a report to the current interval. Returns the addresses and operations in it that are
-    /// not known; their counts are left out.
+    /// Adds a report to the sums of the current interval. `servers` are the known servers by
+    /// address. Returns the unknown addresses and operations in the report; their counts are
+    /// dropped.
     std::vector<std::string> add(Source source, const xds::LoadReport& report,
                                  const std::map<net::Address, ServerId>& servers);
 
-    /// Ends the current interval: its aggregated events are queued.
+    /// Ends the current interval and queues its aggregated events.
     void close_interval(Micros now);
 
-    /// Removes and returns the events that the rate limit admits by now.
+    /// Removes and returns the events that the rate limit admits at `now`.
     std::vector<Event> pop(Micros now);
 
     std::size_t queued_events() const { return queue_.size(); }
@@ -48,7 +53,7 @@
     struct OperationSums {
         std::int64_t requests = 0;
         std::int64_t failures = 0;
-        /// Summed length of the reports: a proxy may report more than once in an interval.
+        /// Summed intervals of the reports: a proxy may send several reports in one interval.
         Micros interval{};
     };
 
@@ -59,10 +64,10 @@
     std::map<std::string, OperationId> operations_;
     double max_events_per_second_;
     Micros report_interval_;
-    Micros interval_began_{};
-    Micros last_pop_{};
-    /// Events that the rate limit admits at `last_pop_`.
-    double allowance_ = 0;
+    Micros interval_start_{};
+    Micros last_refill_{};
+    /// Tokens in the bucket at `last_refill_`; each event takes one.
+    double tokens_ = 0;
     std::map<std::pair<ZoneId, ServerId>, xds::EndpointLoad> server_sums_;
     std::map<std::pair<ProxyId, OperationId>, OperationSums> operation_sums_;
     std::deque<Event> queue_;
--- a/src/xds_server/load_report_streams.cpp
+++ b/src/xds_server/load_report_streams.cpp
@@ -9,7 +9,8 @@
 namespace badgergrade::xds_server {
 
 namespace {
-/// Unknown names are logged once each. This limits the memory for proxies that make up names.
+/// Each unknown name is logged once. The limit bounds the memory if a proxy keeps sending new
+/// names; further ones are not logged.
 constexpr std::size_t kMaxLoggedUnknownNames = 1000;
 }  // namespace
 
@@ -35,21 +36,24 @@
     envoy::service::load_stats::v3::LoadStatsRequest request;
     if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         log_.warn("report.malformed", {{"peer", call->peer()}, {"proxy", identity.name}});
-        call->finish(net::GrpcStatus::InvalidArgument, "the report can't be read");
+        call->finish(net::GrpcStatus::InvalidArgument,
+                     "malformed LoadStatsRequest: expected a serialized message, got " +
+                         std::to_string(bytes.size()) + " bytes that do not parse");
         return;
     }
     if (!identity.is_known) {
         if (request.node().id().empty()) {
-            call->finish(net::GrpcStatus::InvalidArgument,
-                         "the first report must carry a node with an id");
+            call->finish(
+                net::GrpcStatus::InvalidArgument,
+                "field \"node.id\": expected a node id in the first report, got an empty string");
             return;
         }
         identity.is_known = true;
         identity.name = request.node().id();
         send_instructions(*call);
     }
-    // A proxy without a discovery stream acts on the tables of another control plane instance: its
-    // report says nothing about the decisions of this one.
+    // A proxy without a discovery stream to this instance uses the tables of another control plane
+    // instance: its load does not reflect the decisions of this one.
     const ProxySession* session = sessions_.find(identity.name);
     if (!session) {
         return;
--- a/src/xds_server/load_report_streams.h
+++ b/src/xds_server/load_report_streams.h
@@ -1,6 +1,9 @@
 /// @file
-/// The load reporting streams (LRS) of the proxies: tells each proxy what to report and how often,
-/// and adds its reports to the queue for the policy.
+/// The server side of the load reporting service (LRS): instructs each proxy what to report and how
+/// often, and adds its reports to the load report queue.
+///
+/// A report counts only while its proxy, identified by node id, also has a discovery stream (ADS)
+/// to this instance. A node id may have several load reporting streams; all their reports count.
 #pragma once
 
 #include <set>
@@ -26,7 +29,7 @@
                       const ServerDirectory& servers, LoadReportQueue& queue,
                       XdsServerMetrics& metrics);
 
-    /// Takes over a new load reporting stream.
+    /// Takes over a new load reporting stream of a proxy.
     void accept(const net::GrpcCallPtr& call);
 
 private:
@@ -40,6 +43,7 @@
     const ServerDirectory& servers_;
     LoadReportQueue& queue_;
     XdsServerMetrics& metrics_;
+    /// Unknown servers and operations that were logged already; limited in number.
     std::set<std::string> logged_unknown_names_;
 };
 
--- a/src/xds_server/metrics.h
+++ b/src/xds_server/metrics.h
@@ -1,5 +1,5 @@
 /// @file
-/// Figures of one control plane instance since its start.
+/// Counters of one control plane instance since the start of its process.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,13 @@
     std::int64_t decisions = 0;
     /// Decisions that changed the configuration.
     std::int64_t config_updates = 0;
-    /// Updates that a proxy acknowledged, counted once for each proxy.
+    /// Acknowledged updates; an update counts once for each proxy that acknowledged it.
     std::int64_t acknowledged_updates = 0;
-    /// Proxies that opened a discovery stream.
+    /// Discovery streams that proxies opened.
     std::int64_t proxy_connections = 0;
-    /// Responses that a proxy rejected.
+    /// Discovery responses that a proxy rejected (NACK).
     std::int64_t rejected_responses = 0;
-    /// Lists of servers that were accepted.
+    /// Accepted lists of servers.
     std::int64_t endpoint_updates = 0;
     /// CPU time of message handlers and of decisions, in microseconds.
     std::int64_t handler_cpu_us = 0;
--- a/src/xds_server/proxy_sessions.cpp
+++ b/src/xds_server/proxy_sessions.cpp
@@ -9,11 +9,13 @@
 
 namespace {
 
+/// Node ids that are given a proxy id in one run of the process; bounds the memory for them.
 constexpr std::size_t kMaxProxies = 65535;
 constexpr std::size_t kMaxNodeIdBytes = 128;
-constexpr const char* kReplaced = "a newer stream of this node";
+constexpr const char* kReplacedReason = "replaced by a newer stream of this node";
 
-/// The request rate that a proxy announces in its node's metadata; 0 if there is none.
+/// The invocations per second that a proxy announces in its node's metadata; 0 if it announces
+/// none.
 double announced_rate(const envoy::config::core::v3::Node& node) {
     const auto& metadata = node.metadata().fields();
     const auto field = metadata.find("rate");
@@ -21,7 +23,7 @@
     return std::isfinite(rate) && rate > 0 ? rate : 0;
 }
 
-/// Whether the proxy says that it has just started.
+/// Whether the node's metadata says that the proxy has just started.
 bool has_just_started(const envoy::config::core::v3::Node& node) {
     const auto& metadata = node.metadata().fields();
     const auto field = metadata.find("fresh");
@@ -43,9 +45,9 @@
         receive_stream(call, [this](const auto& stream, StreamIdentity& identity, auto bytes) {
             on_message(stream, identity, bytes);
         });
-    call->on_closed = [this, identity, raw = call.get()](const std::string& reason) {
+    call->on_closed = [this, identity, raw_call = call.get()](const std::string& reason) {
         if (identity->is_known) {
-            disconnect(identity->name, raw, reason);
+            disconnect(identity->name, raw_call, reason);
         }
     };
 }
@@ -57,15 +59,17 @@
     if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         log_.warn("stream.malformed",
                   {{"peer", call->peer()}, {"proxy", identity.name}, {"bytes", bytes.size()}});
-        call->finish(net::GrpcStatus::InvalidArgument, "the request can't be read");
+        call->finish(net::GrpcStatus::InvalidArgument,
+                     "malformed DiscoveryRequest: expected a serialized message, got " +
+                         std::to_string(bytes.size()) + " bytes that do not parse");
         if (identity.is_known) {
             disconnect(identity.name, call.get(), "malformed request");
         }
         return;
     }
     if (!identity.is_known) {
-        const auto connected = connect(call, request.node());
-        if (const auto* refusal = std::get_if<Refusal>(&connected)) {
+        const auto connect_result = connect(call, request.node());
+        if (const auto* refusal = std::get_if<Refusal>(&connect_result)) {
             log_.warn("stream.refused", {{"peer", call->peer()}, {"why", refusal->text}});
             call->finish(net::GrpcStatus::InvalidArgument, refusal->text);
             return;
@@ -73,9 +77,9 @@
         identity.is_known = true;
         identity.name = request.node().id();
     }
-    // An older stream that was replaced may still deliver what it had received before its end. The
-    // session belongs to the newer stream then, and must not see these requests: its nonces are
-    // others.
+    // A stream that was replaced may still deliver requests that it had received before its end.
+    // The session belongs to the newer stream by then and must not handle them: nonces are numbered
+    // per stream.
     const auto session = sessions_.find(identity.name);
     if (session != sessions_.end() && session->second.call == call) {
         handle_request(session->second, request);
@@ -89,7 +93,8 @@
     }
     if (ids_by_name_.size() >= kMaxProxies) {
         return Refusal{RefusalReason::TooManyProxies,
-                       "no more than " + std::to_string(kMaxProxies) + " nodes"};
+                       "field \"node.id\": expected at most " + std::to_string(kMaxProxies) +
+                           " different ids, got a further one, \"" + name + "\""};
     }
     const ProxyId proxy{static_cast<int>(ids_by_name_.size())};
     ids_by_name_[name] = proxy;
@@ -102,7 +107,8 @@
     const std::string& name = node.id();
     if (name.empty() || name.size() > kMaxNodeIdBytes) {
         return Refusal{RefusalReason::InvalidNodeId,
-                       "the first request must carry a node with an id of 1 to 128 bytes"};
+                       "field \"node.id\": expected 1 to " + std::to_string(kMaxNodeIdBytes) +
+                           " bytes in the first request, got " + std::to_string(name.size())};
     }
     replace_older_stream(name, call);
     auto id = proxy_id_for(name);
@@ -126,8 +132,8 @@
     return proxy;
 }
 
-/// The newest stream of a node stands. Without this a proxy that reconnects after a broken network
-/// path would wait for its updates until the dead connection is noticed.
+/// Ends the older stream of a node in favour of the newer one. Otherwise a proxy that reconnects
+/// after a broken network path would not get updates until the dead connection is detected.
 void ProxySessions::replace_older_stream(const std::string& name, const net::GrpcCallPtr& newer) {
     const auto session = sessions_.find(name);
     if (session == sessions_.end()) {
@@ -135,14 +141,14 @@
     }
     const net::GrpcCallPtr older = session->second.call;
     log_.warn("stream.replaced", {{"proxy", name}, {"old", older->peer()}, {"new", newer->peer()}});
-    // The session goes first: `finish` calls `on_closed` of the older stream, which then finds no
-    // session of its own to end.
-    disconnect(name, older.get(), kReplaced);
-    older->finish(net::GrpcStatus::AlreadyExists, kReplaced);
+    // The session is removed first: `finish` calls `on_closed` of the older stream, which must not
+    // find a session to end.
+    disconnect(name, older.get(), kReplacedReason);
+    older->finish(net::GrpcStatus::AlreadyExists, kReplacedReason);
 }
 
-/// Ends a session, but only if it still belongs to this stream: the end of a replaced stream must
-/// not end the session of the newer one.
+/// Ends a session if it still belongs to this stream: the end of a replaced stream must not end the
+/// session of the newer one.
 void ProxySessions::disconnect(const std::string& name, const net::GrpcCall* call,
                                const std::string& reason) {
     const auto it = sessions_.find(name);
@@ -200,9 +206,9 @@
     write(session->second);
 }
 
-/// Writes what the stream has to send. The session may be gone afterwards: a write to a broken
-/// connection ends the stream at once, and `on_closed` removes the session. The call is therefore
-/// held here, and the session is not used after the first write.
+/// Writes the responses that the stream has to send. The session may be gone afterwards: a write to
+/// a broken connection ends the stream immediately, and `on_closed` removes the session. The call
+/// is therefore held here, and the session is not used after the first write.
 void ProxySessions::write(ProxySession& session) {
     const auto responses = session.stream->take_encoded(responses_);
     if (responses.empty()) {
@@ -219,9 +225,10 @@
 void ProxySessions::finish_all() {
     for (auto& [name, session] : sessions_) {
         if (session.call) {
-            // Without its callback: it would change the map during this loop.
+            // The callback is removed because it would change the map during this loop.
             session.call->on_closed = {};
-            session.call->finish(net::GrpcStatus::Unavailable, "the governor goes away");
+            session.call->finish(net::GrpcStatus::Unavailable,
+                                 "the control plane instance is shutting down");
         }
     }
 }
--- a/src/xds_server/proxy_sessions.h
+++ b/src/xds_server/proxy_sessions.h
@@ -1,13 +1,17 @@
 /// @file
-/// The discovery streams (ADS) of the connected proxies: who is connected, which stream belongs to
-/// whom, and what is read from and written to each.
+/// The sessions of the connected proxies: accepts discovery streams (ADS), assigns each to its
+/// proxy by node id, handles its requests and writes its responses.
 ///
-/// There is at most one session for each node id. If a proxy opens a second stream, the newer one
-/// replaces the older: the older is what a broken network path left behind.
+/// Current stream: a node id has at most one session, and a session has one stream. If a second
+/// stream gives the same node id in its first request, it becomes the current one immediately,
+/// whether or not the older one still looks open: an older stream is usually the remainder of a
+/// broken network path. The older stream is ended with status ALREADY_EXISTS, and what it still
+/// delivers is ignored. The newer stream starts with an empty state: nothing counts as sent or
+/// acknowledged on it, while the proxy's id stays the same.
 ///
 /// Re-entrance: a stream may end inside its own callback, because writing to a broken connection
-/// ends it at once. Sessions are therefore looked up again by name after each step that can write,
-/// and a stream ends a session only if the session still belongs to it.
+/// ends the stream immediately. Sessions are therefore looked up again by name after each step that
+/// may write, and a stream ends a session only if the session still belongs to it.
 #pragma once
 
 #include <functional>
@@ -29,58 +33,60 @@
 
 namespace badgergrade::xds_server {
 
-/// One connected proxy.
+/// A connected proxy and its current discovery stream.
 struct ProxySession {
     ProxyId proxy;
-    /// The node id that it gave.
+    /// The node id of the stream's first request.
     std::string name;
-    /// -1: its zone is not in the settings.
+    /// -1: the proxy's zone is not in the settings.
     ZoneId zone;
+    /// The proxy's current stream. Requests of any other stream are ignored.
     net::GrpcCallPtr call;
+    /// The protocol state of that stream.
     std::unique_ptr<xds::AdsServer> stream;
 };
 
 class ProxySessions {
 public:
-    /// `origin` names the incarnation of the control plane in versions. `zones` are the names in
-    /// the settings. The references must outlive this object.
+    /// `origin` names the incarnation of the control plane in versions. `zones` are the zone names
+    /// of the settings. The references must outlive this object.
     ProxySessions(base::Clock& clock, log::Logger& log, std::string origin,
                   const std::vector<std::string>& zones, XdsServerMetrics& metrics);
 
-    /// The callbacks run on the loop's one thread, from within the handling of a message or of the
-    /// end of a stream. They must be set before the first call to `accept`. They must not destroy
-    /// this object or send to a proxy.
+    /// The callbacks run on the loop's one thread, while a message or the end of a stream is
+    /// handled. They must be set before the first call to `accept`, and must not destroy this
+    /// object or send to a proxy.
 
-    /// A proxy opened a stream and gave its node id.
+    /// Called when a proxy opened a stream and gave its node id.
     std::function<void(const event::ProxyConnected&)> on_connected;
 
-    /// Its session ended, for whatever reason; not called after `begin_shutdown`.
+    /// Called when a session ended for any reason, including replacement by a newer stream; not
+    /// called after `begin_shutdown`.
     std::function<void(ProxyId)> on_disconnected;
 
-    /// A proxy acknowledged an update for which the policy asked for an acknowledgement.
+    /// Called when a proxy acknowledged an update whose acknowledgement the policy requested.
     std::function<void(const event::ConfigAcknowledged&)> on_acknowledged;
 
-    /// Takes over a new discovery stream.
+    /// Takes over a new discovery stream of a proxy.
     void accept(const net::GrpcCallPtr& call);
 
-    /// Writes a message that the send queue released. Does nothing for a proxy that is not
-    /// connected. May end the session.
+    /// Sends a message that the send queue released. No-op for a proxy that is not connected. May
+    /// end the session.
     void send(Micros now, const xds::ProxyMessage& message);
 
-    /// From now on sessions that end are only logged.
+    /// From now on the end of a session is only logged.
     void begin_shutdown() { is_shutting_down_ = true; }
 
-    /// Ends all streams with the status "unavailable".
+    /// Ends all streams with gRPC status UNAVAILABLE.
     void finish_all();
 
-    /// The session of a proxy; null if it is not connected.
+    /// The session of a proxy by node id; null if it is not connected.
     const ProxySession* find(const std::string& name) const;
 
-    /// Sessions by name.
+    /// Sessions by node id.
     const std::map<std::string, ProxySession>& sessions() const { return sessions_; }
 
-    /// The name behind an id, also of a proxy that is not connected any more; empty if there is
-    /// none.
+    /// The node id of a proxy, connected or not; empty if the id was never assigned.
     std::string proxy_name(ProxyId proxy) const;
 
 private:
@@ -89,7 +95,7 @@
     /// Why a stream was refused.
     struct Refusal {
         RefusalReason reason = RefusalReason::InvalidNodeId;
-        /// For the log and for the status of the stream.
+        /// For the log and the status message of the stream.
         std::string text;
     };
 
@@ -110,7 +116,7 @@
     XdsServerMetrics& metrics_;
     xds::ResponseCache responses_;
     std::map<std::string, ProxySession> sessions_;
-    /// Ids are kept for proxies that come back.
+    /// Ids by node id. They are kept for proxies that reconnect, at most `kMaxProxies` of them.
     std::map<std::string, ProxyId> ids_by_name_;
     std::map<ProxyId, std::string> names_by_id_;
     bool is_shutting_down_ = false;
--- a/src/xds_server/server_directory.cpp
+++ b/src/xds_server/server_directory.cpp
@@ -16,9 +16,9 @@
         entry.server = {static_cast<std::uint32_t>(entries_.size())};
         names_[entry.server] = listed.id;
     }
-    // The age is rounded and arrives late, so the start time computed from it differs a little with
-    // each list. The first one of an incarnation stands: otherwise the policy would see the server
-    // start again with each list and give it little load for ever.
+    // The age is rounded and arrives late, so the start time computed from it differs slightly in
+    // each list. The first start time of an incarnation is kept: otherwise the policy would see a
+    // new start with each list and keep the server in slow start for ever.
     if (is_new || entry.incarnation != listed.incarnation) {
         const bool started_long_ago = listed.age <= Micros{0};
         entry.started_at = started_long_ago ? Micros{0} : std::max(Micros{1}, now - listed.age);
--- a/src/xds_server/stream_receiver.h
+++ b/src/xds_server/stream_receiver.h
@@ -1,5 +1,6 @@
 /// @file
-/// How the control plane receives a stream that a proxy opened (discovery or load reports).
+/// Receives the messages of a gRPC stream that a proxy opened (ADS or LRS), and ties them to the
+/// node id that the stream's first message gives.
 #pragma once
 
 #include <functional>
@@ -12,9 +13,9 @@
 
 namespace badgergrade::xds_server {
 
-/// What one stream said about itself so far.
+/// The identity of a stream, filled by its message handler.
 struct StreamIdentity {
-    /// The node id of its first message.
+    /// The node id of the first message.
     std::string name;
     /// The first message was accepted.
     bool is_known = false;
@@ -24,21 +25,22 @@
 using StreamMessageHandler =
     std::function<void(const net::GrpcCallPtr&, StreamIdentity&, std::string_view bytes)>;
 
-/// Hands each message of the stream to `on_message`, and ends the stream once the proxy has ended
-/// its side. The callbacks hold the call weakly: it owns them, and would never be freed otherwise.
-/// Returns the identity that the handler is given, which lives as long as the stream.
+/// Passes each message of the stream to `on_message`, and ends the stream with status OK once the
+/// proxy has half-closed it. The callbacks hold the call weakly: the call owns them, and would
+/// never be freed otherwise. Returns the identity that is passed to the handler; it lives as long
+/// as the stream.
 inline std::shared_ptr<StreamIdentity> receive_stream(const net::GrpcCallPtr& call,
                                                       StreamMessageHandler on_message) {
     auto identity = std::make_shared<StreamIdentity>();
-    call->on_message = [weak = std::weak_ptr(call), identity,
+    call->on_message = [weak_call = std::weak_ptr(call), identity,
                         on_message = std::move(on_message)](std::string_view bytes) {
-        if (const auto strong = weak.lock()) {
-            on_message(strong, *identity, bytes);
+        if (const auto locked_call = weak_call.lock()) {
+            on_message(locked_call, *identity, bytes);
         }
     };
-    call->on_half_closed = [weak = std::weak_ptr(call)] {
-        if (const auto strong = weak.lock()) {
-            strong->finish();
+    call->on_half_closed = [weak_call = std::weak_ptr(call)] {
+        if (const auto locked_call = weak_call.lock()) {
+            locked_call->finish();
         }
     };
     return identity;
--- a/src/xds_server/xds_server.cpp
+++ b/src/xds_server/xds_server.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// How often queued load reports are passed to the policy.
-constexpr Micros kLoadReportTick = 100ms;
-/// The shortest time between two log lines about missing descriptors.
-constexpr Micros kExhaustedLogInterval = 1s;
+/// How often queued load reports are delivered to the policy.
+constexpr Micros kLoadReportDeliveryInterval = 100ms;
+/// Minimum time between two log lines about missing file descriptors.
+constexpr Micros kMinExhaustedLogInterval = 1s;
 
 net::GrpcLimits grpc_limits(const config::GovernorConfig& config) {
     net::GrpcLimits limits;
@@ -58,14 +58,14 @@
     if (!config.settings.endpoints_on_request) {
         endpoint_watch_.start();
     }
-    pass_load_reports();
+    deliver_load_reports();
     report_interval_timer_.after(config.settings.report_interval,
                                  [this] { close_report_interval(); });
     policy_.schedule_decision();
 }
 
 XdsServer::~XdsServer() {
-    // The connections are closed here, while the members that their callbacks use still exist.
+    // Connections are closed here, while the members that their callbacks use still exist.
     sessions_.begin_shutdown();
     server_.close(false);
     if (observer_) {
@@ -122,10 +122,10 @@
     server_.on_trouble = [this](const std::string& peer, const std::string& reason) {
         log_.warn("connection.ended", {{"peer", peer}, {"why", reason}});
     };
-    // No descriptors are left: new connections wait, and the server tries to accept them again and
-    // again. Without the limit each attempt would write a line.
+    // Out of file descriptors: new connections wait, and the server keeps trying to accept them.
+    // Without the rate limit each attempt would write a log line.
     server_.on_exhausted([this](const std::string& reason) {
-        if (clock_.now() < last_exhausted_log_ + kExhaustedLogInterval) {
+        if (clock_.now() < last_exhausted_log_ + kMinExhaustedLogInterval) {
             return;
         }
         last_exhausted_log_ = clock_.now();
@@ -209,9 +209,9 @@
     post(update);
 }
 
-void XdsServer::pass_load_reports() {
+void XdsServer::deliver_load_reports() {
     const base::CpuMeter meter(metrics_.handler_cpu_us);
-    load_report_timer_.after(kLoadReportTick, [this] { pass_load_reports(); });
+    load_report_timer_.after(kLoadReportDeliveryInterval, [this] { deliver_load_reports(); });
     for (const Event& event : load_reports_.pop(clock_.now())) {
         post(event);
     }
@@ -228,15 +228,16 @@
 void XdsServer::execute(std::vector<Command> commands) {
     bool changes_config = false;
     for (const Command& command : commands) {
-        const bool is_done = execute_immediately(command);
-        changes_config = changes_config || !is_done;
+        const bool is_executed = execute_immediately(command);
+        changes_config = changes_config || !is_executed;
     }
     if (changes_config) {
         queue_config_update(std::move(commands));
     }
 }
 
-/// Executes a command that concerns no proxy; false for one that changes the configuration.
+/// Executes a command that does not change the configuration of proxies. Returns false, without
+/// executing it, for one that does.
 bool XdsServer::execute_immediately(const Command& command) {
     if (const auto* message = std::get_if<command::LogMessage>(&command)) {
         log_.info("policy.log", {{"text", message->text}});
@@ -259,9 +260,12 @@
         return true;
     }
     if (std::holds_alternative<command::SendGossip>(command)) {
-        // There is no connection between control plane instances, and the settings say so to the
-        // policy.
-        log_.error("order.refused", {{"why", "messages between governors are not permitted"}});
+        // There are no connections between control plane instances; the settings tell the policy
+        // so.
+        log_.error(
+            "order.refused",
+            {{"why",
+              "command SendGossip: expected none, as control plane instances have no connection"}});
         return true;
     }
     return false;
@@ -292,11 +296,17 @@
 void XdsServer::start_health_check(ServerId server) {
     const auto* location = snapshots_.server_location(server);
     if (!location) {
-        log_.error("order.refused", {{"why", "a probe of a server that no list named"}});
+        log_.error("order.refused", {{"why",
+                                      "command CheckHealth, field \"server\": expected a server "
+                                      "that the registry listed, got id " +
+                                          std::to_string(server.value)}});
         return;
     }
     if (!config_.settings.health_checks_allowed) {
-        log_.error("order.refused", {{"why", "probes are not permitted"}});
+        log_.error(
+            "order.refused",
+            {{"why",
+              "command CheckHealth: expected none, as the settings do not allow health checks"}});
         return;
     }
     health_checker_.check(server, location->address);
@@ -312,8 +322,8 @@
 
 void XdsServer::send_due_messages() {
     const base::CpuMeter meter(metrics_.handler_cpu_us);
-    // The same time for all messages that are due: the release time is part of a response, and
-    // streams that are sent alike then share its bytes.
+    // All messages that are due get the same release time: it is part of a response, and streams
+    // with equal responses can then share the serialized bytes.
     const Micros now = clock_.now();
     while (const auto message = send_queue_.pop(now)) {
         sessions_.send(now, *message);
--- a/src/xds_server/xds_server.h
+++ b/src/xds_server/xds_server.h
@@ -1,17 +1,30 @@
 /// @file
-/// A running control plane instance. Connects the policy with the network: what happens on the
-/// sockets becomes events of the policy, and its commands become messages to proxies, health checks
-/// and requests to the registry.
+/// A running control plane instance. Connects the policy with the network: network activity becomes
+/// events for the policy, and the policy's commands become messages to proxies, health checks and
+/// requests to the registry.
 ///
-/// Everything runs on the one thread of the loop. Concerns:
+/// Everything runs on the one thread of the loop. Components:
 ///   ProxySessions      discovery streams of the proxies (ADS)
 ///   LoadReportStreams  load reporting streams of the proxies (LRS)
 ///   ServerDirectory    ids of the listed servers
-///   EndpointWatch      the list of servers at the registry
-///   HealthChecker      health checks that the policy asks for
+///   EndpointWatch      watches the registry's list of servers
+///   HealthChecker      health checks that the policy commands
 ///   SnapshotCache      the decided configuration as xDS resources
-///   PacedSendQueue     the rate at which messages leave
-///   LoadReportQueue    the rate at which reports reach the policy
+///   PacedSendQueue     limits the rate of messages to proxies (lines per second)
+///   LoadReportQueue    aggregates load reports and limits their rate to the policy
+///
+/// What bounds the memory of a long run:
+/// - the settings: connections, bytes of one message, unsent bytes of one connection;
+/// - constants: node ids with a proxy id (kMaxProxies), unacknowledged updates of one stream
+///   (AdsServer::kMaxPendingUpdates), shared responses (kMaxCachedResponses), logged unknown names
+///   (kMaxLoggedUnknownNames), servers in one list (kMaxServers);
+/// - the end of a stream: it frees the stream's state and discards its queued messages;
+/// - the policy's send budget, for the lines in the send queue; the queue itself has no limit.
+///
+/// Without a limit: the server directory, server locations and health check connections, which keep
+/// an entry for each server that was ever listed or checked; the cluster of each table that was
+/// ever assigned; events in the load report queue; and responses in flight on the stream of a proxy
+/// that reads but answers nothing.
 #pragma once
 
 #include <functional>
@@ -38,55 +51,55 @@
 
 class XdsServer {
 public:
-    /// Listens at once; throws std::system_error if the port is not available. `incarnation` tells
-    /// this start from earlier ones of the same instance; it is part of every version.
+    /// Starts listening; throws std::system_error if the port is not available. `incarnation`
+    /// distinguishes this run from earlier ones of the same instance; it is part of every version.
     XdsServer(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
               log::Log& log, std::string incarnation);
 
-    /// Breaks all connections at once, as the death of the process would.
+    /// Closes all connections immediately and without a status, like the death of the process.
     ~XdsServer();
     XdsServer(const XdsServer&) = delete;
 
     net::Address address() const { return server_.address(); }
 
-    /// Ends all streams with a status and sends what is queued on the connections. The loop must
-    /// run on until that is done.
+    /// Shuts down gracefully: ends all streams with a status and sends what is queued on the
+    /// connections. The loop must keep running until that is done.
     void stop();
 
     XdsServerMetrics metrics() const;
 
-    /// Reports to this observer from now on; it must outlive the server.
+    /// Sets the observer, which must outlive the server.
     void set_observer(XdsServerObserver& observer);
 
     const std::string& id() const { return config_.id; }
 
     const std::string& incarnation() const { return incarnation_; }
 
-    /// The position of this instance among the control plane instances.
+    /// The index of this instance among the control plane instances.
     int ordinal() const { return config_.settings.ordinal; }
 
-    /// Names behind the policy's ids; empty if there is none.
+    /// Names of the policy's ids; empty if the id was never assigned.
     std::string proxy_name(ProxyId proxy) const { return sessions_.proxy_name(proxy); }
 
     std::string server_name(ServerId server) const { return servers_.name(server); }
 
     // ---- for tests and benchmarks
 
-    /// Tests of a slow link: the send rate as a fraction of the configured one.
+    /// For tests of a slow link: sets the send rate as a fraction of the configured one.
     void set_send_pace(double pace_fraction);
 
-    /// Tests of the rule auditor: changes the commands of a decision before they are executed, so
-    /// that the auditor can be shown a control plane that breaks the rules.
+    /// For tests of the rule auditor: changes the commands of a decision before they are executed,
+    /// so that the control plane breaks rules that the auditor must report.
     std::function<void(Micros, std::vector<Command>&)> alter_commands_for_test;
 
-    /// Tests: the id of a listed server.
+    /// For tests: the id of a listed server by its name in the list.
     std::optional<ServerId> server_id(const std::string& id) const { return servers_.find(id); }
 
-    /// Benchmarks: lists a server without a registry.
+    /// For benchmarks: adds a server without a registry.
     void add_server_for_benchmark(const ListedServer& listed);
 
-    /// Benchmarks: puts all servers into the full table with this weight and assigns it to all
-    /// proxies.
+    /// For benchmarks: sets this weight for all servers of the table that lists all servers, and
+    /// assigns that table to all connected proxies.
     void publish_weight_for_benchmark(double weight);
 
 private:
@@ -107,7 +120,7 @@
 
     void schedule_sending();
     void send_due_messages();
-    void pass_load_reports();
+    void deliver_load_reports();
     void close_report_interval();
 
     base::Clock& clock_;
@@ -130,6 +143,7 @@
     base::Timer load_report_timer_;
     base::Timer report_interval_timer_;
     XdsServerObserver* observer_ = nullptr;
+    /// When the lack of file descriptors was last logged.
     Micros last_exhausted_log_{};
     bool is_stopping_ = false;
 };
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -1,5 +1,5 @@
-// Shared by the tests of the program: settings, a control plane instance with its registry on the
-// virtual clock, and a proxy's discovery stream.
+// Fixtures of the tests of XdsServer: settings, a control plane instance with a fake registry on
+// the virtual clock, and a proxy's discovery stream.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -50,33 +50,36 @@
 message_bytes = 65536
 )";
 
-inline config::GovernorConfig settings(const std::string& more = {}) {
-    std::vector<config::ConfigError> mistakes;
-    auto file = config::IniFile::parse("test.ini", std::string(kSettings) + more, mistakes);
-    auto config = config::read_governor(file, mistakes);
-    for (const auto& mistake : mistakes) {
-        ADD_FAILURE() << config::to_text(mistake);
+inline config::GovernorConfig settings(const std::string& extra_text = {}) {
+    std::vector<config::ConfigError> errors;
+    auto file = config::IniFile::parse("test.ini", std::string(kSettings) + extra_text, errors);
+    auto config = config::read_governor(file, errors);
+    for (const auto& error : errors) {
+        ADD_FAILURE() << config::to_text(error);
     }
     config.xds_address = "127.0.0.1:0";
     return config;
 }
 
-// A control plane instance with its registry, on the virtual clock unless told otherwise.
-struct Stage {
-    explicit Stage(config::GovernorConfig from = settings(), bool is_virtual = true)
+// A control plane instance and its registry on one event loop. The clock is virtual unless
+// `is_virtual` is false.
+struct InstanceFixture {
+    explicit InstanceFixture(config::GovernorConfig base_config = settings(),
+                             bool is_virtual = true)
         : loop(is_virtual ? std::make_unique<net::Loop>(1000s) : std::make_unique<net::Loop>()),
-          config(std::move(from)) {
+          config(std::move(base_config)) {
         loop->keeps_ledger = true;
-        log =
-            std::make_unique<log::Log>(loop->clock(), log::Level::Debug, log::Form::Json,
-                                       [this](const std::string& line) { lines.push_back(line); });
+        log = std::make_unique<log::Log>(
+            loop->clock(), log::Level::Debug, log::Form::Json,
+            [this](const std::string& line) { log_lines.push_back(line); });
         registry = std::make_unique<testbed::Registry>(*loop, base::ActorId{3}, "registry",
                                                        net::Address{}, nullptr);
         config.registry_address = net::to_text(registry->address());
     }
 
-    void list(const std::string& id, const std::string& zone, int port,
-              ServerState state = ServerState::Ready) {
+    // Lists a server at 127.0.0.1:`port`, or changes its entry.
+    void list_server(const std::string& id, const std::string& zone, int port,
+                     ServerState state = ServerState::Ready) {
         testbed::Registry::Row row;
         row.server.id = id;
         row.server.zone = zone;
@@ -86,44 +89,44 @@
         registry->put(row);
     }
 
-    void list_four() {
-        list("a", "north", 9001);
-        list("b", "north", 9002);
-        list("c", "south", 9003);
-        list("d", "south", 9004);
+    void list_four_servers() {
+        list_server("a", "north", 9001);
+        list_server("b", "north", 9002);
+        list_server("c", "south", 9003);
+        list_server("d", "south", 9004);
     }
 
     void start(const std::string& incarnation = "1") {
-        service = std::make_unique<xds_server::XdsServer>(*loop, base::ActorId{10}, config, *log,
-                                                          incarnation);
+        server = std::make_unique<xds_server::XdsServer>(*loop, base::ActorId{10}, config, *log,
+                                                         incarnation);
     }
 
     void run(base::Micros time) { loop->run_until(loop->clock().now() + time); }
 
-    // How many log lines of this event were written.
+    // Number of log lines that were written for an event.
     int logged(const std::string& event) const {
-        int n = 0;
-        for (const auto& line : lines) {
-            n += line.find(R"("event":")" + event + "\"") != std::string::npos;
+        int count = 0;
+        for (const auto& line : log_lines) {
+            count += line.find(R"("event":")" + event + "\"") != std::string::npos;
         }
-        return n;
+        return count;
     }
 
     std::unique_ptr<net::Loop> loop;
     config::GovernorConfig config;
-    std::vector<std::string> lines;
+    std::vector<std::string> log_lines;
     std::unique_ptr<log::Log> log;
     std::unique_ptr<testbed::Registry> registry;
-    std::unique_ptr<xds_server::XdsServer> service;
+    std::unique_ptr<xds_server::XdsServer> server;
 };
 
-// One proxy's discovery stream, controlled by the test.
-struct Peer {
-    Peer(Stage& s, const std::string& name, const std::string& zone = "north")
-        : stage(s),
+// A proxy's connection and discovery stream, controlled by the test.
+struct TestProxy {
+    TestProxy(InstanceFixture& instance, const std::string& name, const std::string& zone = "north")
+        : fixture(instance),
           ads(node(name, zone)) {}
 
-    ~Peer() { close(); }
+    ~TestProxy() { close(); }
 
     static envoy::config::core::v3::Node node(const std::string& name, const std::string& zone) {
         envoy::config::core::v3::Node out;
@@ -133,25 +136,25 @@
         return out;
     }
 
-    void dial() {
-        dialling = std::make_unique<net::Dial>(
-            *stage.loop, base::ActorId{100}, "peer", stage.service->address(), 1s,
-            [this](net::StreamPtr s, const std::string& why) {
-                ASSERT_TRUE(s) << why;
-                stream = s;
-                connection = std::make_shared<net::GrpcConnection>(*stage.loop, base::ActorId{100},
-                                                                   net::Http2Session::Role::Client,
-                                                                   s, net::GrpcLimits{});
+    void connect() {
+        dial = std::make_unique<net::Dial>(
+            *fixture.loop, base::ActorId{100}, "peer", fixture.server->address(), 1s,
+            [this](net::StreamPtr opened, const std::string& reason) {
+                ASSERT_TRUE(opened) << reason;
+                stream = opened;
+                connection = std::make_shared<net::GrpcConnection>(
+                    *fixture.loop, base::ActorId{100}, net::Http2Session::Role::Client, opened,
+                    net::GrpcLimits{});
                 connection->start();
-                connection->on_closed = [this](std::string w) {
-                    ended = w.empty() ? "closed" : w;
+                connection->on_closed = [this](std::string reason) {
+                    connection_end = reason.empty() ? "closed" : reason;
                 };
                 call = connection->call(std::string(xds::kAdsMethod));
                 call->on_message = [this](std::string_view bytes) {
                     on_message(bytes);
                 };
-                call->on_closed = [this](std::string w) {
-                    call_ended = w.empty() ? "ended" : w;
+                call->on_closed = [this](std::string reason) {
+                    call_end = reason.empty() ? "ended" : reason;
                 };
                 for (const auto& request : ads.start()) {
                     send(request);
@@ -165,7 +168,7 @@
         xds::AdsClient::Response response;
         ASSERT_TRUE(response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())));
         responses.push_back(response);
-        if (answers_nothing) {
+        if (sends_no_answers) {
             return;
         }
         const auto outcome = ads.on_response(response);
@@ -196,36 +199,40 @@
         if (table == ads.tables().clusters.end()) {
             return out;
         }
-        for (const auto& line : table->second.endpoints) {
-            if (!line.draining) {
-                out.push_back(line.address.port);
+        for (const auto& endpoint : table->second.endpoints) {
+            if (!endpoint.draining) {
+                out.push_back(endpoint.address.port);
             }
         }
         std::sort(out.begin(), out.end());
         return out;
     }
 
-    Stage& stage;
+    InstanceFixture& fixture;
     xds::AdsClient ads;
-    std::unique_ptr<net::Dial> dialling;
+    std::unique_ptr<net::Dial> dial;
     net::StreamPtr stream;
     net::GrpcConnectionPtr connection;
     net::GrpcCallPtr call;
     std::vector<xds::AdsClient::Response> responses;
-    std::string ended, call_ended;
-    bool answers_nothing = false;
+    // Why the connection ended; empty while it is open.
+    std::string connection_end;
+    // Why the stream ended; empty while it is open.
+    std::string call_end;
+    // The proxy reads responses but sends neither ACK nor NACK.
+    bool sends_no_answers = false;
 };
 
-// Four servers, a control plane instance and one proxy that connects to it.
-struct ConnectedStage {
-    ConnectedStage() {
-        stage.list_four();
-        stage.start();
-        one.dial();
+// An instance with four listed servers and one proxy that connects to it.
+struct ConnectedFixture {
+    ConnectedFixture() {
+        fixture.list_four_servers();
+        fixture.start();
+        proxy.connect();
     }
 
-    Stage stage;
-    Peer one{stage, "f1"};
+    InstanceFixture fixture;
+    TestProxy proxy{fixture, "f1"};
 };
 
 }  // namespace badgergrade::test
