--- a/tests/fuzz/messages_fuzz.cpp
+++ b/tests/fuzz/messages_fuzz.cpp
@@ -1,5 +1,7 @@
-// Protobuf messages in any order on a stream that has something to say, the list of servers, and
-// settings.
+// Fuzz target for parsers and protocol state. The first byte of the input selects what gets the
+// rest: discovery requests for the server side of a stream with pending updates, discovery
+// responses for the client side, a load report, the registry's list of servers, or the settings
+// file.
 #include <cstdint>
 
 #include "config/governor_config.h"
@@ -13,30 +15,30 @@
 
 namespace {
 
-// Length-prefixed messages out of the input.
-std::vector<std::string> pieces(std::string_view bytes) {
+// Splits the input into messages. The first byte of each, times four, is its length.
+std::vector<std::string> split_messages(std::string_view bytes) {
     std::vector<std::string> out;
     while (bytes.size() > 1) {
-        const std::size_t n =
+        const std::size_t length =
             std::min<std::size_t>(static_cast<unsigned char>(bytes[0]) * 4, bytes.size() - 1);
-        out.emplace_back(bytes.substr(1, n));
-        bytes.remove_prefix(1 + n);
+        out.emplace_back(bytes.substr(1, length));
+        bytes.remove_prefix(1 + length);
     }
     return out;
 }
 
-void server(std::string_view bytes) {
-    Settings told;
-    told.zone_count = 1;
+void fuzz_ads_server(std::string_view bytes) {
+    Settings settings;
+    settings.zone_count = 1;
     Operation op;
     op.name = "x";
-    told.operations = {op};
-    xds::SnapshotCache snapshots(told, Micros{1000000});
+    settings.operations = {op};
+    xds::SnapshotCache snapshots(settings, Micros{1000000});
     snapshots.set_server_location({1}, {{"127.0.0.1", 80}, "z"});
     snapshots.on_proxy_connected({0});
     xds::AdsServer stream("fuzz");
     int version = 0;
-    for (const auto& piece : pieces(bytes)) {
+    for (const auto& message_bytes : split_messages(bytes)) {
         ++version;
         const auto update =
             snapshots.apply(Micros{version}, {command::SetWeight{{0}, {1}, 1.0 + version % 3},
@@ -46,19 +48,19 @@
             stream.release(Micros{version}, message);
         }
         xds::AdsServer::Request request;
-        if (request.ParseFromString(piece)) {
+        if (request.ParseFromString(message_bytes)) {
             stream.on_request(request);
         }
         stream.take_responses();
     }
 }
 
-void client(std::string_view bytes) {
+void fuzz_ads_client(std::string_view bytes) {
     xds::AdsClient stream({});
     stream.start();
-    for (const auto& piece : pieces(bytes)) {
+    for (const auto& message_bytes : split_messages(bytes)) {
         xds::AdsClient::Response response;
-        if (response.ParseFromString(piece)) {
+        if (response.ParseFromString(message_bytes)) {
             stream.on_response(response);
         }
     }
@@ -71,13 +73,13 @@
         return 0;
     }
     const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-    std::vector<config::ConfigError> mistakes;
+    std::vector<config::ConfigError> errors;
     switch (data[0] % 5) {
         case 0:
-            server(bytes);
+            fuzz_ads_server(bytes);
             break;
         case 1:
-            client(bytes);
+            fuzz_ads_client(bytes);
             break;
         case 2: {
             envoy::service::load_stats::v3::LoadStatsRequest report;
@@ -92,8 +94,8 @@
             } catch (const std::runtime_error&) {}
             break;
         default:
-            config::read_governor(config::IniFile::parse("fuzz.ini", std::string(bytes), mistakes),
-                                  mistakes);
+            config::read_governor(config::IniFile::parse("fuzz.ini", std::string(bytes), errors),
+                                  errors);
     }
     return 0;
 }
--- a/tests/peer/grpc_peer_test.cpp
+++ b/tests/peer/grpc_peer_test.cpp
@@ -1,5 +1,5 @@
-// The protocol checked with an independent client: grpc++ opens ADS and LRS streams to a running
-// control plane instance.
+// Interoperability: a grpc++ client, an implementation independent of this project's, opens ADS and
+// LRS streams to a running control plane instance.
 #include <grpcpp/grpcpp.h>
 
 #include "../program/child.h"
@@ -14,9 +14,9 @@
 namespace {
 
 namespace discovery = envoy::service::discovery::v3;
-namespace stats = envoy::service::load_stats::v3;
+namespace load_stats = envoy::service::load_stats::v3;
 
-constexpr const char* kPrefix = "type.googleapis.com/envoy.config.";
+constexpr const char* kTypeUrlPrefix = "type.googleapis.com/envoy.config.";
 
 class GrpcPeer : public testing::Test {
 protected:
@@ -39,13 +39,14 @@
         (*node->mutable_metadata()->mutable_fields())["rate"].set_number_value(10);
     }
 
-    std::unique_ptr<Child> registry, governor;
+    std::unique_ptr<Child> registry;
+    std::unique_ptr<Child> governor;
     std::shared_ptr<grpc::Channel> channel;
     grpc::ClientContext context;
 };
 
-// A proxy of another implementation must get clusters, assignments, a listener and routes that
-// agree with each other, and a status when the control plane stops.
+// A client of another implementation must get clusters, assignments, a listener and routes that are
+// consistent with each other, and a gRPC status when the control plane shuts down.
 TEST_F(GrpcPeer, IsServedByAds) {
     const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
     const auto stream = stub->StreamAggregatedResources(&context);
@@ -55,7 +56,7 @@
         if (!ack) {
             fill_node(request.mutable_node());
         }
-        request.set_type_url(kPrefix + type);
+        request.set_type_url(kTypeUrlPrefix + type);
         for (const auto& name : names) {
             request.add_resource_names(name);
         }
@@ -69,12 +70,12 @@
     send_request("listener.v3.Listener", {}, nullptr);
     std::set<int> ports;
     std::string routes_name;
-    std::string routed_to;
+    std::string routed_cluster;
     std::string cluster;
-    bool asked_endpoints = false;
-    bool asked_routes = false;
+    bool subscribed_to_endpoints = false;
+    bool subscribed_to_routes = false;
     discovery::DiscoveryResponse response;
-    while ((ports.empty() || routed_to.empty()) && stream->Read(&response)) {
+    while ((ports.empty() || routed_cluster.empty()) && stream->Read(&response)) {
         for (const auto& any : response.resources()) {
             envoy::config::endpoint::v3::ClusterLoadAssignment assignment;
             envoy::config::listener::v3::Listener listener;
@@ -94,15 +95,15 @@
             } else if (any.UnpackTo(&routes)) {
                 for (const auto& route : routes.virtual_hosts(0).routes()) {
                     if (route.match().path() == "/invoke/place-job") {
-                        routed_to = route.route().cluster();
+                        routed_cluster = route.route().cluster();
                     }
                 }
-            } else if (any.type_url() == std::string(kPrefix) + "cluster.v3.Cluster") {
+            } else if (any.type_url() == std::string(kTypeUrlPrefix) + "cluster.v3.Cluster") {
                 cluster = any.value().substr(
                     2, static_cast<std::size_t>(any.value()[1]));  // field 1: the name
             }
         }
-        const std::string type = response.type_url().substr(std::string(kPrefix).size());
+        const std::string type = response.type_url().substr(std::string(kTypeUrlPrefix).size());
         std::vector<std::string> names;
         if (type == "endpoint.v3.ClusterLoadAssignment") {
             names = {cluster};
@@ -111,17 +112,17 @@
             names = {routes_name};
         }
         send_request(type, names, &response);
-        if (!cluster.empty() && !std::exchange(asked_endpoints, true)) {
+        if (!cluster.empty() && !std::exchange(subscribed_to_endpoints, true)) {
             send_request("endpoint.v3.ClusterLoadAssignment", {cluster}, nullptr);
         }
-        if (!routes_name.empty() && !std::exchange(asked_routes, true)) {
+        if (!routes_name.empty() && !std::exchange(subscribed_to_routes, true)) {
             send_request("route.v3.RouteConfiguration", {routes_name}, nullptr);
         }
     }
     EXPECT_FALSE(ports.empty());
     EXPECT_FALSE(cluster.empty());
-    EXPECT_EQ(routed_to, cluster);
-    // SIGTERM ends the stream with a status, not with a broken connection.
+    EXPECT_EQ(routed_cluster, cluster);
+    // After SIGTERM the stream must end with a status, not with a broken connection.
     governor->signal(SIGTERM);
     while (stream->Read(&response)) {}
     const auto status = stream->Finish();
@@ -129,14 +130,14 @@
     EXPECT_EQ(governor->wait(), 0);
 }
 
-// A proxy that opens a load reporting stream must be told what to report and how often.
+// A client that opens a load reporting stream must be instructed what to report and how often.
 TEST_F(GrpcPeer, GetsReportingInstructionsByLrs) {
-    const auto stub = stats::LoadReportingService::NewStub(channel);
+    const auto stub = load_stats::LoadReportingService::NewStub(channel);
     const auto stream = stub->StreamLoadStats(&context);
-    stats::LoadStatsRequest request;
+    load_stats::LoadStatsRequest request;
     fill_node(request.mutable_node());
     ASSERT_TRUE(stream->Write(request));
-    stats::LoadStatsResponse response;
+    load_stats::LoadStatsResponse response;
     ASSERT_TRUE(stream->Read(&response));
     EXPECT_TRUE(response.send_all_clusters());
     EXPECT_TRUE(response.report_endpoint_granularity());
@@ -145,14 +146,14 @@
     EXPECT_TRUE(stream->Finish().ok());
 }
 
-// A stream without a node id, and a method that is not served: the proxy must see a status that
-// says so, not a broken connection.
+// A client opens a stream without a node id, and calls a method that is not served. Both must end
+// with a gRPC status, not with a broken connection.
 TEST_F(GrpcPeer, IsRefusedWithAStatusForInvalidRequests) {
     const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
     {
         const auto stream = stub->StreamAggregatedResources(&context);
         discovery::DiscoveryRequest request;
-        request.set_type_url(std::string(kPrefix) + "cluster.v3.Cluster");
+        request.set_type_url(std::string(kTypeUrlPrefix) + "cluster.v3.Cluster");
         ASSERT_TRUE(stream->Write(request));
         discovery::DiscoveryResponse response;
         EXPECT_FALSE(stream->Read(&response));
--- a/tests/program/core_test.cpp
+++ b/tests/program/core_test.cpp
@@ -1,5 +1,5 @@
-// Components without sockets: clock, send queue, load reports, HTTP/1.1, gRPC framing, the snapshot
-// cache and the states of a discovery stream.
+// Components without sockets: clock, send queue, load reports, server directory, HTTP/1.1 parser,
+// gRPC framing, and the snapshot cache with both sides of a discovery stream.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -37,14 +37,14 @@
     EXPECT_EQ(clock.now(), 5us);
 }
 
-// An object is destroyed while its timer is set. The timer must not run: it would use the
-// destroyed object.
-TEST(Clock, ATimerEndsWithItsOwner) {
+// A timer is destroyed with its owner while it is set. Its callback must not run: it would use the
+// destroyed owner.
+TEST(Clock, ADestroyedTimerDoesNotRun) {
     base::VirtualClock clock(0us);
     bool ran = false;
     {
-        base::Timer gone(clock, {1});
-        gone.after(1us, [&] { ran = true; });
+        base::Timer timer(clock, {1});
+        timer.after(1us, [&] { ran = true; });
     }
     EXPECT_FALSE(clock.step(1s));
     EXPECT_FALSE(ran);
@@ -83,8 +83,8 @@
     EXPECT_EQ(*queue.next_send_time(), 125ms);
 }
 
-// A proxy disconnects while messages to it are queued. They must not be sent, they are counted,
-// and the next proxy gets its message.
+// A proxy disconnects while messages to it are queued. They must be counted and not sent, and the
+// next proxy must get its message.
 TEST(PacedSendQueue, DiscardsMessagesToADisconnectedProxy) {
     pacing::PacedSendQueue queue(1000);
     queue.push(0us, make_message(1, 10, 0us));
@@ -114,8 +114,8 @@
     return s;
 }
 
-// More reports arrive in one interval than the policy may get. They must be aggregated, and passed
-// on no faster than the limit.
+// More reports arrive in one interval than may be passed to the policy. They must be aggregated and
+// passed on at the limited rate.
 TEST(LoadReportQueue, AggregatesByZoneAndServerAndLimitsTheRate) {
     xds_server::LoadReportQueue reports(test_settings());
     std::map<net::Address, ServerId> servers;
@@ -133,7 +133,7 @@
     reports.close_interval(10s);
     EXPECT_EQ(reports.queued_events(), 32u);
     auto first = reports.pop(10s);
-    EXPECT_EQ(first.size(), 10u) << "one second's worth at most";
+    EXPECT_EQ(first.size(), 10u) << "at most the events of one second";
     const auto& report = std::get<event::ServerLoadReport>(first.at(0));
     EXPECT_EQ(report.attempts, 8);
     EXPECT_EQ(report.failures, 2);
@@ -143,8 +143,8 @@
     EXPECT_EQ(reports.pop(30s).size(), 7u);
 }
 
-// A proxy reports on a server and an operation that are not known here. Both must be named to the
-// caller and left out.
+// A proxy reports load of an unknown server and an unknown operation. Both names must be returned,
+// and their counts must be dropped.
 TEST(LoadReportQueue, ReturnsUnknownNames) {
     xds_server::LoadReportQueue reports(test_settings());
     xds::LoadReport one;
@@ -154,7 +154,7 @@
     EXPECT_EQ(reports.add({{1}, {0}}, one, {}).size(), 2u);
 }
 
-TEST(LoadReport, IsReadAsItWasWritten) {
+TEST(LoadReport, SurvivesSerializationAndParsing) {
     xds::LoadReport one;
     one.interval = 1500ms;
     one.endpoints[{"127.0.0.1", 80}] = {10, 3, 7, 1234.5, {{"cpu", 0.5}}};
@@ -169,8 +169,8 @@
     EXPECT_EQ(parsed.report.operations.at("look").failures, 2);
 }
 
-// A faulty proxy reports counts below zero, which arrive as huge ones. They must be left out and
-// reported: they would distort the sums of all proxies.
+// A faulty proxy reports negative counts, which arrive as huge unsigned ones. They must be dropped
+// and reported, or they would distort the sums of all proxies.
 TEST(LoadReport, RejectsCountsOutOfRange) {
     xds::LoadReport one;
     one.interval = 1s;
@@ -197,9 +197,9 @@
     return listed;
 }
 
-// The registry rounds the age of a server, so that each list gives a slightly different start time.
-// The first one of an incarnation must stand: otherwise the policy would see a new start with each
-// list. A new incarnation must give a new start time.
+// The registry rounds the age of a server, so that each list results in a slightly different start
+// time. The first start time of an incarnation must be kept: otherwise the policy would see a new
+// start with each list. A new incarnation must get a new start time.
 TEST(ServerDirectory, KeepsTheStartTimeOfAnIncarnation) {
     const std::vector<std::string> zones{"north", "south"};
     xds_server::ServerDirectory servers(zones);
@@ -211,8 +211,8 @@
     EXPECT_EQ(servers.update(listed_server(9001, "3", 0s), 13s).started_at, 0s) << "long ago";
 }
 
-// A server comes back at another address while old tables still name the former one. It must get
-// another id, or loads and health checks of the two addresses would be mixed up.
+// A server comes back at another address while old tables still contain its former one. It must get
+// another id, or load reports and health checks of the two addresses would be mixed up.
 TEST(ServerDirectory, TreatsAnotherAddressAsAnotherServer) {
     const std::vector<std::string> zones{"north", "south"};
     xds_server::ServerDirectory servers(zones);
@@ -246,10 +246,10 @@
     }
 }
 
-// A client sends a message whose length is ambiguous (request smuggling), invalid or without
-// limit. The parser must report an error and accept nothing more on this connection.
+// A peer sends a message whose length is ambiguous (request smuggling), invalid or unbounded. The
+// parser must report an error and accept no more input on this connection.
 TEST(Http1, RejectsAmbiguousAndUnboundedMessages) {
-    const std::string bad[] = {
+    const std::string invalid_messages[] = {
         "GET / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
         "GET / HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
         "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
@@ -258,7 +258,7 @@
         "POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n",
         "nonsense\r\n\r\n",
     };
-    for (const auto& text : bad) {
+    for (const auto& text : invalid_messages) {
         net::Http1Parser parser(net::Http1Parser::Kind::Requests, {}, [](net::HttpMessage) {});
         EXPECT_FALSE(parser.feed(text)) << text.substr(0, 60);
         EXPECT_FALSE(parser.error().empty());
@@ -288,7 +288,8 @@
 
 // ---- snapshot cache and discovery stream
 
-// A control plane and a proxy that exchange requests and responses without a connection.
+// The server and client side of a discovery stream, which exchange requests and responses without a
+// connection.
 struct StreamPair {
     explicit StreamPair(const Settings& settings = test_settings())
         : snapshots(settings, 4s),
@@ -316,7 +317,7 @@
         return update.messages;
     }
 
-    // Exchanges requests and responses until neither side has any.
+    // Exchanges requests and responses until neither side has any left.
     void exchange() {
         if (!std::exchange(has_started, true)) {
             for (const auto& r : client.start()) {
@@ -332,7 +333,7 @@
                     }
                 }
                 if (out.rejected) {
-                    rejected.push_back(out.rejected->reason);
+                    rejection_reasons.push_back(out.rejected->reason);
                 }
             }
             const auto responses = server.take_responses();
@@ -344,18 +345,19 @@
                 requests.insert(requests.end(), out.requests.begin(), out.requests.end());
             }
         }
-        FAIL() << "the exchange does not end";
+        FAIL() << "requests and responses are still exchanged after 50 rounds";
     }
 
+    // Ports of the servers that the proxy may choose for an operation, in the order of its table.
     std::vector<int> ports(const char* operation) const {
         std::vector<int> out;
         const auto route = client.tables().routes.find(xds::operation_path(operation));
         if (route == client.tables().routes.end()) {
             return out;
         }
-        for (const auto& line : client.tables().clusters.at(route->second.cluster).endpoints) {
-            if (!line.draining) {
-                out.push_back(line.address.port);
+        for (const auto& endpoint : client.tables().clusters.at(route->second.cluster).endpoints) {
+            if (!endpoint.draining) {
+                out.push_back(endpoint.address.port);
             }
         }
         return out;
@@ -366,17 +368,17 @@
     xds::AdsServer server;
     xds::AdsClient client;
     std::vector<xds::AdsClient::Request> requests;
-    // Versions whose acknowledgement came, in order.
+    // Acknowledged versions, in order.
     std::vector<int> acknowledged;
     std::vector<xds::RejectedCommand> rejected_commands;
-    // Reasons of rejected responses.
-    std::vector<std::string> rejected;
+    // Why responses were rejected.
+    std::vector<std::string> rejection_reasons;
     bool has_started = false;
 };
 
-// Make before break: the proxy gets the cluster and its lines before the routes to it, and the
-// acknowledgement that the policy asked for arrives.
-TEST(Stream, SendsTheTableBeforeItsRoutesAndAcknowledges) {
+// Make before break: the proxy must get a cluster and its endpoints before the routes to it, and
+// the acknowledgement that the policy requested must arrive.
+TEST(AdsStream, SendsTheTableBeforeItsRoutesAndIsAcknowledged) {
     StreamPair pair;
     const auto sent =
         pair.apply({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{0}, {2}, 0.5},
@@ -390,8 +392,8 @@
 }
 
 // A proxy is moved from one table to another. It must always have a server to choose, and the old
-// cluster must be removed in the end.
-TEST(Stream, MovesFromOneTableToAnother) {
+// cluster must be removed at the end.
+TEST(AdsStream, MovesFromOneTableToAnother) {
     StreamPair pair;
     pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                 command::RequestAck{{1}, false}});
@@ -402,12 +404,12 @@
     EXPECT_EQ(pair.ports("look"), std::vector<int>{9003});
     EXPECT_EQ(pair.acknowledged, (std::vector<int>{1, 2}));
     EXPECT_FALSE(pair.client.tables().clusters.contains("table-0"))
-        << "the old cluster stays for ever";
+        << "the old cluster was not removed";
 }
 
-// A server is ejected while tables still name it. The proxy must not send to it until it is
-// readmitted.
-TEST(Stream, EjectsAServerWhateverTheTableSays) {
+// A server is ejected while tables still contain it. The proxy must not send requests to it until
+// it is readmitted.
+TEST(AdsStream, EjectionOverridesTheTable) {
     StreamPair pair;
     pair.apply({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{0}, {2}, 1},
                 command::AssignTable{{0}, 0, {0}}, command::RequestAck{{1}, false}});
@@ -422,9 +424,9 @@
     EXPECT_EQ(pair.acknowledged, (std::vector<int>{1, 2, 3}));
 }
 
-// The policy asks for retries of all operations. An operation with side effects must still be
-// retried only where the server did not process the request.
-TEST(Stream, NeverRetriesOperationsWithSideEffects) {
+// The policy allows two retries for all operations. An operation with side effects must still be
+// retried only if the server did not process the request.
+TEST(AdsStream, NeverRetriesOperationsWithSideEffects) {
     StreamPair pair;
     pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                 command::SetAdmission{{0}, 0, 1, RetryMode::Twice},
@@ -435,9 +437,9 @@
               RetryMode::OnlyUnprocessed);
 }
 
-// A proxy rejects one response and accepts a later one. The ACK of the later one must not count
-// for the rejected one: the policy would take an update as applied that is not.
-TEST(Stream, ALaterAckDoesNotCoverARejection) {
+// A proxy rejects one response and accepts a later one. The ACK of the later one must not count for
+// the rejected one: the policy would treat an update as applied that is not.
+TEST(AdsStream, ALaterAckDoesNotCoverARejection) {
     StreamPair pair;
     pair.apply({command::SetWeight{{0}, {1}, 1}, command::SetWeight{{1}, {3}, 1},
                 command::AssignTable{{0}, 1, {0}}, command::AssignTable{{1}, 2, {0}},
@@ -449,13 +451,14 @@
     };
     pair.apply({command::SetWeight{{0}, {2}, 1}, command::RequestAck{{2}, false}});
     pair.exchange();
-    EXPECT_EQ(pair.rejected.size(), 1u);
+    EXPECT_EQ(pair.rejection_reasons.size(), 1u);
     pair.apply({command::SetWeight{{1}, {4}, 1}, command::RequestAck{{3}, false}});
     pair.exchange();
     EXPECT_EQ(pair.ports("order"), (std::vector<int>{9003, 9004}))
-        << "a rejection takes what is new down with it";
-    EXPECT_EQ(pair.acknowledged, std::vector<int>{1}) << "2 was rejected, and 3 comes after it";
-    EXPECT_EQ(pair.rejected.size(), 2u) << "sent once more with the next update, no more";
+        << "a rejected resource must not hold back new ones";
+    EXPECT_EQ(pair.acknowledged, std::vector<int>{1}) << "2 was rejected, and 3 must wait for it";
+    EXPECT_EQ(pair.rejection_reasons.size(), 2u)
+        << "the rejected resource must be sent again exactly once, with the next update";
     pair.client.response_check = {};
     pair.apply({command::SetWeight{{1}, {4}, 0.5}, command::RequestAck{{4}, false}});
     pair.exchange();
@@ -463,9 +466,9 @@
     EXPECT_EQ(pair.ports("look"), (std::vector<int>{9001, 9002}));
 }
 
-// A proxy answers the same nonce with a NACK and then with an ACK. The first answer counts: the
-// ACK must not mark the rejected update as applied.
-TEST(Stream, TheSameNonceTwiceCountsOnce) {
+// A proxy sends a NACK and then an ACK for the same nonce. The first one counts: the ACK must not
+// mark the rejected update as applied.
+TEST(AdsStream, OnlyTheFirstAckOrNackOfANonceCounts) {
     StreamPair pair;
     pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                 command::RequestAck{{1}, false}});
@@ -482,13 +485,13 @@
     nack.mutable_error_detail()->set_message("no");
     EXPECT_TRUE(pair.server.on_request(nack).rejected);
     const auto second = pair.server.on_request(ack);
-    EXPECT_TRUE(second.acknowledged.empty()) << "NACK, then ACK with the same nonce";
+    EXPECT_TRUE(second.acknowledged.empty()) << "the ACK counted after a NACK of the same nonce";
     EXPECT_FALSE(second.ignored);
 }
 
-// The policy asks all proxies for an acknowledgement without changing anything. Each must still
-// answer, or the policy would wait for ever.
-TEST(Stream, AnAckRequestForAllIsAnsweredWithoutAnyChange) {
+// The policy requests an acknowledgement from all proxies without a change of configuration. Each
+// proxy must still acknowledge, or the policy would wait for ever.
+TEST(AdsStream, AnAckRequestForAllIsAnsweredWithoutAnyChange) {
     StreamPair pair;
     pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                 command::RequestAck{{1}, false}});
@@ -498,10 +501,10 @@
     EXPECT_EQ(pair.acknowledged, (std::vector<int>{1, 2}));
 }
 
-TEST(Stream, AdmissionLimitsAreSentAsFractionOrRate) {
-    for (const AdmissionMode admit : {AdmissionMode::Fraction, AdmissionMode::Rate}) {
+TEST(AdsStream, AdmissionLimitsAreSentAsFractionOrRate) {
+    for (const AdmissionMode mode : {AdmissionMode::Fraction, AdmissionMode::Rate}) {
         Settings s = test_settings();
-        s.admission_mode = admit;
+        s.admission_mode = mode;
         StreamPair pair(s);
         pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                     command::SetAdmission{{0}, 1, 0.25, RetryMode::Never},
@@ -509,7 +512,7 @@
         pair.exchange();
         const auto& route = pair.client.tables().routes.at("/invoke/look");
         EXPECT_EQ(route.retry_mode, RetryMode::Never);
-        if (admit == AdmissionMode::Fraction) {
+        if (mode == AdmissionMode::Fraction) {
             EXPECT_DOUBLE_EQ(route.admitted_fraction, 0.25);
         } else {
             EXPECT_NEAR(route.admitted_per_second, 0.25, 1e-6);
@@ -520,31 +523,31 @@
     }
 }
 
-// The policy names a server and a proxy that are not known. The commands must be left out and
-// reported, not sent without an address.
-TEST(Stream, RejectsCommandsForUnknownServersAndProxies) {
+// The policy's commands name unknown servers and an unknown proxy. The commands must be rejected
+// and reported: no message can be built for them.
+TEST(AdsStream, RejectsCommandsForUnknownServersAndProxies) {
     StreamPair pair;
     pair.apply({command::SetWeight{{0}, {99}, 1}, command::AssignTable{{0}, 0, {42}},
                 command::SetEjected{{98}, true}});
     EXPECT_EQ(pair.rejected_commands.size(), 3u);
 }
 
-// Random updates, reconnects and rejections, in 400 seeded runs. In the end the proxy must hold
-// what was decided last; a proxy left on an old table would send to servers that are gone.
-TEST(Stream, AgreesAfterRandomUpdatesAndReconnects) {
+// Random updates, reconnects and rejections in 400 seeded runs. At the end the proxy must have the
+// tables that were decided last: a proxy on an old table would send requests to removed servers.
+TEST(AdsStream, ConvergesAfterRandomUpdatesAndReconnects) {
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        base::SequentialRandom chance(seed, "stream");
+        base::SequentialRandom random(seed, "stream");
         StreamPair pair;
         std::map<int, std::map<std::uint32_t, double>> tables;
         std::map<int, int> assigned{{0, -1}};
         for (int step = 0; step < 40; ++step) {
             std::vector<Command> commands;
-            for (std::size_t n = chance.below(4) + 1; n-- > 0;) {
-                const int table = static_cast<int>(chance.below(3));
-                const auto server = static_cast<std::uint32_t>(chance.below(4) + 1);
-                if (chance.happens(0.7)) {
+            for (std::size_t n = random.below(4) + 1; n-- > 0;) {
+                const int table = static_cast<int>(random.below(3));
+                const auto server = static_cast<std::uint32_t>(random.below(4) + 1);
+                if (random.happens(0.7)) {
                     const double weight =
-                        chance.happens(0.3) ? 0 : 0.25 * static_cast<double>(chance.below(4) + 1);
+                        random.happens(0.3) ? 0 : 0.25 * static_cast<double>(random.below(4) + 1);
                     commands.emplace_back(command::SetWeight{{table}, {server}, weight});
                     if (weight > 0) {
                         tables[table][server] = weight;
@@ -557,16 +560,16 @@
                 }
             }
             commands.emplace_back(command::RequestAck{{step}, false});
-            const bool rejects = chance.happens(0.2);
+            const bool rejects = random.happens(0.2);
             pair.client.response_check = [&](const xds::AdsClient::Response&) {
-                return rejects && chance.happens(0.5) ? "rejected at random" : "";
+                return rejects && random.happens(0.5) ? "rejected at random" : "";
             };
             pair.apply(commands);
-            if (chance.happens(0.7)) {
+            if (random.happens(0.7)) {
                 pair.exchange();
             }
-            if (chance.happens(0.1)) {
-                // The stream ends; the policy assigns the table to the new one.
+            if (random.happens(0.1)) {
+                // The stream ends, and the policy assigns the table again on the next stream.
                 pair.server = xds::AdsServer("g.1");
                 pair.snapshots.on_proxy_connected({0});
                 pair.requests.clear();
@@ -581,7 +584,7 @@
         if (assigned[0] < 0) {
             continue;
         }
-        // Whatever was rejected is superseded by one more change.
+        // One more change supersedes all rejected ones.
         std::vector<Command> last{command::AssignTable{{assigned[0]}, 0, {0}}};
         for (std::uint32_t k = 1; k <= 4; ++k) {
             last.emplace_back(
