--- a/src/testbed/forwarder.cpp
+++ b/src/testbed/forwarder.cpp
@@ -27,7 +27,7 @@
       redial_(loop.clock(), actor),
       report_(loop.clock(), actor),
       go_back_(loop.clock(), actor) {
-    startup_.pick_policy = settings_.pick;
+    startup_.load_balancing_policy = settings_.pick;
     startup_.ejection_failures = settings_.ejects_after;
     startup_.ejection_time = settings_.eject_time;
     startup_.endpoints = settings_.startup;
@@ -409,10 +409,10 @@
         }
         return from.back();
     };
-    if (table.pick_policy == LoadBalancingPolicy::WeightedRandom) {
+    if (table.load_balancing_policy == LoadBalancingPolicy::WeightedRandom) {
         return draw();
     }
-    if (table.pick_policy == LoadBalancingPolicy::LeastRequest) {
+    if (table.load_balancing_policy == LoadBalancingPolicy::LeastRequest) {
         const auto* a = draw();
         const auto* b = draw();
         return standings_[b->address].open < standings_[a->address].open ? b : a;
--- a/src/xds/ads_client.cpp
+++ b/src/xds/ads_client.cpp
@@ -235,13 +235,13 @@
     listed.insert(cluster.name());
     switch (cluster.lb_policy()) {
         case cluster_v3::Cluster::ROUND_ROBIN:
-            table.pick_policy = LoadBalancingPolicy::RoundRobin;
+            table.load_balancing_policy = LoadBalancingPolicy::RoundRobin;
             break;
         case cluster_v3::Cluster::LEAST_REQUEST:
-            table.pick_policy = LoadBalancingPolicy::LeastRequest;
+            table.load_balancing_policy = LoadBalancingPolicy::LeastRequest;
             break;
         case cluster_v3::Cluster::RANDOM:
-            table.pick_policy = LoadBalancingPolicy::WeightedRandom;
+            table.load_balancing_policy = LoadBalancingPolicy::WeightedRandom;
             break;
         default:
             return invalid_field("cluster \"" + cluster.name() +
--- a/src/xds/ads_client.h
+++ b/src/xds/ads_client.h
@@ -40,7 +40,7 @@
 
 /// A table as a proxy holds it: an xDS cluster with its endpoint assignment.
 struct ProxyTable {
-    LoadBalancingPolicy pick_policy = LoadBalancingPolicy::WeightedRandom;
+    LoadBalancingPolicy load_balancing_policy = LoadBalancingPolicy::WeightedRandom;
     /// Outlier detection by the proxy itself: consecutive failures after which it ejects a server.
     /// 0: never.
     int ejection_failures = 0;
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -60,7 +60,7 @@
 
 SnapshotCache::SnapshotCache(const Settings& settings, Micros ejection_time)
     : operations_(settings.operations),
-      pick_policy_(settings.load_balancing_policy),
+      load_balancing_policy_(settings.load_balancing_policy),
       admission_mode_(settings.admission_mode),
       attempt_timeout_factor_(settings.attempt_timeout_factor),
       ejection_failures_(settings.proxy_ejection_failures),
@@ -231,7 +231,7 @@
     out.set_name(cluster_name(table));
     out.set_type(envoy::config::cluster::v3::Cluster::EDS);
     set_source_to_ads(out.mutable_eds_cluster_config()->mutable_eds_config());
-    switch (pick_policy_) {
+    switch (load_balancing_policy_) {
         case LoadBalancingPolicy::WeightedRandom:
             out.set_lb_policy(envoy::config::cluster::v3::Cluster::RANDOM);
             break;
--- a/src/xds/snapshot_cache.h
+++ b/src/xds/snapshot_cache.h
@@ -141,7 +141,7 @@
     ResourcePtr make_resource(ResourceType type, std::string name, std::string bytes) const;
 
     std::vector<Operation> operations_;
-    LoadBalancingPolicy pick_policy_;
+    LoadBalancingPolicy load_balancing_policy_;
     AdmissionMode admission_mode_;
     /// Time limit of one attempt, as a multiple of the operation's latency objective.
     double attempt_timeout_factor_;
