--- a/src/xds/ads_client.cpp
+++ b/src/xds/ads_client.cpp
@@ -129,7 +129,7 @@
     const auto type = resource_type_of(response.type_url());
     if (!type) {
         result.rejected = {ResponseError::UnknownType,
-                           "field \"type_url\": expected a subscribed xDS resource type, got \"" +
+                           R"(field "type_url": expected a subscribed xDS resource type, got ")" +
                                response.type_url() + "\""};
         return result;
     }
@@ -181,7 +181,7 @@
     for (const auto& any : response.resources()) {
         if (any.type_url() != response.type_url()) {
             return RejectedResponse{ResponseError::MixedTypes,
-                                    "field \"resources.type_url\": expected \"" +
+                                    R"(field "resources.type_url": expected ")" +
                                         response.type_url() + "\", got \"" + any.type_url() + "\""};
         }
         Error error;
@@ -272,7 +272,7 @@
             const auto& socket = endpoint.endpoint().address().socket_address();
             if (socket.port_value() == 0 || socket.port_value() > kMaxPort) {
                 return invalid_field("assignment \"" + assignment.cluster_name() +
-                                     "\", field \"port_value\": expected 1 to " +
+                                     R"(", field "port_value": expected 1 to )" +
                                      std::to_string(kMaxPort) + ", got " +
                                      std::to_string(socket.port_value()));
             }
@@ -316,13 +316,13 @@
     if (!listener.api_listener().api_listener().UnpackTo(&manager)) {
         return malformed(
             "listener \"" + listener.name() +
-            "\", field \"api_listener\": expected an HttpConnectionManager, got type \"" +
+            R"(", field "api_listener": expected an HttpConnectionManager, got type ")" +
             listener.api_listener().api_listener().type_url() + "\"");
     }
     if (manager.rds().route_config_name().empty()) {
         return invalid_field(
             "listener \"" + listener.name() +
-            "\", field \"rds.route_config_name\": expected a name, got an empty string");
+            R"(", field "rds.route_config_name": expected a name, got an empty string)");
     }
     route_names.insert(manager.rds().route_config_name());
     return std::nullopt;
@@ -341,7 +341,7 @@
             if (path.empty()) {
                 return invalid_field(
                     "route \"" + proto.name() +
-                    "\", field \"match.path\": expected a path, got an empty string");
+                    R"(", field "match.path": expected a path, got an empty string)");
             }
             if (proto.has_direct_response()) {
                 continue;  // the response to requests that are not admitted; see admitted_fraction
@@ -389,14 +389,14 @@
     if (!filter->second.UnpackTo(&limit)) {
         return malformed(
             "route \"" + proto.name() +
-            "\", field \"typed_per_filter_config\": expected a LocalRateLimit, got type \"" +
+            R"(", field "typed_per_filter_config": expected a LocalRateLimit, got type ")" +
             filter->second.type_url() + "\"");
     }
     const auto& bucket = limit.token_bucket();
     const Micros fill_interval = to_micros(bucket.fill_interval());
     if (fill_interval <= Micros{0}) {
         return invalid_field("route \"" + proto.name() +
-                             "\", field \"fill_interval\": expected more than 0 us, got " +
+                             R"(", field "fill_interval": expected more than 0 us, got )" +
                              std::to_string(fill_interval.count()) + " us");
     }
     route.admitted_per_second = bucket.tokens_per_fill().value() * kMicrosPerSecond /
--- a/src/xds/ads_server.cpp
+++ b/src/xds/ads_server.cpp
@@ -30,7 +30,7 @@
     const auto type = resource_type_of(request.type_url());
     if (!type) {
         result.ignored = {IgnoreReason::UnknownType,
-                          "field \"type_url\": expected a served xDS resource type, got \"" +
+                          R"(field "type_url": expected a served xDS resource type, got ")" +
                               request.type_url() + "\""};
         return result;
     }
@@ -47,7 +47,7 @@
     if (response == state.in_flight.end()) {
         result.ignored = {
             IgnoreReason::UnknownNonce,
-            "field \"response_nonce\": expected the nonce of a response in flight, got \"" +
+            R"(field "response_nonce": expected the nonce of a response in flight, got ")" +
                 request.response_nonce() + "\""};
         return result;
     }
--- a/src/xds/load_report.cpp
+++ b/src/xds/load_report.cpp
@@ -145,7 +145,7 @@
         if (interval_us < 0 || interval_us > kMaxIntervalUs) {
             out.rejected.push_back({LoadReportError::IntervalOutOfRange,
                                     "cluster \"" + cluster.cluster_name() +
-                                        "\", field \"load_report_interval\": expected 0 to " +
+                                        R"(", field "load_report_interval": expected 0 to )" +
                                         std::to_string(kMaxIntervalUs) + " us, got " +
                                         std::to_string(interval_us) + " us"});
             continue;
--- a/src/xds/snapshot_cache.h
+++ b/src/xds/snapshot_cache.h
@@ -3,14 +3,14 @@
 /// builds, for each decision, one message of resource changes per connected proxy. No I/O; no
 /// decision is made here.
 ///
-/// Retries: what a proxy may retry is decided by two rules when routes are built.
-/// - The policy's decision: the retry mode of the admission setting of the table and operation
+/// Retries: two rules decide what a proxy may retry, when its routes are built.
+/// - The policy's decision: the retry mode of the admission setting for the table and operation
 ///   (`runtime::ConfigState::admission`), or `Settings::default_retry_mode` if there is none.
-/// - The protocol rule, which overrides it: for an operation with side effects the mode is lowered
-/// to
-///   at most `RetryMode::OnlyUnprocessed`, so that a request that a server may have processed is
-///   never sent again. Idempotent and fingerprinted operations keep the policy's mode.
-/// The result is written into the route as `retry_on`, `num_retries` and `per_try_timeout`.
+/// - The protocol rule, which overrides it: for an operation with side effects, the mode is at most
+///   `RetryMode::OnlyUnprocessed`, so that a request that a server may have processed is never sent
+///   again. Idempotent and fingerprinted operations keep the policy's mode.
+/// The route carries the result as `retry_on`, `num_retries` and `per_try_timeout`, and no retry
+/// policy for `RetryMode::Never`.
 #pragma once
 
 #include <cstdint>
--- a/src/xds_server/endpoint_watch.cpp
+++ b/src/xds_server/endpoint_watch.cpp
@@ -36,8 +36,8 @@
         return ServerState::Draining;
     }
     throw InvalidServerList("server \"" + server_id +
-                            "\", field \"state\": expected \"ready\" or \"draining\", got \"" +
-                            state + "\"");
+                            R"(", field "state": expected "ready" or "draining", got ")" + state +
+                            "\"");
 }
 
 /// Parses one entry. `ids` holds the ids of the entries before it, and gets the id of this one.
@@ -50,7 +50,7 @@
     }
     if (!ids.insert(server.id).second) {
         throw InvalidServerList("server \"" + server.id +
-                                "\", field \"id\": expected a unique id, got a duplicate");
+                                R"(", field "id": expected a unique id, got a duplicate)");
     }
     server.zone = json.value("zone", "");
     server.incarnation = json.value("incarnation", "");
@@ -59,13 +59,13 @@
     server.weight = json.value("weight", 1.0);
     if (!(server.weight > 0) || !std::isfinite(server.weight) || server.weight > kMaxWeight) {
         throw InvalidServerList("server \"" + server.id +
-                                "\", field \"weight\": expected above 0 and at most 1000000, got " +
+                                R"(", field "weight": expected above 0 and at most 1000000, got )" +
                                 std::to_string(server.weight));
     }
     const double age_ms = json.value("age_ms", 0.0);
     if (!(age_ms >= 0) || age_ms > kMaxAgeMs) {
         throw InvalidServerList("server \"" + server.id +
-                                "\", field \"age_ms\": expected 0 to 1e13, got " +
+                                R"(", field "age_ms": expected 0 to 1e13, got )" +
                                 std::to_string(age_ms));
     }
     server.age = Micros(static_cast<std::int64_t>(age_ms * kMicrosPerMilli));
