--- a/src/xds_server/endpoint_list_validator.cpp
+++ b/src/xds_server/endpoint_list_validator.cpp
@@ -14,7 +14,7 @@
                                       std::to_string(header.index)};
     }
     const bool lost_all = has_accepted_ && accepted_.server_count > 0 && header.server_count == 0;
-    if (lost_all && empty_list_ == config::EmptyList::Refuse) {
+    if (lost_all && empty_list_policy_ == config::EmptyListPolicy::Refuse) {
         return {Decision::Reject,
                 "field \"servers\": expected a list that is not empty after one of " +
                     std::to_string(accepted_.server_count) + " servers, got an empty one"};
--- a/src/xds_server/endpoint_list_validator.h
+++ b/src/xds_server/endpoint_list_validator.h
@@ -15,7 +15,7 @@
 #include <cstdint>
 #include <string>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 
 namespace badgergrade::xds_server {
 
@@ -32,8 +32,8 @@
 public:
     /// A list with fewer servers than `min_kept_fraction` (0 to 1) of the last accepted one must be
     /// confirmed; 0 accepts any loss.
-    EndpointListValidator(config::EmptyList empty_list, double min_kept_fraction)
-        : empty_list_(empty_list),
+    EndpointListValidator(config::EmptyListPolicy empty_list_policy, double min_kept_fraction)
+        : empty_list_policy_(empty_list_policy),
           min_kept_fraction_(min_kept_fraction) {}
 
     /// `Unchanged`: the list that was accepted last. `Confirm`: rejected until a second response
@@ -50,7 +50,7 @@
     Result validate(const EndpointListHeader& header);
 
 private:
-    config::EmptyList empty_list_;
+    config::EmptyListPolicy empty_list_policy_;
     double min_kept_fraction_;
     /// The last accepted list.
     bool has_accepted_ = false;
--- a/src/xds_server/endpoint_watch.h
+++ b/src/xds_server/endpoint_watch.h
@@ -63,7 +63,7 @@
 public:
     /// `host` names the control plane instance on the network.
     EndpointWatch(net::Loop& loop, base::ActorId actor, std::string host,
-                  const config::GovernorConfig& config);
+                  const config::InstanceConfig& config);
 
     /// Called with each accepted list that differs from the last one.
     std::function<void(const ServerList&)> on_update;
--- a/src/xds_server/xds_server.h
+++ b/src/xds_server/xds_server.h
@@ -32,7 +32,7 @@
 #include <string>
 #include <vector>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 #include "log/log.h"
 #include "net/grpc.h"
 #include "pacing/paced_send_queue.h"
@@ -53,7 +53,7 @@
 public:
     /// Starts listening; throws std::system_error if the port is not available. `incarnation`
     /// distinguishes this run from earlier ones of the same instance; it is part of every version.
-    XdsServer(net::Loop& loop, base::ActorId actor, const config::GovernorConfig& config,
+    XdsServer(net::Loop& loop, base::ActorId actor, const config::InstanceConfig& config,
               log::Log& log, std::string incarnation);
 
     /// Closes all connections immediately and without a status, like the death of the process.
@@ -124,7 +124,7 @@
     void close_report_interval();
 
     base::Clock& clock_;
-    config::GovernorConfig config_;
+    config::InstanceConfig config_;
     log::Logger log_;
     std::string incarnation_;
     XdsServerMetrics metrics_;
--- a/tests/fuzz/messages_fuzz.cpp
+++ b/tests/fuzz/messages_fuzz.cpp
@@ -4,7 +4,7 @@
 // file.
 #include <cstdint>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 #include "xds/ads_client.h"
 #include "xds/ads_server.h"
 #include "xds/load_report.h"
@@ -94,8 +94,8 @@
             } catch (const std::runtime_error&) {}
             break;
         default:
-            config::read_governor(config::IniFile::parse("fuzz.ini", std::string(bytes), errors),
-                                  errors);
+            config::read_instance_config(
+                config::IniFile::parse("fuzz.ini", std::string(bytes), errors), errors);
     }
     return 0;
 }
--- a/tests/program/governor_test.cpp
+++ b/tests/program/governor_test.cpp
@@ -128,10 +128,10 @@
     proxy.close();
     fixture.run(100ms);
     EXPECT_EQ(fixture.logged("proxy.disconnected"), 1);
-    TestProxy again(fixture, "f1");
-    again.connect();
+    TestProxy reconnected_proxy(fixture, "f1");
+    reconnected_proxy.connect();
     fixture.run(2s);
-    EXPECT_FALSE(again.ports("look").empty());
+    EXPECT_FALSE(reconnected_proxy.ports("look").empty());
 }
 
 // The control plane process dies while it sends an update, and is restarted. Meanwhile the proxy
@@ -165,8 +165,8 @@
 TEST(XdsServer, AProxyThatStopsReadingIsDisconnected) {
     InstanceFixture fixture(settings("[log]\nlevel = debug\n"),
                             false);  // real clock, as the kernel's socket buffers take part
-    fixture.config.max_queued_bytes = 32768;
-    fixture.config.keepalive = 0us;
+    fixture.config.max_queued_bytes_per_stream = 32768;
+    fixture.config.keepalive_interval = 0us;
     for (int k = 0; k < 400; ++k) {
         fixture.list_server("s" + std::to_string(k), k % 2 ? "north" : "south", 10000 + k);
     }
@@ -440,7 +440,7 @@
 // response. Older and empty lists must be rejected, and the index of a new incarnation of the
 // registry may start again.
 TEST(EndpointListValidator, ConfirmsASuddenLossOnce) {
-    xds_server::EndpointListValidator validator(config::EmptyList::Refuse, 0.5);
+    xds_server::EndpointListValidator validator(config::EmptyListPolicy::Refuse, 0.5);
     using Decision = xds_server::EndpointListValidator::Decision;
     EXPECT_EQ(validator.validate({"r", 5, 10}).decision, Decision::Accept);
     EXPECT_EQ(validator.validate({"r", 5, 10}).decision, Decision::Unchanged);
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "config/governor_config.h"
+#include "config/instance_config.h"
 #include "net/grpc.h"
 #include "testbed/registry.h"
 #include "xds/ads_client.h"
@@ -50,10 +50,10 @@
 message_bytes = 65536
 )";
 
-inline config::GovernorConfig settings(const std::string& extra_text = {}) {
+inline config::InstanceConfig settings(const std::string& extra_text = {}) {
     std::vector<config::ConfigError> errors;
     auto file = config::IniFile::parse("test.ini", std::string(kSettings) + extra_text, errors);
-    auto config = config::read_governor(file, errors);
+    auto config = config::read_instance_config(file, errors);
     for (const auto& error : errors) {
         ADD_FAILURE() << config::to_text(error);
     }
@@ -64,7 +64,7 @@
 // A control plane instance and its registry on one event loop. The clock is virtual unless
 // `is_virtual` is false.
 struct InstanceFixture {
-    explicit InstanceFixture(config::GovernorConfig base_config = settings(),
+    explicit InstanceFixture(config::InstanceConfig base_config = settings(),
                              bool is_virtual = true)
         : loop(is_virtual ? std::make_unique<net::Loop>(1000s) : std::make_unique<net::Loop>()),
           config(std::move(base_config)) {
@@ -113,7 +113,7 @@
     }
 
     std::unique_ptr<net::Loop> loop;
-    config::GovernorConfig config;
+    config::InstanceConfig config;
     std::vector<std::string> log_lines;
     std::unique_ptr<log::Log> log;
     std::unique_ptr<testbed::Registry> registry;
