--- a/src/xds/ads_server.cpp
+++ b/src/xds/ads_server.cpp
@@ -41,9 +41,10 @@
         state.requested = true;
         return result;
     }
-    const auto response = std::find_if(
-        state.in_flight.begin(), state.in_flight.end(),
-        [&](const InFlightResponse& r) { return r.nonce == request.response_nonce(); });
+    const auto response = std::find_if(state.in_flight.begin(), state.in_flight.end(),
+                                       [&](const InFlightResponse& candidate) {
+                                           return candidate.nonce == request.response_nonce();
+                                       });
     if (response == state.in_flight.end()) {
         result.ignored = {
             IgnoreReason::UnknownNonce,
@@ -110,8 +111,8 @@
     // not reported as stale.
     response.answered = true;
     response.resources.clear();
-    std::erase_if(state.in_flight, [&](const InFlightResponse& r) {
-        return r.answered && r.nonce != response_copy.nonce;
+    std::erase_if(state.in_flight, [&](const InFlightResponse& candidate) {
+        return candidate.answered && candidate.nonce != response_copy.nonce;
     });
     result.acknowledged = take_acknowledged_updates();
 }
@@ -136,11 +137,11 @@
 void AdsServer::acknowledge(ResourceType type, SubscriptionState& state,
                             const InFlightResponse& response) {
     for (const auto& [name, version] : response.resources) {
-        const auto it = state.resources.find(name);
-        if (it == state.resources.end()) {
+        const auto found = state.resources.find(name);
+        if (found == state.resources.end()) {
             continue;
         }
-        ResourceState& resource = it->second;
+        ResourceState& resource = found->second;
         resource.acked_version = std::max(resource.acked_version, version);
         resource.rejected = false;
     }
@@ -175,11 +176,11 @@
 
 bool AdsServer::is_acknowledged(const ResourceVersion& required) const {
     const auto& resources = subscription(required.type).resources;
-    const auto it = resources.find(required.name);
-    if (it == resources.end()) {
+    const auto found = resources.find(required.name);
+    if (found == resources.end()) {
         return true;
     }
-    const ResourceState& resource = it->second;
+    const ResourceState& resource = found->second;
     return resource.retiring || resource.acked_version >= required.version;
 }
 
--- a/src/xds/load_report.cpp
+++ b/src/xds/load_report.cpp
@@ -16,7 +16,7 @@
 namespace {
 /// No proxy sends more requests than this within one report interval; a higher count is an error of
 /// the sender.
-constexpr std::uint64_t kMaxCount = 1000000000;
+constexpr std::uint64_t kMaxRequestsPerReport = 1000000000;
 /// One hour.
 constexpr std::int64_t kMaxIntervalUs = 3600LL * 1000000;
 /// The highest valid TCP port.
@@ -38,19 +38,19 @@
 
 namespace {
 void write_endpoint(const net::Address& address, const EndpointLoad& load,
-                    endpoint_v3::UpstreamEndpointStats& out) {
-    auto* socket = out.mutable_address()->mutable_socket_address();
+                    endpoint_v3::UpstreamEndpointStats& stats) {
+    auto* socket = stats.mutable_address()->mutable_socket_address();
     socket->set_address(address.host);
     socket->set_port_value(address.port);
-    out.set_total_issued_requests(static_cast<std::uint64_t>(load.attempts));
-    out.set_total_error_requests(static_cast<std::uint64_t>(load.failures));
-    out.set_total_successful_requests(static_cast<std::uint64_t>(load.successes));
-    auto* latency = out.add_load_metric_stats();
+    stats.set_total_issued_requests(static_cast<std::uint64_t>(load.attempts));
+    stats.set_total_error_requests(static_cast<std::uint64_t>(load.failures));
+    stats.set_total_successful_requests(static_cast<std::uint64_t>(load.successes));
+    auto* latency = stats.add_load_metric_stats();
     latency->set_metric_name(std::string(kLatencyMetric));
     latency->set_num_requests_finished_with_metric(static_cast<std::uint64_t>(load.successes));
     latency->set_total_metric_value(load.total_latency_us);
     for (const auto& [name, value] : load.load_metrics) {
-        auto* metric = out.add_load_metric_stats();
+        auto* metric = stats.add_load_metric_stats();
         metric->set_metric_name(name);
         metric->set_num_requests_finished_with_metric(1);
         metric->set_total_metric_value(value);
@@ -59,10 +59,10 @@
 }  // namespace
 
 load_stats_v3::LoadStatsRequest to_message(const LoadReport& report) {
-    load_stats_v3::LoadStatsRequest out;
+    load_stats_v3::LoadStatsRequest message;
     const auto interval = TimeUtil::MicrosecondsToDuration(report.interval.count());
     if (!report.endpoints.empty()) {
-        auto* cluster = out.add_cluster_stats();
+        auto* cluster = message.add_cluster_stats();
         cluster->set_cluster_name(kServersCluster);
         *cluster->mutable_load_report_interval() = interval;
         auto* locality = cluster->add_upstream_locality_stats();
@@ -71,35 +71,36 @@
         }
     }
     for (const auto& [name, demand] : report.operations) {
-        auto* cluster = out.add_cluster_stats();
+        auto* cluster = message.add_cluster_stats();
         cluster->set_cluster_name(std::string(kOperationClusterPrefix) + name);
         *cluster->mutable_load_report_interval() = interval;
         auto* locality = cluster->add_upstream_locality_stats();
         locality->set_total_issued_requests(static_cast<std::uint64_t>(demand.requests));
         locality->set_total_error_requests(static_cast<std::uint64_t>(demand.failures));
     }
-    return out;
+    return message;
 }
 
 namespace {
 bool is_valid_count(std::uint64_t count) {
-    return count <= kMaxCount;
+    return count <= kMaxRequestsPerReport;
 }
 
 RejectedLoad count_out_of_range(const std::string& subject) {
     return {LoadReportError::CountOutOfRange,
-            "load of \"" + subject + "\": expected counts of at most " + std::to_string(kMaxCount) +
-                " and a port of 1 to " + std::to_string(kMaxPort)};
+            "load of \"" + subject + "\": expected counts of at most " +
+                std::to_string(kMaxRequestsPerReport) + " and a port of 1 to " +
+                std::to_string(kMaxPort)};
 }
 
-void parse_endpoint(const endpoint_v3::UpstreamEndpointStats& stats, ParsedLoadReport& out) {
+void parse_endpoint(const endpoint_v3::UpstreamEndpointStats& stats, ParsedLoadReport& parsed) {
     const auto& socket = stats.address().socket_address();
     const net::Address address{socket.address(), static_cast<std::uint16_t>(socket.port_value())};
     if (socket.port_value() == 0 || socket.port_value() > kMaxPort ||
         !is_valid_count(stats.total_issued_requests()) ||
         !is_valid_count(stats.total_error_requests()) ||
         !is_valid_count(stats.total_successful_requests())) {
-        out.rejected.push_back(
+        parsed.rejected.push_back(
             count_out_of_range(socket.address() + ":" + std::to_string(socket.port_value())));
         return;
     }
@@ -121,48 +122,48 @@
                 static_cast<double>(metric.num_requests_finished_with_metric());
         }
     }
-    out.report.endpoints[address] += load;
+    parsed.report.endpoints[address] += load;
 }
 
 void parse_operation(const std::string& cluster_name,
-                     const endpoint_v3::UpstreamLocalityStats& locality, ParsedLoadReport& out) {
+                     const endpoint_v3::UpstreamLocalityStats& locality, ParsedLoadReport& parsed) {
     if (!is_valid_count(locality.total_issued_requests()) ||
         !is_valid_count(locality.total_error_requests())) {
-        out.rejected.push_back(count_out_of_range(cluster_name));
+        parsed.rejected.push_back(count_out_of_range(cluster_name));
         return;
     }
     OperationDemand& demand =
-        out.report.operations[cluster_name.substr(kOperationClusterPrefix.size())];
+        parsed.report.operations[cluster_name.substr(kOperationClusterPrefix.size())];
     demand.requests += static_cast<std::int64_t>(locality.total_issued_requests());
     demand.failures += static_cast<std::int64_t>(locality.total_error_requests());
 }
 }  // namespace
 
 ParsedLoadReport parse_load_report(const load_stats_v3::LoadStatsRequest& message) {
-    ParsedLoadReport out;
+    ParsedLoadReport parsed;
     for (const auto& cluster : message.cluster_stats()) {
         const auto interval_us = TimeUtil::DurationToMicroseconds(cluster.load_report_interval());
         if (interval_us < 0 || interval_us > kMaxIntervalUs) {
-            out.rejected.push_back({LoadReportError::IntervalOutOfRange,
-                                    "cluster \"" + cluster.cluster_name() +
-                                        R"(", field "load_report_interval": expected 0 to )" +
-                                        std::to_string(kMaxIntervalUs) + " us, got " +
-                                        std::to_string(interval_us) + " us"});
+            parsed.rejected.push_back({LoadReportError::IntervalOutOfRange,
+                                       "cluster \"" + cluster.cluster_name() +
+                                           R"(", field "load_report_interval": expected 0 to )" +
+                                           std::to_string(kMaxIntervalUs) + " us, got " +
+                                           std::to_string(interval_us) + " us"});
             continue;
         }
-        out.report.interval = std::max(out.report.interval, Micros(interval_us));
+        parsed.report.interval = std::max(parsed.report.interval, Micros(interval_us));
         const bool is_operation = cluster.cluster_name().rfind(kOperationClusterPrefix, 0) == 0;
         for (const auto& locality : cluster.upstream_locality_stats()) {
             if (is_operation) {
-                parse_operation(cluster.cluster_name(), locality, out);
+                parse_operation(cluster.cluster_name(), locality, parsed);
                 continue;
             }
             for (const auto& endpoint : locality.upstream_endpoint_stats()) {
-                parse_endpoint(endpoint, out);
+                parse_endpoint(endpoint, parsed);
             }
         }
     }
-    return out;
+    return parsed;
 }
 
 }  // namespace badgergrade::xds
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -40,13 +40,13 @@
 
 /// Serializes equal content to equal bytes: the entries of protobuf maps are sorted.
 std::string serialize_deterministically(const google::protobuf::Message& message) {
-    std::string out;
-    google::protobuf::io::StringOutputStream stream(&out);
+    std::string bytes;
+    google::protobuf::io::StringOutputStream stream(&bytes);
     google::protobuf::io::CodedOutputStream coded(&stream);
     coded.SetSerializationDeterministic(true);
     message.SerializeToCodedStream(&coded);
     coded.Trim();
-    return out;
+    return bytes;
 }
 
 /// The `retry_on` conditions of a retry mode. After "connect-failure" and "refused-stream" the
@@ -72,8 +72,8 @@
 }
 
 const ServerLocation* SnapshotCache::server_location(ServerId server) const {
-    const auto it = server_locations_.find(server);
-    return it == server_locations_.end() ? nullptr : &it->second;
+    const auto location = server_locations_.find(server);
+    return location == server_locations_.end() ? nullptr : &location->second;
 }
 
 void SnapshotCache::on_proxy_connected(ProxyId proxy) {
@@ -227,39 +227,40 @@
     if (cached) {
         return cached;
     }
-    envoy::config::cluster::v3::Cluster out;
-    out.set_name(cluster_name(table));
-    out.set_type(envoy::config::cluster::v3::Cluster::EDS);
-    set_source_to_ads(out.mutable_eds_cluster_config()->mutable_eds_config());
+    envoy::config::cluster::v3::Cluster cluster_proto;
+    cluster_proto.set_name(cluster_name(table));
+    cluster_proto.set_type(envoy::config::cluster::v3::Cluster::EDS);
+    set_source_to_ads(cluster_proto.mutable_eds_cluster_config()->mutable_eds_config());
     switch (load_balancing_policy_) {
         case LoadBalancingPolicy::WeightedRandom:
-            out.set_lb_policy(envoy::config::cluster::v3::Cluster::RANDOM);
+            cluster_proto.set_lb_policy(envoy::config::cluster::v3::Cluster::RANDOM);
             break;
         case LoadBalancingPolicy::RoundRobin:
-            out.set_lb_policy(envoy::config::cluster::v3::Cluster::ROUND_ROBIN);
+            cluster_proto.set_lb_policy(envoy::config::cluster::v3::Cluster::ROUND_ROBIN);
             break;
         case LoadBalancingPolicy::LeastRequest:
-            out.set_lb_policy(envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
-            out.mutable_least_request_lb_config()->mutable_choice_count()->set_value(2);
+            cluster_proto.set_lb_policy(envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
+            cluster_proto.mutable_least_request_lb_config()->mutable_choice_count()->set_value(2);
             break;
     }
     if (ejection_failures_ > 0) {
-        auto* outlier = out.mutable_outlier_detection();
-        outlier->mutable_consecutive_5xx()->set_value(
+        auto* outlier_detection = cluster_proto.mutable_outlier_detection();
+        outlier_detection->mutable_consecutive_5xx()->set_value(
             static_cast<std::uint32_t>(ejection_failures_));
-        *outlier->mutable_base_ejection_time() =
+        *outlier_detection->mutable_base_ejection_time() =
             TimeUtil::MicrosecondsToDuration(ejection_time_.count());
     }
-    out.mutable_lrs_server()->mutable_self();
-    cached = make_resource(ResourceType::Cluster, out.name(), serialize_deterministically(out));
+    cluster_proto.mutable_lrs_server()->mutable_self();
+    cached = make_resource(ResourceType::Cluster, cluster_proto.name(),
+                           serialize_deterministically(cluster_proto));
     return cached;
 }
 
 namespace {
 /// Adds a server to the locality of its zone, and its weight to the weight of the locality.
-void add_endpoint(envoy::config::endpoint::v3::ClusterLoadAssignment& out,
+void add_endpoint(envoy::config::endpoint::v3::ClusterLoadAssignment& assignment_proto,
                   const ServerLocation& location, double weight, bool draining) {
-    auto* localities = out.mutable_endpoints();
+    auto* localities = assignment_proto.mutable_endpoints();
     envoy::config::endpoint::v3::LocalityLbEndpoints* locality = nullptr;
     for (auto& candidate : *localities) {
         if (candidate.locality().zone() == location.zone) {
@@ -267,7 +268,7 @@
         }
     }
     if (!locality) {
-        locality = out.add_endpoints();
+        locality = assignment_proto.add_endpoints();
         locality->mutable_locality()->set_zone(location.zone);
     }
     auto* endpoint = locality->add_lb_endpoints();
@@ -288,14 +289,14 @@
     if (cached) {
         return cached;
     }
-    envoy::config::endpoint::v3::ClusterLoadAssignment out;
-    out.set_cluster_name(cluster_name(table));
+    envoy::config::endpoint::v3::ClusterLoadAssignment assignment_proto;
+    assignment_proto.set_cluster_name(cluster_name(table));
     for (const auto& [server, weight] : config_.weights(table)) {
         const bool ejected = config_.ejected_servers().contains(server);
-        add_endpoint(out, server_locations_.at(server), weight, ejected);
+        add_endpoint(assignment_proto, server_locations_.at(server), weight, ejected);
     }
-    cached = make_resource(ResourceType::Endpoints, out.cluster_name(),
-                           serialize_deterministically(out));
+    cached = make_resource(ResourceType::Endpoints, assignment_proto.cluster_name(),
+                           serialize_deterministically(assignment_proto));
     return cached;
 }
 
@@ -304,13 +305,13 @@
     if (cached) {
         return cached;
     }
-    envoy::config::endpoint::v3::ClusterLoadAssignment out;
-    out.set_cluster_name(std::string(kStartupClusterName));
+    envoy::config::endpoint::v3::ClusterLoadAssignment assignment_proto;
+    assignment_proto.set_cluster_name(std::string(kStartupClusterName));
     for (const ServerId server : config_.ejected_servers()) {
-        add_endpoint(out, server_locations_.at(server), 0, true);
+        add_endpoint(assignment_proto, server_locations_.at(server), 0, true);
     }
-    cached = make_resource(ResourceType::Endpoints, out.cluster_name(),
-                           serialize_deterministically(out));
+    cached = make_resource(ResourceType::Endpoints, assignment_proto.cluster_name(),
+                           serialize_deterministically(assignment_proto));
     return cached;
 }
 
@@ -335,18 +336,19 @@
     router->set_name(kRouterFilter);
     router->mutable_typed_config()->PackFrom(
         envoy::extensions::filters::http::router::v3::Router());
-    envoy::config::listener::v3::Listener out;
-    out.set_name(std::string(kListenerName));
-    out.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
-    listener_ = make_resource(ResourceType::Listener, out.name(), serialize_deterministically(out));
+    envoy::config::listener::v3::Listener listener_proto;
+    listener_proto.set_name(std::string(kListenerName));
+    listener_proto.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
+    listener_ = make_resource(ResourceType::Listener, listener_proto.name(),
+                              serialize_deterministically(listener_proto));
     return listener_;
 }
 
 /// Identifies the content of a proxy's routes: proxies with equal keys have equal routes.
 std::string SnapshotCache::routes_key(ProxyId proxy) const {
     std::string key;
-    for (std::size_t k = 0; k < operations_.size(); ++k) {
-        const OperationId operation{static_cast<int>(k)};
+    for (std::size_t operation_index = 0; operation_index < operations_.size(); ++operation_index) {
+        const OperationId operation{static_cast<int>(operation_index)};
         for (const auto& [operations, table] : config_.assigned_tables(proxy)) {
             if (!runtime::includes(operations, operation)) {
                 continue;
@@ -425,19 +427,19 @@
     if (cached) {
         return cached;
     }
-    route_v3::RouteConfiguration out;
-    out.set_name(std::string(kRouteConfigName));
-    auto* host = out.add_virtual_hosts();
+    route_v3::RouteConfiguration route_config;
+    route_config.set_name(std::string(kRouteConfigName));
+    auto* host = route_config.add_virtual_hosts();
     host->set_name(std::string(kRouteConfigName));
     host->add_domains("*");
-    for (std::size_t k = 0; k < operations_.size(); ++k) {
-        const OperationId id{static_cast<int>(k)};
-        const Operation& operation = operations_[k];
+    for (std::size_t operation_index = 0; operation_index < operations_.size(); ++operation_index) {
+        const OperationId operation_id{static_cast<int>(operation_index)};
+        const Operation& operation = operations_[operation_index];
         for (const auto& [operations, table] : config_.assigned_tables(proxy)) {
-            if (!runtime::includes(operations, id)) {
+            if (!runtime::includes(operations, operation_id)) {
                 continue;
             }
-            const auto [admission_limit, retry_mode] = config_.admission(table, id);
+            const auto [admission_limit, retry_mode] = config_.admission(table, operation_id);
             auto* route = host->add_routes();
             route->set_name(operation.name);
             route->mutable_match()->set_path(operation_path(operation.name));
@@ -455,7 +457,8 @@
             }
         }
     }
-    cached = make_resource(ResourceType::Routes, out.name(), serialize_deterministically(out));
+    cached = make_resource(ResourceType::Routes, route_config.name(),
+                           serialize_deterministically(route_config));
     return cached;
 }
 
--- a/src/xds_server/load_report_queue.cpp
+++ b/src/xds_server/load_report_queue.cpp
@@ -11,8 +11,10 @@
     : load_metric_names_(settings.load_metric_names),
       max_events_per_second_(std::max(1.0, settings.max_reports_per_second)),
       report_interval_(settings.report_interval) {
-    for (std::size_t k = 0; k < settings.operations.size(); ++k) {
-        operations_[settings.operations[k].name] = {static_cast<int>(k)};
+    for (std::size_t operation_index = 0; operation_index < settings.operations.size();
+         ++operation_index) {
+        operations_[settings.operations[operation_index].name] = {
+            static_cast<int>(operation_index)};
     }
 }
 
--- a/src/xds_server/proxy_sessions.cpp
+++ b/src/xds_server/proxy_sessions.cpp
@@ -111,11 +111,11 @@
                            " bytes in the first request, got " + std::to_string(name.size())};
     }
     replace_older_stream(name, call);
-    auto id = proxy_id_for(name);
-    if (std::holds_alternative<Refusal>(id)) {
-        return id;
+    auto assigned_id = proxy_id_for(name);
+    if (std::holds_alternative<Refusal>(assigned_id)) {
+        return assigned_id;
     }
-    const ProxyId proxy = std::get<ProxyId>(id);
+    const ProxyId proxy = std::get<ProxyId>(assigned_id);
     const std::string& zone_name = node.locality().zone();
     ProxySession& session = sessions_[name];
     session.proxy = proxy;
@@ -151,16 +151,16 @@
 /// session of the newer one.
 void ProxySessions::disconnect(const std::string& name, const net::GrpcCall* call,
                                const std::string& reason) {
-    const auto it = sessions_.find(name);
-    if (it == sessions_.end() || it->second.call.get() != call) {
+    const auto session = sessions_.find(name);
+    if (session == sessions_.end() || session->second.call.get() != call) {
         return;
     }
-    const ProxyId proxy = it->second.proxy;
+    const ProxyId proxy = session->second.proxy;
     log_.info("proxy.disconnected",
               {{"proxy", name},
                {"why", reason},
-               {"unacknowledged", it->second.stream->unacknowledged_updates()}});
-    sessions_.erase(it);
+               {"unacknowledged", session->second.stream->unacknowledged_updates()}});
+    sessions_.erase(session);
     if (!is_shutting_down_) {
         on_disconnected(proxy);
     }
@@ -234,13 +234,13 @@
 }
 
 const ProxySession* ProxySessions::find(const std::string& name) const {
-    const auto it = sessions_.find(name);
-    return it == sessions_.end() ? nullptr : &it->second;
+    const auto session = sessions_.find(name);
+    return session == sessions_.end() ? nullptr : &session->second;
 }
 
 std::string ProxySessions::proxy_name(ProxyId proxy) const {
-    const auto it = names_by_id_.find(proxy);
-    return it == names_by_id_.end() ? std::string{} : it->second;
+    const auto entry = names_by_id_.find(proxy);
+    return entry == names_by_id_.end() ? std::string{} : entry->second;
 }
 
 }  // namespace badgergrade::xds_server
--- a/tests/program/core_test.cpp
+++ b/tests/program/core_test.cpp
@@ -97,21 +97,21 @@
 // ---- load reports
 
 Settings test_settings() {
-    Settings s;
-    s.zone_count = 2;
+    Settings settings;
+    settings.zone_count = 2;
     for (const char* name : {"look", "order"}) {
-        Operation op;
-        op.name = name;
-        op.latency_objective = 500ms;
-        op.integration_timeout = 2s;
-        s.operations.push_back(op);
+        Operation operation;
+        operation.name = name;
+        operation.latency_objective = 500ms;
+        operation.integration_timeout = 2s;
+        settings.operations.push_back(operation);
     }
-    s.operations[0].effect = Effect::Idempotent;
-    s.report_interval = 1s;
-    s.max_reports_per_second = 10;
-    s.message_header_lines = 3;
-    s.channel_lines_per_second = 1000;
-    return s;
+    settings.operations[0].effect = Effect::Idempotent;
+    settings.report_interval = 1s;
+    settings.max_reports_per_second = 10;
+    settings.message_header_lines = 3;
+    settings.channel_lines_per_second = 1000;
+    return settings;
 }
 
 // More reports arrive in one interval than may be passed to the policy. They must be aggregated and
@@ -119,22 +119,23 @@
 TEST(LoadReportQueue, AggregatesByZoneAndServerAndLimitsTheRate) {
     xds_server::LoadReportQueue reports(test_settings());
     std::map<net::Address, ServerId> servers;
-    for (int k = 0; k < 30; ++k) {
-        servers[{"127.0.0.1", static_cast<std::uint16_t>(k + 1)}] = {static_cast<std::uint32_t>(k)};
+    for (int server_number = 0; server_number < 30; ++server_number) {
+        servers[{"127.0.0.1", static_cast<std::uint16_t>(server_number + 1)}] = {
+            static_cast<std::uint32_t>(server_number)};
     }
-    xds::LoadReport one;
-    one.interval = 1s;
+    xds::LoadReport proxy_report;
+    proxy_report.interval = 1s;
     for (const auto& [address, id] : servers) {
-        one.endpoints[address] = {4, 1, 3, 3000.0, {}};
+        proxy_report.endpoints[address] = {4, 1, 3, 3000.0, {}};
     }
-    one.operations["look"] = {9, 1};
-    EXPECT_TRUE(reports.add({{1}, {0}}, one, servers).empty());
-    EXPECT_TRUE(reports.add({{2}, {0}}, one, servers).empty());
+    proxy_report.operations["look"] = {9, 1};
+    EXPECT_TRUE(reports.add({{1}, {0}}, proxy_report, servers).empty());
+    EXPECT_TRUE(reports.add({{2}, {0}}, proxy_report, servers).empty());
     reports.close_interval(10s);
     EXPECT_EQ(reports.queued_events(), 32u);
-    auto first = reports.pop(10s);
-    EXPECT_EQ(first.size(), 10u) << "at most the events of one second";
-    const auto& report = std::get<event::ServerLoadReport>(first.at(0));
+    auto first_second = reports.pop(10s);
+    EXPECT_EQ(first_second.size(), 10u) << "at most the events of one second";
+    const auto& report = std::get<event::ServerLoadReport>(first_second.at(0));
     EXPECT_EQ(report.attempts, 8);
     EXPECT_EQ(report.failures, 2);
     EXPECT_EQ(report.mean_latency, 1000us);
@@ -147,21 +148,21 @@
 // and their counts must be dropped.
 TEST(LoadReportQueue, ReturnsUnknownNames) {
     xds_server::LoadReportQueue reports(test_settings());
-    xds::LoadReport one;
-    one.interval = 1s;
-    one.endpoints[{"127.0.0.1", 9}] = {1, 0, 1, 5, {}};
-    one.operations["nobody"] = {1, 0};
-    EXPECT_EQ(reports.add({{1}, {0}}, one, {}).size(), 2u);
+    xds::LoadReport report;
+    report.interval = 1s;
+    report.endpoints[{"127.0.0.1", 9}] = {1, 0, 1, 5, {}};
+    report.operations["nobody"] = {1, 0};
+    EXPECT_EQ(reports.add({{1}, {0}}, report, {}).size(), 2u);
 }
 
 TEST(LoadReport, SurvivesSerializationAndParsing) {
-    xds::LoadReport one;
-    one.interval = 1500ms;
-    one.endpoints[{"127.0.0.1", 80}] = {10, 3, 7, 1234.5, {{"cpu", 0.5}}};
-    one.operations["look"] = {11, 2};
-    const auto parsed = xds::parse_load_report(xds::to_message(one));
+    xds::LoadReport report;
+    report.interval = 1500ms;
+    report.endpoints[{"127.0.0.1", 80}] = {10, 3, 7, 1234.5, {{"cpu", 0.5}}};
+    report.operations["look"] = {11, 2};
+    const auto parsed = xds::parse_load_report(xds::to_message(report));
     EXPECT_TRUE(parsed.rejected.empty());
-    EXPECT_EQ(parsed.report.interval, one.interval);
+    EXPECT_EQ(parsed.report.interval, report.interval);
     const auto& load = parsed.report.endpoints.at({"127.0.0.1", 80});
     EXPECT_EQ(load.attempts, 10);
     EXPECT_EQ(load.total_latency_us, 1234.5);
@@ -172,11 +173,11 @@
 // A faulty proxy reports negative counts, which arrive as huge unsigned ones. They must be dropped
 // and reported, or they would distort the sums of all proxies.
 TEST(LoadReport, RejectsCountsOutOfRange) {
-    xds::LoadReport one;
-    one.interval = 1s;
-    one.endpoints[{"127.0.0.1", 80}] = {-5, 0, 0, 0, {}};
-    one.operations["look"] = {-1, 0};
-    const auto parsed = xds::parse_load_report(xds::to_message(one));
+    xds::LoadReport report;
+    report.interval = 1s;
+    report.endpoints[{"127.0.0.1", 80}] = {-5, 0, 0, 0, {}};
+    report.operations["look"] = {-1, 0};
+    const auto parsed = xds::parse_load_report(xds::to_message(report));
     ASSERT_EQ(parsed.rejected.size(), 2u);
     EXPECT_EQ(parsed.rejected[0].error, xds::LoadReportError::CountOutOfRange);
     EXPECT_EQ(parsed.rejected[1].error, xds::LoadReportError::CountOutOfRange);
@@ -503,9 +504,9 @@
 
 TEST(AdsStream, AdmissionLimitsAreSentAsFractionOrRate) {
     for (const AdmissionMode mode : {AdmissionMode::Fraction, AdmissionMode::Rate}) {
-        Settings s = test_settings();
-        s.admission_mode = mode;
-        StreamPair pair(s);
+        Settings settings = test_settings();
+        settings.admission_mode = mode;
+        StreamPair pair(settings);
         pair.apply({command::SetWeight{{0}, {1}, 1}, command::AssignTable{{0}, 0, {0}},
                     command::SetAdmission{{0}, 1, 0.25, RetryMode::Never},
                     command::RequestAck{{1}, false}});
