--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -79,7 +79,7 @@
     const auto config = load_governor(ini);
     settings.operations = config.settings.operations;
     settings.retry_mode = config.settings.default_retry_mode;
-    settings.pick_policy = config.settings.load_balancing_policy;
+    settings.load_balancing_policy = config.settings.load_balancing_policy;
     settings.ejection_failures = config.settings.proxy_ejection_failures;
     settings.ejection_time = config.ejection_time;
     settings.connection_idle_timeout = config.settings.connection_idle_timeout;
--- a/src/scenario/simulated_fleet.cpp
+++ b/src/scenario/simulated_fleet.cpp
@@ -587,7 +587,7 @@
         s.instance_names.push_back(governors_[g].name);
     }
     s.startup_table = draw_startup(slot.plan.zone, chance);
-    s.pick_policy = told.load_balancing_policy;
+    s.load_balancing_policy = told.load_balancing_policy;
     s.retry_mode = told.default_retry_mode;
     s.ejection_failures = told.proxy_ejection_failures;
     s.ejection_time = script_.instance_config.ejection_time;
--- a/src/testbed/fake_proxy.cpp
+++ b/src/testbed/fake_proxy.cpp
@@ -27,7 +27,7 @@
       redial_(loop.clock(), actor),
       report_(loop.clock(), actor),
       go_back_(loop.clock(), actor) {
-    startup_.pick_policy = settings_.pick_policy;
+    startup_.load_balancing_policy = settings_.load_balancing_policy;
     startup_.ejection_failures = settings_.ejection_failures;
     startup_.ejection_time = settings_.ejection_time;
     startup_.endpoints = settings_.startup_table;
@@ -412,10 +412,10 @@
         }
         return from.back();
     };
-    if (table.pick_policy == LoadBalancingPolicy::WeightedRandom) {
+    if (table.load_balancing_policy == LoadBalancingPolicy::WeightedRandom) {
         return draw();
     }
-    if (table.pick_policy == LoadBalancingPolicy::LeastRequest) {
+    if (table.load_balancing_policy == LoadBalancingPolicy::LeastRequest) {
         const auto* a = draw();
         const auto* b = draw();
         return standings_[b->address].open < standings_[a->address].open ? b : a;
--- a/src/testbed/fake_proxy.h
+++ b/src/testbed/fake_proxy.h
@@ -25,8 +25,9 @@
     std::vector<Operation> operations;
     std::vector<net::Address> instance_addresses;  // the preferred one first
     std::vector<std::string> instance_names;
-    std::vector<xds::TableEndpoint> startup_table;                        // its standing table
-    LoadBalancingPolicy pick_policy = LoadBalancingPolicy::LeastRequest;  // for the start-up table
+    std::vector<xds::TableEndpoint> startup_table;  // its standing table
+    LoadBalancingPolicy load_balancing_policy =
+        LoadBalancingPolicy::LeastRequest;  // for the start-up table
     RetryMode retry_mode = RetryMode::OnlyUnprocessed;
     int ejection_failures = 5;
     Micros ejection_time{}, connect_timeout{}, connection_idle_timeout{}, dial_timeout{},
