--- a/src/replay/recorded_run.h
+++ b/src/replay/recorded_run.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "recording/reader.h"
-#include "scenario/figures.h"
-#include "scenario/moves.h"
+#include "scenario/fault_action.h"
+#include "scenario/metrics.h"
 
 namespace badgergrade::replay {
 
@@ -25,7 +25,7 @@
     pb::Header header;
     config::IniFile settings;  // as in force when it was recorded
     std::string script;        // the day's text, without its settings
-    scenario::GivenWorld input;
+    scenario::RecordedScenario input;
     std::vector<FaultSpan> faults;
     Micros length{};
     std::uint64_t records = 0, lost_records = 0, invocations = 0;
--- a/src/replay/runner.cpp
+++ b/src/replay/runner.cpp
@@ -51,27 +51,28 @@
     return seconds_[k];
 }
 
-void TimeSeries::invocation_came(Micros now, const testbed::Invocation&) {
+void TimeSeries::on_invocation_arrived(Micros now, const testbed::Invocation&) {
     ++at(now).came;
 }
 
-void TimeSeries::try_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int,
-                          int number, testbed::TryEnd) {
+void TimeSeries::on_attempt_sent(Micros now, const std::string&, const std::string&, std::uint64_t,
+                                 int, int number, testbed::AttemptOutcome) {
     Second& second = at(now);
     ++second.tries;
     second.further += number > 1;
 }
 
-void TimeSeries::joined(Micros now, const std::string&, const std::string&) {
+void TimeSeries::on_proxy_connected(Micros now, const std::string&, const std::string&) {
     ++at(now).joins;
 }
 
-void TimeSeries::server_fell(Micros now, const std::string&, const std::vector<Push>&) {
+void TimeSeries::on_server_collapsed(Micros now, const std::string&,
+                                     const std::vector<ReceivedWork>&) {
     ++at(now).pushed_over;
 }
 
-void TimeSeries::response_read(Micros now, const std::string&, const std::string&,
-                               const std::string& orders, std::size_t, const std::string& why) {
+void TimeSeries::on_response(Micros now, const std::string&, const std::string&,
+                             const std::string& orders, std::size_t, const std::string& why) {
     const auto read = xds::parse_release_text(orders);
     for (const auto& order : read.updates) {
         if (why.empty()) {
@@ -128,31 +129,31 @@
     playable.script.length = out.to;
     for (auto& [forwarder, list] : playable.input.traffic) {
         std::erase_if(list, [&](const auto& one) {
-            return one.came < out.from - options.warm_up || one.came >= out.to;
+            return one.arrived_at < out.from - options.warm_up || one.arrived_at >= out.to;
         });
     }
     // A virtual and a real clock both begin here (day/runner.cpp).
     std::optional<Trace> trace;
     std::optional<TimeSeries> series;
-    scenario::DayOptions how;
+    scenario::ScenarioOptions how;
     how.clock = options.clock;
     how.speed = options.speed;
-    how.log = options.log;
-    how.given = &playable.input;
-    how.count_from = out.from;
-    how.watchers = options.watchers;
-    how.prepare = [&](Micros begin) {
+    how.log_level = options.log;
+    how.recorded = &playable.input;
+    how.measure_from = out.from;
+    how.observers = options.watchers;
+    how.make_observers = [&](Micros begin) {
         trace.emplace(begin);
         series.emplace(begin);
         return std::vector<testbed::Observer*>{&*series};
     };
-    how.before = [&](scenario::World& world) {
-        world.governor_watcher = &*trace;
+    how.before_start = [&](scenario::SimulatedFleet& world) {
+        world.instance_observer = &*trace;
         if (options.before) {
             options.before(world);
         }
     };
-    out.run = scenario::run_day(playable.script, how);
+    out.run = scenario::run_scenario(playable.script, how);
     out.script = std::move(playable.script);
     out.trace = trace->entries();
     out.seconds = series->seconds(out.to);
