--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -47,10 +47,11 @@
 
 /// What a proxy may retry. The numbers are those of the platform's protocol.
 ///
-/// The rule: an operation of a table for which an admission limit was published has
-/// OnlyUnprocessed (command::SetAdmission, from publisher.cpp); everywhere else proxies use
-/// Settings::default_retry_mode. The planner publishes no other mode. It sets limits only where
-/// Settings::admission_mode is not None, and not in sharded deployments.
+/// The rule: where an admission limit was published for an operation of a table, its users may
+/// retry by OnlyUnprocessed (command::SetAdmission, from publisher.cpp); everywhere else proxies
+/// use Settings::default_retry_mode. The planner publishes no other mode. With an admission mode
+/// other than None limits are published for all operations, even while nothing is shed; without
+/// one, and in sharded deployments, none are.
 enum class RetryMode {
     Never = 0,
     OnlyUnprocessed = 1,  ///< once, and only if the first attempt provably never ran
