--- a/src/xds/ads_client.h
+++ b/src/xds/ads_client.h
@@ -91,7 +91,7 @@
     RejectedByCheck
 };
 
-/// A discovery response that was answered with a NACK, or ignored if its type is unknown.
+/// Why a discovery response was answered with a NACK, or ignored if its type is unknown.
 struct RejectedResponse {
     ResponseError error = ResponseError::Malformed;
     /// The reason, sent as `error_detail.message` of the NACK.
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -27,8 +27,7 @@
 constexpr std::uint32_t kTooManyRequests = 429;
 constexpr const char* kRateLimitFilter = "envoy.filters.http.local_ratelimit";
 constexpr const char* kRouterFilter = "envoy.filters.http.router";
-/// Scaled weights are capped here, so that the sum over a locality of 1000 servers fits into 32
-/// bits.
+/// Cap of a scaled weight. The sum over a locality of 1000 servers fits into 32 bits.
 constexpr double kMaxScaledWeight = 4e9 / 1000;
 /// Lower rates are raised to this one: a token bucket needs a finite fill interval.
 constexpr double kMinRatePerSecond = 0.001;
--- a/src/xds_server/endpoint_list_validator.h
+++ b/src/xds_server/endpoint_list_validator.h
@@ -8,8 +8,7 @@
 /// - its index is lower than one that the same incarnation of the registry gave before;
 /// - it is empty after one that was not empty, if the settings refuse that;
 /// - it is much shorter than the last one, if the settings set a limit, until a second response
-/// with
-///   the same number of servers confirms it.
+///   with the same number of servers confirms it.
 #pragma once
 
 #include <cstdint>
--- a/src/xds_server/load_report_queue.h
+++ b/src/xds_server/load_report_queue.h
@@ -7,8 +7,8 @@
 /// first in, first out; a token bucket lets at most `Settings::max_reports_per_second` events out.
 ///
 /// Memory: the sums of an interval are bounded by the numbers of zones, servers, proxies and
-/// operations. The queue has no limit of its own: if each interval adds more events than the rate
-/// lets out, it grows.
+/// operations, and by the load metric names that proxies report. The queue has no limit of its own:
+/// it grows if each interval adds more events than the rate lets out.
 #pragma once
 
 #include <cstdint>
