--- a/src/xds_server/endpoint_watch.cpp
+++ b/src/xds_server/endpoint_watch.cpp
@@ -50,7 +50,7 @@
     }
     if (!ids.insert(server.id).second) {
         throw InvalidServerList("server \"" + server.id +
-                                R"(", field "id": expected a unique id, got a duplicate)");
+                                R"(", field "id": expected a unique id, got it twice)");
     }
     server.zone = json.value("zone", "");
     server.incarnation = json.value("incarnation", "");
