--- a/tests/program/core_test.cpp
+++ b/tests/program/core_test.cpp
@@ -233,17 +233,18 @@
     const std::string text =
         "POST /invoke/x HTTP/1.1\r\nHost: a\r\nX-Key: b\r\nContent-Length: 5\r\n\r\nhelloGET / "
         "HTTP/1.1\r\n\r\n";
-    for (std::size_t piece = 1; piece < text.size(); ++piece) {
-        std::vector<net::HttpMessage> got;
-        net::Http1Parser parser(net::Http1Parser::Kind::Requests, {},
-                                [&](net::HttpMessage m) { got.push_back(std::move(m)); });
-        for (std::size_t at = 0; at < text.size(); at += piece) {
-            ASSERT_TRUE(parser.feed(text.substr(at, piece))) << parser.error();
+    for (std::size_t piece_size = 1; piece_size < text.size(); ++piece_size) {
+        std::vector<net::HttpMessage> parsed_messages;
+        net::Http1Parser parser(
+            net::Http1Parser::Kind::Requests, {},
+            [&](net::HttpMessage message) { parsed_messages.push_back(std::move(message)); });
+        for (std::size_t offset = 0; offset < text.size(); offset += piece_size) {
+            ASSERT_TRUE(parser.feed(text.substr(offset, piece_size))) << parser.error();
         }
-        ASSERT_EQ(got.size(), 2u) << piece;
-        EXPECT_EQ(got[0].body, "hello");
-        EXPECT_EQ(got[0].header("x-key"), "b");
-        EXPECT_EQ(got[1].method, "GET");
+        ASSERT_EQ(parsed_messages.size(), 2u) << piece_size;
+        EXPECT_EQ(parsed_messages[0].body, "hello");
+        EXPECT_EQ(parsed_messages[0].header("x-key"), "b");
+        EXPECT_EQ(parsed_messages[1].method, "GET");
     }
 }
 
@@ -268,23 +269,24 @@
 }
 
 TEST(Grpc, ParsesFramesInPiecesOfAnySize) {
-    const std::string all =
+    const std::string frames =
         net::grpc_frame("one") + net::grpc_frame("") + net::grpc_frame(std::string(1000, 'x'));
-    for (std::size_t piece : {1u, 3u, 7u, 2000u}) {
+    for (std::size_t piece_size : {1u, 3u, 7u, 2000u}) {
         net::GrpcFramer framer(1000);
-        std::vector<std::string> got;
-        for (std::size_t at = 0; at < all.size(); at += piece) {
-            ASSERT_TRUE(framer.feed(all.substr(at, piece),
-                                    [&](std::string_view m) { got.emplace_back(m); }));
+        std::vector<std::string> parsed_messages;
+        for (std::size_t offset = 0; offset < frames.size(); offset += piece_size) {
+            ASSERT_TRUE(framer.feed(
+                frames.substr(offset, piece_size),
+                [&](std::string_view message) { parsed_messages.emplace_back(message); }));
         }
-        ASSERT_EQ(got.size(), 3u);
-        EXPECT_EQ(got[2].size(), 1000u);
+        ASSERT_EQ(parsed_messages.size(), 3u);
+        EXPECT_EQ(parsed_messages[2].size(), 1000u);
         EXPECT_FALSE(framer.midway());
     }
     net::GrpcFramer framer(10);
     EXPECT_FALSE(framer.feed(net::grpc_frame("more than ten bytes"), [](std::string_view) {}));
-    net::GrpcFramer packed(10);
-    EXPECT_FALSE(packed.feed(std::string("\1\0\0\0\1x", 6), [](std::string_view) {}));
+    net::GrpcFramer compressed_framer(10);
+    EXPECT_FALSE(compressed_framer.feed(std::string("\1\0\0\0\1x", 6), [](std::string_view) {}));
 }
 
 // ---- snapshot cache and discovery stream
