--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -80,13 +80,13 @@
     // Lists a server at 127.0.0.1:`port`, or changes its entry.
     void list_server(const std::string& id, const std::string& zone, int port,
                      ServerState state = ServerState::Ready) {
-        testbed::FakeRegistry::Entry row;
-        row.server.id = id;
-        row.server.zone = zone;
-        row.server.incarnation = "1";
-        row.server.state = state;
-        row.server.address = {"127.0.0.1", static_cast<std::uint16_t>(port)};
-        registry->put(row);
+        testbed::FakeRegistry::Entry entry;
+        entry.server.id = id;
+        entry.server.zone = zone;
+        entry.server.incarnation = "1";
+        entry.server.state = state;
+        entry.server.address = {"127.0.0.1", static_cast<std::uint16_t>(port)};
+        registry->put(entry);
     }
 
     void list_four_servers() {
