--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -11,20 +11,23 @@
 namespace badgergrade::log {
 namespace {
 
-constexpr std::string_view kNames[] = {"debug", "info", "warning", "error", "off"};
+/// Names of the levels, in the order of `Level`.
+constexpr std::string_view kLevelNames[] = {"debug", "info", "warning", "error", "off"};
 
-class Handing final : public spdlog::sinks::base_sink<std::mutex> {
+/// Passes the text of each line to a callback.
+class CallbackSink final : public spdlog::sinks::base_sink<std::mutex> {
 public:
-    explicit Handing(std::function<void(const std::string&)> to) : to_(std::move(to)) {}
+    explicit CallbackSink(std::function<void(const std::string&)> on_line)
+        : on_line_(std::move(on_line)) {}
 
 private:
-    void sink_it_(const spdlog::details::log_msg& line) override {
-        to_(std::string(line.payload.data(), line.payload.size()));
+    void sink_it_(const spdlog::details::log_msg& message) override {
+        on_line_(std::string(message.payload.data(), message.payload.size()));
     }
 
     void flush_() override {}
 
-    std::function<void(const std::string&)> to_;
+    std::function<void(const std::string&)> on_line_;
 };
 
 std::shared_ptr<spdlog::logger> logger_with(spdlog::sink_ptr sink) {
@@ -35,16 +38,18 @@
     return logger;
 }
 
-// A text field is quoted where it holds what would end it.
-std::string plain(const Value& value) {
+/// The text form of a value. A string is quoted and escaped as in JSON if it is empty or contains
+/// a character that would end the field or the line.
+std::string value_text(const Value& value) {
     if (const auto* text = std::get_if<std::string>(&value)) {
-        const bool bare = !text->empty() && text->find_first_of(" \"=\n\r\t") == std::string::npos;
-        return bare ? *text
-                    : nlohmann::json(*text).dump(-1, ' ', false,
-                                                 nlohmann::json::error_handler_t::replace);
+        const bool needs_no_quotes =
+            !text->empty() && text->find_first_of(" \"=\n\r\t") == std::string::npos;
+        return needs_no_quotes ? *text
+                               : nlohmann::json(*text).dump(
+                                     -1, ' ', false, nlohmann::json::error_handler_t::replace);
     }
-    if (const auto* whole = std::get_if<std::int64_t>(&value)) {
-        return std::to_string(*whole);
+    if (const auto* integer = std::get_if<std::int64_t>(&value)) {
+        return std::to_string(*integer);
     }
     if (const auto* real = std::get_if<double>(&value)) {
         return fmt::format("{:.6g}", *real);
@@ -58,51 +63,51 @@
     : clock_(clock),
       level_(level),
       form_(form),
-      wall_(true),
+      has_wall_time_(true),
       logger_(logger_with(std::make_shared<spdlog::sinks::stderr_sink_st>())) {}
 
 Log::Log(const base::Clock& clock, Level level, Form form,
-         std::function<void(const std::string&)> to)
+         std::function<void(const std::string&)> on_line)
     : clock_(clock),
       level_(level),
       form_(form),
-      logger_(logger_with(std::make_shared<Handing>(std::move(to)))) {}
+      logger_(logger_with(std::make_shared<CallbackSink>(std::move(on_line)))) {}
 
 Log::Log(const base::Clock& clock) : clock_(clock), level_(Level::Off), form_(Form::Text) {}
 
-void Log::write(Level level, std::string_view who, std::string_view event,
+void Log::write(Level level, std::string_view instance, std::string_view event,
                 std::initializer_list<Field> fields) {
     if (!on(level) || !logger_) {
         return;
     }
-    const std::string line =
-        form_ == Form::Json ? json(level, who, event, fields) : text(level, who, event, fields);
-    constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
-                                                     spdlog::level::warn, spdlog::level::err,
-                                                     spdlog::level::off};
-    logger_->log(kLevels[static_cast<int>(level)], spdlog::string_view_t(line));
+    const std::string line = form_ == Form::Json ? json(level, instance, event, fields)
+                                                 : text(level, instance, event, fields);
+    constexpr spdlog::level::level_enum kSpdlogLevels[] = {spdlog::level::debug,
+                                                           spdlog::level::info, spdlog::level::warn,
+                                                           spdlog::level::err, spdlog::level::off};
+    logger_->log(kSpdlogLevels[static_cast<int>(level)], spdlog::string_view_t(line));
 }
 
-std::string Log::text(Level level, std::string_view who, std::string_view event,
+std::string Log::text(Level level, std::string_view instance, std::string_view event,
                       std::initializer_list<Field> fields) const {
-    std::string out = wall_ ? base::wall_time_text() + " " : std::string{};
+    std::string out = has_wall_time_ ? base::wall_time_text() + " " : std::string{};
     out += fmt::format("{:.6f} {} {} {}", static_cast<double>(clock_.now().count()) / 1e6,
-                       kNames[static_cast<int>(level)], who, event);
+                       kLevelNames[static_cast<int>(level)], instance, event);
     for (const Field& field : fields) {
-        out.append(" ").append(field.name).append("=").append(plain(field.value));
+        out.append(" ").append(field.name).append("=").append(value_text(field.value));
     }
     return out;
 }
 
-std::string Log::json(Level level, std::string_view who, std::string_view event,
+std::string Log::json(Level level, std::string_view instance, std::string_view event,
                       std::initializer_list<Field> fields) const {
     nlohmann::ordered_json out;
-    if (wall_) {
+    if (has_wall_time_) {
         out["time"] = base::wall_time_text();
     }
     out["us"] = clock_.now().count();
-    out["level"] = kNames[static_cast<int>(level)];
-    out["who"] = who;
+    out["level"] = kLevelNames[static_cast<int>(level)];
+    out["who"] = instance;
     out["event"] = event;
     for (const Field& field : fields) {
         std::visit([&](const auto& value) { out[std::string(field.name)] = value; }, field.value);
--- a/src/log/log_rate_limiter.h
+++ b/src/log/log_rate_limiter.h
@@ -1,4 +1,6 @@
-/// Limits log lines that peers can cause, so that a broken or hostile peer can't fill the disk.
+/// Rate limiting of log lines that peers can cause, so that a broken or hostile peer can't fill the
+/// disk. Each event may be written a fixed number of times per second of the clock; the number of
+/// suppressed lines is reported with the next line of the event.
 #pragma once
 
 #include <cstdint>
@@ -35,7 +37,7 @@
 private:
     /// Length of a counting window.
     static constexpr base::Micros kWindow = std::chrono::seconds(1);
-    /// Lines of one event in a window: enough to see what happens.
+    /// Lines of one event in a window: enough to see the cause.
     static constexpr int kMaxLinesPerWindow = 3;
 
     struct EventState {
