--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -2,9 +2,9 @@
 
 namespace badgergrade::base {
 
-TimerQueue::Key TimerQueue::add(ActorId actor, Micros when, std::function<void()> what) {
-    const Key key{when, actor, ++orders_};
-    timers_.emplace(key, std::move(what));
+TimerQueue::Key TimerQueue::add(ActorId actor, Micros when, std::function<void()> callback) {
+    const Key key{when, actor, ++last_order_};
+    timers_.emplace(key, std::move(callback));
     return key;
 }
 
@@ -22,14 +22,14 @@
     return std::move(timers_.extract(timers_.begin()).mapped());
 }
 
-void Timer::at(Micros when, std::function<void()> what) {
+void Timer::at(Micros when, std::function<void()> callback) {
     stop();
-    key_ = clock_->at(actor_, when, [this, run = std::move(what)] {
-        // The callback may set this timer again or end its owner: nothing of `this` is touched
-        // after it.
+    key_ = clock_->at(actor_, when, [this, callback = std::move(callback)] {
+        // The callback may set this timer again or destroy its owner, so `this` is not used after
+        // it.
         key_.reset();
-        const auto once = run;
-        once();
+        const auto copy = callback;
+        copy();
     });
 }
 
@@ -45,8 +45,8 @@
         return false;
     }
     now_ = std::max(now_, *due);
-    if (const auto run = queue_.pop(now_)) {
-        run();
+    if (const auto callback = queue_.pop(now_)) {
+        callback();
     }
     return true;
 }
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,9 +1,10 @@
-// Time as it is handed to every room: a clock that tells whole microseconds and runs timers. Two
-// makers stand behind it: RealClock (real_clock.h) and VirtualClock (below), which moves only when
-// it is told to.
-//
-// Timers due at one moment run by (time, actor, order of setting), never by address or by the
-// arrival of bytes, so that one seed gives one day.
+/// The clock interface of all modules: time in whole microseconds, and timers. Implementations are
+/// RealClock (real_clock.h) and VirtualClock (below), which advances only when its owner advances
+/// it.
+///
+/// Invariant: timers run in the order (time, actor, order in which they were set), which depends
+/// neither on addresses nor on the arrival of bytes. So a scenario runs the same way each time with
+/// the same seed.
 #pragma once
 
 #include <chrono>
@@ -17,15 +18,17 @@
 
 using Micros = std::chrono::microseconds;
 
-// Who set a timer: governor, forwarder, worker ...; smaller numbers run first at one moment.
+/// Identifies the owner of a timer: a control plane instance, a proxy, a server and so on. Of
+/// timers that are due at the same time, those of smaller numbers run first.
 struct ActorId {
     std::uint32_t v = 0;
     friend auto operator<=>(const ActorId&, const ActorId&) = default;
 };
 
-// The timers of one loop in the order in which they run.
+/// The pending timers of one clock, in the order in which they run.
 class TimerQueue {
 public:
+    /// Identifies a pending timer and gives its place in the order. `order` is a sequence number.
     struct Key {
         Micros when{};
         ActorId actor;
@@ -33,31 +36,38 @@
         friend auto operator<=>(const Key&, const Key&) = default;
     };
 
-    Key add(ActorId actor, Micros when, std::function<void()> what);
+    Key add(ActorId actor, Micros when, std::function<void()> callback);
 
+    /// Removes a timer. False if it is not pending any more.
     bool cancel(const Key& key) { return timers_.erase(key) > 0; }
 
+    /// Time of the first timer, if any.
     std::optional<Micros> next() const;
-    // Takes out the first timer that is due at `now`, if any.
+    /// Removes the first timer if it is due at `now` and returns its callback, else an empty
+    /// function.
     std::function<void()> pop(Micros now);
 
     std::size_t size() const { return timers_.size(); }
 
 private:
     std::map<Key, std::function<void()>> timers_;
-    std::uint64_t orders_ = 0;
+    std::uint64_t last_order_ = 0;
 };
 
+/// Monotonic time and timers.
 class Clock {
 public:
     virtual ~Clock() = default;
-    // Whole microseconds since an arbitrary beginning; never goes back.
+    /// Whole microseconds since an arbitrary start; never decreases.
     virtual Micros now() const = 0;
-    virtual TimerQueue::Key at(ActorId actor, Micros when, std::function<void()> what) = 0;
+    /// Runs `callback` once at `when`, or as soon as possible if that has passed.
+    virtual TimerQueue::Key at(ActorId actor, Micros when, std::function<void()> callback) = 0;
+    /// Removes a timer; does nothing if it has run.
     virtual void cancel(const TimerQueue::Key& key) = 0;
 };
 
-// One timer that dies with its owner, so that no callback outlives what it captured.
+/// One timer, cancelled when this object is destroyed, so that its callback does not outlive the
+/// objects that it captured. Setting it again replaces the earlier setting.
 class Timer {
 public:
     Timer() = default;
@@ -69,7 +79,8 @@
 
     Timer(Timer&& other) noexcept { *this = std::move(other); }
 
-    // Only a timer that is not set may be moved: a set one captures its own address.
+    /// Only a timer that is not set may be moved: the callback of a set one holds the address of
+    /// the timer.
     Timer& operator=(Timer&& other) noexcept {
         stop();
         clock_ = other.clock_;
@@ -80,13 +91,17 @@
 
     ~Timer() { stop(); }
 
-    void after(Micros delay, std::function<void()> what) {
-        at(clock_->now() + delay, std::move(what));
+    /// Runs `callback` after `delay`.
+    void after(Micros delay, std::function<void()> callback) {
+        at(clock_->now() + delay, std::move(callback));
     }
 
-    void at(Micros when, std::function<void()> what);
+    /// Runs `callback` at `when`.
+    void at(Micros when, std::function<void()> callback);
+    /// Cancels the timer if it is set.
     void stop();
 
+    /// Whether the timer is pending.
     bool set() const { return key_.has_value(); }
 
 private:
@@ -95,24 +110,27 @@
     std::optional<TimerQueue::Key> key_;
 };
 
-// Stands still until somebody who knows that nothing is in flight moves it (net/loop.h).
+/// A clock for scenarios and tests. It stands still until its owner, which knows that no bytes are
+/// in flight, advances it (net::Loop in net/network.h).
 class VirtualClock final : public Clock {
 public:
-    explicit VirtualClock(Micros begin = std::chrono::seconds(1000)) : now_(begin) {}
+    explicit VirtualClock(Micros start = std::chrono::seconds(1000)) : now_(start) {}
 
     Micros now() const override { return now_; }
 
-    TimerQueue::Key at(ActorId actor, Micros when, std::function<void()> what) override {
-        return queue_.add(actor, std::max(when, now_), std::move(what));
+    TimerQueue::Key at(ActorId actor, Micros when, std::function<void()> callback) override {
+        return queue_.add(actor, std::max(when, now_), std::move(callback));
     }
 
     void cancel(const TimerQueue::Key& key) override { queue_.cancel(key); }
 
+    /// Time of the next timer, if any.
     std::optional<Micros> next() const { return queue_.next(); }
 
-    // Moves to the next timer and runs it; false where there is none at or before `until`.
+    /// Advances to the next timer and runs it. False if no timer is due at or before `until`.
     bool step(Micros until);
 
+    /// Advances to `to` without running timers.
     void jump(Micros to) { now_ = std::max(now_, to); }
 
 private:
--- a/src/base/cpu_meter.h
+++ b/src/base/cpu_meter.h
@@ -1,5 +1,4 @@
-// Adds the CPU time of this thread between its making and its end to a sum: a measurement, never a
-// decision.
+/// Measures the CPU time of a scope on this thread. For metrics only: no decision depends on it.
 #pragma once
 
 #include <cstdint>
@@ -7,23 +6,24 @@
 
 namespace badgergrade::base {
 
+/// Adds the CPU time between its construction and its destruction, in microseconds, to a sum.
 class CpuMeter {
 public:
-    explicit CpuMeter(std::int64_t& sum_us) : sum_(sum_us), begin_(now_ns()) {}
+    explicit CpuMeter(std::int64_t& sum_us) : sum_(sum_us), start_ns_(now_ns()) {}
 
     CpuMeter(const CpuMeter&) = delete;
 
-    ~CpuMeter() { sum_ += (now_ns() - begin_) / 1000; }
+    ~CpuMeter() { sum_ += (now_ns() - start_ns_) / 1000; }
 
 private:
     static std::int64_t now_ns() {
-        timespec t{};
-        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
-        return static_cast<std::int64_t>(t.tv_sec) * 1000000000 + t.tv_nsec;
+        timespec cpu_time{};
+        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &cpu_time);
+        return static_cast<std::int64_t>(cpu_time.tv_sec) * 1000000000 + cpu_time.tv_nsec;
     }
 
     std::int64_t& sum_;
-    std::int64_t begin_;
+    std::int64_t start_ns_;
 };
 
 }  // namespace badgergrade::base
--- a/src/base/real_clock.cpp
+++ b/src/base/real_clock.cpp
@@ -12,64 +12,66 @@
 
 RealClock::RealClock(asio::io_context& io, double speed)
     : timer_(io),
-      begin_(std::chrono::steady_clock::now()),
+      start_(std::chrono::steady_clock::now()),
       speed_(speed) {}
 
 Micros RealClock::now() const {
-    const auto passed =
-        std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now() - begin_);
-    return (speed_ == 1 ? passed
-                        : Micros(std::llround(static_cast<double>(passed.count()) * speed_))) +
+    const auto elapsed =
+        std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now() - start_);
+    return (speed_ == 1 ? elapsed
+                        : Micros(std::llround(static_cast<double>(elapsed.count()) * speed_))) +
            std::chrono::seconds(1000);
 }
 
-TimerQueue::Key RealClock::at(ActorId actor, Micros when, std::function<void()> what) {
-    const auto key = queue_.add(actor, when, std::move(what));
+TimerQueue::Key RealClock::at(ActorId actor, Micros when, std::function<void()> callback) {
+    const auto key = queue_.add(actor, when, std::move(callback));
     arm();
     return key;
 }
 
 void RealClock::arm() {
     const auto next = queue_.next();
-    if (!next || (armed_ && *armed_ <= *next)) {
+    if (!next || (armed_at_ && *armed_at_ <= *next)) {
         return;
     }
-    armed_ = next;
-    const Micros wait = *next - std::chrono::seconds(1000);
+    armed_at_ = next;
+    const Micros since_start = *next - std::chrono::seconds(1000);
     timer_.expires_at(
-        begin_ +
-        (speed_ == 1 ? wait : Micros(std::llround(static_cast<double>(wait.count()) / speed_))));
-    timer_.async_wait([this](const asio::error_code& wrong) {
-        if (!wrong) {
+        start_ + (speed_ == 1
+                      ? since_start
+                      : Micros(std::llround(static_cast<double>(since_start.count()) / speed_))));
+    timer_.async_wait([this](const asio::error_code& error) {
+        if (!error) {
             fire();
         }
     });
 }
 
 void RealClock::fire() {
-    armed_.reset();
-    // Only what is due now: callbacks that set timers for "now" must not keep the sockets waiting.
+    armed_at_.reset();
+    // Only the timers that are due at this time: callbacks that set timers for the current time
+    // must not keep the sockets from being served.
     const Micros due = now();
-    while (const auto run = queue_.pop(due)) {
-        run();
+    while (const auto callback = queue_.pop(due)) {
+        callback();
     }
     arm();
 }
 
 std::int64_t process_cpu_us() {
-    rusage used{};
-    getrusage(RUSAGE_SELF, &used);
-    const auto us = [](const timeval& t) {
-        return static_cast<std::int64_t>(t.tv_sec) * 1000000 + t.tv_usec;
+    rusage usage{};
+    getrusage(RUSAGE_SELF, &usage);
+    const auto to_us = [](const timeval& time) {
+        return static_cast<std::int64_t>(time.tv_sec) * 1000000 + time.tv_usec;
     };
-    return us(used.ru_utime) + us(used.ru_stime);
+    return to_us(usage.ru_utime) + to_us(usage.ru_stime);
 }
 
 std::int64_t process_memory_bytes() {
     std::ifstream statm("/proc/self/statm");
-    std::int64_t size = 0;
-    std::int64_t resident = 0;
-    return statm >> size >> resident ? resident * sysconf(_SC_PAGESIZE) : 0;
+    std::int64_t virtual_pages = 0;
+    std::int64_t resident_pages = 0;
+    return statm >> virtual_pages >> resident_pages ? resident_pages * sysconf(_SC_PAGESIZE) : 0;
 }
 
 Micros wall_now() {
@@ -79,10 +81,10 @@
 std::string wall_time_text() {
     timespec now{};
     clock_gettime(CLOCK_REALTIME, &now);
-    std::tm parts{};
-    gmtime_r(&now.tv_sec, &parts);
+    std::tm utc{};
+    gmtime_r(&now.tv_sec, &utc);
     char text[64];
-    std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &parts);
+    std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &utc);
     std::string micros = std::to_string(now.tv_nsec / 1000);
     micros.insert(0, 6 - std::min<std::size_t>(6, micros.size()), '0');
     return std::string(text) + "." + micros + "Z";
--- a/src/base/real_clock.h
+++ b/src/base/real_clock.h
@@ -1,4 +1,5 @@
-// The real clock: Asio's steady timer behind base::Clock. The only place that names a system clock.
+/// The real clock, a base::Clock on the steady clock and one Asio timer, and readings of the wall
+/// clock, of CPU time and of memory. No other file of the program reads a system clock.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -8,34 +9,39 @@
 
 namespace badgergrade::base {
 
+/// Starts at 1000 s and runs `speed` times as fast as the steady clock.
 class RealClock final : public Clock {
 public:
     explicit RealClock(asio::io_context& io, double speed = 1);
     Micros now() const override;
-    TimerQueue::Key at(ActorId actor, Micros when, std::function<void()> what) override;
+    TimerQueue::Key at(ActorId actor, Micros when, std::function<void()> callback) override;
 
     void cancel(const TimerQueue::Key& key) override { queue_.cancel(key); }
 
 private:
+    /// Sets the Asio timer to the first pending timer, unless it is set for that time or earlier.
     void arm();
+    /// Runs the timers that are due.
     void fire();
 
     asio::steady_timer timer_;
-    std::chrono::steady_clock::time_point begin_;
+    std::chrono::steady_clock::time_point start_;
     double speed_;
     TimerQueue queue_;
-    std::optional<Micros> armed_;
+    /// The time, on this clock, for which the Asio timer is set.
+    std::optional<Micros> armed_at_;
 };
 
-// Unix time in whole microseconds: to set a clock's beginning beside it once, never to measure
-// with.
+/// Unix time in whole microseconds. Only to relate the start of a clock to wall time once, never to
+/// measure durations: the wall clock may be adjusted.
 Micros wall_now();
 
-// Microseconds of CPU that this process has used, user and system: a measurement, never a decision.
+/// CPU time that this process has used, user and system, in microseconds. For metrics only: no
+/// decision depends on it.
 std::int64_t process_cpu_us();
-// Resident memory in bytes, and open descriptors, as the kernel tells; 0 where it does not.
+/// Resident memory of this process in bytes; 0 if the kernel does not report it.
 std::int64_t process_memory_bytes();
-// The wall clock in text (RFC 3339, UTC), for log lines only.
+/// The wall time as text (RFC 3339, UTC, with microseconds). For log lines only.
 std::string wall_time_text();
 
 }  // namespace badgergrade::base
