--- a/src/net/network.cpp
+++ b/src/net/network.cpp
@@ -17,24 +17,27 @@
 
 namespace {
 
-constexpr std::size_t kChunk = 64 * 1024;
-// A peer that does not take the last bytes of a stream in this time loses them.
-constexpr Micros kLinger = 5s;
-constexpr Micros kCutLook = 20ms;
-// Real time that the virtual clock waits for bytes on loopback before it calls the day stuck.
-constexpr int kStuckLooks = 20000;
-
-std::array<char, kChunk>& read_buffer() {
-    thread_local std::array<char, kChunk> buffer;
+constexpr std::size_t kReadBufferBytes = 64 * 1024;
+/// Time that a closed stream has to write its last bytes. If the peer does not read them in this
+/// time they are lost.
+constexpr Micros kLingerTimeout = 5s;
+/// Interval at which a sender checks whether a partition has ended.
+constexpr Micros kPartitionCheckInterval = 20ms;
+/// Limit of the waits of up to 1 ms of real time for bytes in flight on loopback. Beyond it the
+/// virtual clock is stuck.
+constexpr int kMaxInFlightWaits = 20000;
+
+std::array<char, kReadBufferBytes>& read_buffer() {
+    thread_local std::array<char, kReadBufferBytes> buffer;
     return buffer;
 }
 
 tcp::endpoint endpoint_of(const Address& address) {
-    asio::error_code wrong;
+    asio::error_code error;
     const auto ip =
-        asio::ip::make_address(address.host == "localhost" ? "127.0.0.1" : address.host, wrong);
-    if (wrong) {
-        throw std::invalid_argument("'" + address.host + "' is no IP address");
+        asio::ip::make_address(address.host == "localhost" ? "127.0.0.1" : address.host, error);
+    if (error) {
+        throw std::invalid_argument("expected an IP address, got '" + address.host + "'");
     }
     return {ip, address.port};
 }
@@ -44,7 +47,8 @@
 Address parse_address(std::string_view text) {
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos) {
-        throw std::invalid_argument("'" + std::string(text) + "' has no port (host:port)");
+        throw std::invalid_argument("expected host:port, got '" + std::string(text) +
+                                    "' without a port");
     }
     std::string_view host = text.substr(0, colon);
     if (host.size() > 1 && host.front() == '[' && host.back() == ']') {
@@ -52,9 +56,9 @@
     }
     const std::string_view port = text.substr(colon + 1);
     unsigned value = 0;
-    const auto [end, wrong] = std::from_chars(port.data(), port.data() + port.size(), value);
-    if (wrong != std::errc{} || end != port.data() + port.size() || value > 65535 || host.empty()) {
-        throw std::invalid_argument("'" + std::string(text) + "' is no address (host:port)");
+    const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), value);
+    if (error != std::errc{} || end != port.data() + port.size() || value > 65535 || host.empty()) {
+        throw std::invalid_argument("expected host:port, got '" + std::string(text) + "'");
     }
     Address out{std::string(host), static_cast<std::uint16_t>(value)};
     endpoint_of(out);
@@ -95,10 +99,11 @@
 void Loop::settle() {
     for (;;) {
         io_.poll();
-        for (int looks = 0; !ledger_.settled(); ++looks) {
-            if (looks == kStuckLooks) {
-                throw std::runtime_error("the virtual clock is stuck: bytes in flight" +
-                                         ledger_.unsettled());
+        for (int waits = 0; !ledger_.settled(); ++waits) {
+            if (waits == kMaxInFlightWaits) {
+                throw std::runtime_error(
+                    "the virtual clock is stuck, bytes in flight (sent/received):" +
+                    ledger_.unsettled());
             }
             io_.run_one_for(1ms);
             io_.poll();
@@ -138,13 +143,13 @@
       socket_(std::move(socket)),
       pair_(pair),
       side_(side),
-      release_(loop.clock(), actor) {
+      release_timer_(loop.clock(), actor) {
     asio::error_code ignored;
     socket_.non_blocking(true, ignored);
     socket_.set_option(tcp::no_delay(true), ignored);
-    const auto far = socket_.remote_endpoint(ignored);
+    const auto remote = socket_.remote_endpoint(ignored);
     if (!ignored) {
-        peer_ = to_text({far.address().to_string(), far.port()});
+        peer_ = to_text({remote.address().to_string(), remote.port()});
     }
 }
 
@@ -154,7 +159,7 @@
     }
 }
 
-std::string Stream::far_host() const {
+std::string Stream::peer_host() const {
     return pair_ ? loop_.ledger().host(pair_, other(side_)) : std::string{};
 }
 
@@ -164,7 +169,7 @@
     }
 }
 
-void Stream::hand_over(std::function<void()> event) {
+void Stream::deliver(std::function<void()> event) {
     if (loop_.is_virtual() && pair_) {
         loop_.ledger().hold(pair_, side_, std::move(event));
     } else {
@@ -175,9 +180,9 @@
 void Stream::wait_read() {
     reading_ = true;
     socket_.async_wait(tcp::socket::wait_read,
-                       [self = shared_from_this()](const asio::error_code& wrong) {
+                       [self = shared_from_this()](const asio::error_code& error) {
                            self->reading_ = false;
-                           if (wrong || !self->open_ || self->paused_) {
+                           if (error || !self->open_ || self->paused_) {
                                return;
                            }
                            self->read_ready();
@@ -185,7 +190,7 @@
 }
 
 void Stream::read_ready() {
-    if (read_waiting()) {
+    if (read_available()) {
         wait_read();
     }
 }
@@ -193,43 +198,43 @@
 void Stream::take_unread() {
     const auto self = shared_from_this();
     if (open_ && !paused_ && !ended_) {
-        read_waiting();
+        read_available();
     }
 }
 
-bool Stream::read_waiting() {
-    // In real time one busy peer must not keep the others waiting; in virtual time all is read
-    // before any of it is handled.
-    for (int turns = 0; loop_.is_virtual() || turns < 16; ++turns) {
-        asio::error_code wrong;
+bool Stream::read_available() {
+    // Real time: at most 16 reads in a row, so that one busy peer does not delay the others.
+    // Virtual time: all bytes are read before any of them are handled.
+    for (int reads = 0; loop_.is_virtual() || reads < 16; ++reads) {
+        asio::error_code error;
         auto& buffer = read_buffer();
-        const std::size_t got = socket_.read_some(asio::buffer(buffer), wrong);
-        if (wrong == asio::error::would_block) {
+        const std::size_t size = socket_.read_some(asio::buffer(buffer), error);
+        if (error == asio::error::would_block) {
             break;
         }
-        if (wrong) {
-            ended(wrong == asio::error::eof ? "closed by the other side" : wrong.message());
+        if (error) {
+            ended(error == asio::error::eof ? "closed by the peer" : error.message());
             return false;
         }
         if (pair_) {
-            loop_.ledger().read(pair_, side_, got);
+            loop_.ledger().read(pair_, side_, size);
         }
         if (loop_.is_virtual() && pair_) {
-            inbox_.append(buffer.data(), got);
-            if (std::exchange(inbox_due_, true)) {
+            inbox_.append(buffer.data(), size);
+            if (std::exchange(delivery_scheduled_, true)) {
                 continue;
             }
-            hand_over([self = shared_from_this()] {
-                self->inbox_due_ = false;
-                const std::string came = std::exchange(self->inbox_, {});
+            deliver([self = shared_from_this()] {
+                self->delivery_scheduled_ = false;
+                const std::string bytes = std::exchange(self->inbox_, {});
                 if (self->open_ && !self->closing_ && self->on_data) {
-                    self->on_data(came);
+                    self->on_data(bytes);
                 }
             });
         } else if (!closing_ && on_data) {
             const auto self = shared_from_this();
-            const std::string came(buffer.data(), got);
-            on_data(came);
+            const std::string bytes(buffer.data(), size);
+            on_data(bytes);
         }
         if (!open_ || paused_) {
             return false;
@@ -239,9 +244,9 @@
 }
 
 void Stream::discard_unread() {
-    asio::error_code wrong;
-    for (int turns = 0; turns < 16 && !wrong; ++turns) {
-        socket_.read_some(asio::buffer(read_buffer()), wrong);
+    asio::error_code error;
+    for (int reads = 0; reads < 16 && !error; ++reads) {
+        socket_.read_some(asio::buffer(read_buffer()), error);
     }
 }
 
@@ -252,7 +257,7 @@
     if (pair_) {
         loop_.ledger().saw_end(pair_, side_);
     }
-    hand_over([self = shared_from_this(), reason = std::move(reason)] {
+    deliver([self = shared_from_this(), reason = std::move(reason)] {
         if (self->closing_) {
             return self->finish();
         }
@@ -263,106 +268,109 @@
 }
 
 void Stream::send(std::string bytes) {
-    if (!open_ || closing_ || finishing_ || bytes.empty()) {
+    if (!open_ || closing_ || half_closing_ || bytes.empty()) {
         return;
     }
     unsent_ += bytes.size();
     if (loop_.weather) {
-        const std::string far = far_host();
+        const std::string to_host = peer_host();
         const Micros now = loop_.clock().now();
-        Micros due = now + loop_.weather->delay(host_, far);
-        const bool cut = loop_.weather->cut(host_, far);
-        if (!held_.empty()) {
-            due = std::max(due, held_.back().due);
-        }
-        if (cut || !held_.empty() || due > now) {
-            held_.push_back({due, std::move(bytes)});
-            if (!release_.set()) {
-                release_.at(cut ? now + kCutLook : due, [this] { release_held(); });
+        Micros due = now + loop_.weather->delay(host_, to_host);
+        const bool partitioned = loop_.weather->cut(host_, to_host);
+        if (!delayed_.empty()) {
+            due = std::max(due, delayed_.back().due);
+        }
+        if (partitioned || !delayed_.empty() || due > now) {
+            delayed_.push_back({due, std::move(bytes)});
+            if (!release_timer_.set()) {
+                release_timer_.at(partitioned ? now + kPartitionCheckInterval : due,
+                                  [this] { release_delayed(); });
             }
             return;
         }
     }
-    to_kernel(std::move(bytes));
+    queue_for_kernel(std::move(bytes));
 }
 
 void Stream::write(std::string_view bytes) {
-    const bool direct = open_ && !closing_ && !finishing_ && !loop_.weather && pair_ == 0 &&
+    const bool direct = open_ && !closing_ && !half_closing_ && !loop_.weather && pair_ == 0 &&
                         queue_.empty() && !writing_;
     if (direct && !bytes.empty()) {
-        asio::error_code wrong;
-        const std::size_t took =
-            socket_.write_some(asio::buffer(bytes.data(), bytes.size()), wrong);
-        if (!wrong) {
-            bytes.remove_prefix(took);
+        asio::error_code error;
+        const std::size_t written =
+            socket_.write_some(asio::buffer(bytes.data(), bytes.size()), error);
+        if (!error) {
+            bytes.remove_prefix(written);
         }
     }
     send(std::string(bytes));
 }
 
-void Stream::release_held() {
+void Stream::release_delayed() {
     const auto self = shared_from_this();
     const Micros now = loop_.clock().now();
-    const bool cut = loop_.weather && loop_.weather->cut(host_, far_host());
-    while (!cut && !held_.empty() && held_.front().due <= now) {
-        std::string bytes = std::move(held_.front().bytes);
-        held_.pop_front();
-        to_kernel(std::move(bytes));
+    const bool partitioned = loop_.weather && loop_.weather->cut(host_, peer_host());
+    while (!partitioned && !delayed_.empty() && delayed_.front().due <= now) {
+        std::string bytes = std::move(delayed_.front().bytes);
+        delayed_.pop_front();
+        queue_for_kernel(std::move(bytes));
         if (!open_) {
             return;
         }
     }
-    if (!held_.empty()) {
-        release_.at(cut ? now + kCutLook : held_.front().due, [this] { release_held(); });
+    if (!delayed_.empty()) {
+        release_timer_.at(partitioned ? now + kPartitionCheckInterval : delayed_.front().due,
+                          [this] { release_delayed(); });
     } else if (closing_ && queue_.empty()) {
         finish();
-    } else if (finishing_ && queue_.empty()) {
+    } else if (half_closing_ && queue_.empty()) {
         shut_sending();
     }
 }
 
-void Stream::to_kernel(std::string bytes) {
+void Stream::queue_for_kernel(std::string bytes) {
     if (pair_) {
         loop_.ledger().wrote(pair_, side_, bytes.size());
     }
     queue_.push_back(std::move(bytes));
     if (!writing_) {
-        push();
+        write_queued();
     }
 }
 
-void Stream::push() {
+void Stream::write_queued() {
     while (!queue_.empty()) {
-        asio::error_code wrong;
+        asio::error_code error;
         const std::string& first = queue_.front();
-        const std::size_t took =
-            socket_.write_some(asio::buffer(first.data() + offset_, first.size() - offset_), wrong);
-        if (wrong == asio::error::would_block) {
+        const std::size_t written = socket_.write_some(
+            asio::buffer(first.data() + first_offset_, first.size() - first_offset_), error);
+        if (error == asio::error::would_block) {
             return wait_write();
         }
-        if (wrong) {
-            // Told at the next turn: whoever is sending is in the middle of its own work.
+        if (error) {
+            // Reported from the loop, not from here: the caller of send() must not be re-entered.
             if (pair_) {
                 loop_.ledger().saw_end(pair_, side_);
             }
-            asio::post(loop_.io(),
-                       [self = shared_from_this(), why = wrong.message()] { self->ended(why); });
+            asio::post(loop_.io(), [self = shared_from_this(), reason = error.message()] {
+                self->ended(reason);
+            });
             queue_.clear();
-            offset_ = unsent_ = 0;
+            first_offset_ = unsent_ = 0;
             return;
         }
-        unsent_ -= took;
-        offset_ += took;
-        if (offset_ < first.size()) {
+        unsent_ -= written;
+        first_offset_ += written;
+        if (first_offset_ < first.size()) {
             continue;
         }
-        offset_ = 0;
+        first_offset_ = 0;
         queue_.pop_front();
     }
-    if (closing_ && held_.empty()) {
+    if (closing_ && delayed_.empty()) {
         return finish();
     }
-    if (finishing_ && held_.empty()) {
+    if (half_closing_ && delayed_.empty()) {
         return shut_sending();
     }
     if (on_drained && unsent_ == 0) {
@@ -373,10 +381,10 @@
 void Stream::wait_write() {
     writing_ = true;
     socket_.async_wait(tcp::socket::wait_write,
-                       [self = shared_from_this()](const asio::error_code& wrong) {
+                       [self = shared_from_this()](const asio::error_code& error) {
                            self->writing_ = false;
-                           if (!wrong && self->open_) {
-                               self->push();
+                           if (!error && self->open_) {
+                               self->write_queued();
                            }
                        });
 }
@@ -401,10 +409,10 @@
 }
 
 void Stream::finish_sending() {
-    if (!open_ || closing_ || std::exchange(finishing_, true)) {
+    if (!open_ || closing_ || std::exchange(half_closing_, true)) {
         return;
     }
-    if (queue_.empty() && held_.empty()) {
+    if (queue_.empty() && delayed_.empty()) {
         shut_sending();
     }
 }
@@ -430,13 +438,12 @@
     if (std::exchange(closing_, true)) {
         return;
     }
-    if ((queue_.empty() && held_.empty()) || ended_) {
+    if ((queue_.empty() && delayed_.empty()) || ended_) {
         return finish();
     }
-    // What still waits may be held by the weather; the last part gets the linger time from when it
-    // may go.
-    if (held_.empty()) {
-        release_.after(kLinger, [self = shared_from_this()] { self->finish(); });
+    // The linger timeout starts here unless bytes are still delayed by the network conditions.
+    if (delayed_.empty()) {
+        release_timer_.after(kLingerTimeout, [self = shared_from_this()] { self->finish(); });
     }
 }
 
@@ -445,9 +452,9 @@
         return;
     }
     const auto self = weak_from_this().lock();
-    release_.stop();
+    release_timer_.stop();
     queue_.clear();
-    held_.clear();
+    delayed_.clear();
     unsent_ = 0;
     asio::error_code ignored;
     if (!ended_ && !aborted_) {
@@ -469,59 +476,60 @@
 }
 
 Address PortHold::address() const {
-    const auto here = socket_.local_endpoint();
-    return {here.address().to_string(), here.port()};
+    const auto endpoint = socket_.local_endpoint();
+    return {endpoint.address().to_string(), endpoint.port()};
 }
 
 // ---- Listener
 
 struct Listener::State : std::enable_shared_from_this<Listener::State> {
-    State(Loop& l, base::ActorId a, std::string h, std::function<void(StreamPtr)> f)
-        : loop(l),
-          actor(a),
-          host(std::move(h)),
-          on_stream(std::move(f)),
-          acceptor(l.io()),
-          again(l.clock(), a) {}
+    State(Loop& owner_loop, base::ActorId owner_actor, std::string host_name,
+          std::function<void(StreamPtr)> stream_callback)
+        : loop(owner_loop),
+          actor(owner_actor),
+          host(std::move(host_name)),
+          on_stream(std::move(stream_callback)),
+          acceptor(owner_loop.io()),
+          retry_timer(owner_loop.clock(), owner_actor) {}
 
     void accept() {
         acceptor.async_accept(
-            [self = shared_from_this()](const asio::error_code& wrong, tcp::socket socket) {
+            [self = shared_from_this()](const asio::error_code& error, tcp::socket socket) {
                 if (!self->acceptor.is_open()) {
                     return;
                 }
-                if (wrong) {
-                    return self->accept_later(wrong.message());
+                if (error) {
+                    return self->accept_later(error.message());
                 }
-                self->take(std::move(socket));
+                self->on_accepted(std::move(socket));
                 if (self->acceptor.is_open()) {
                     self->accept();
                 }
             });
     }
 
-    // Without descriptors left an accept fails at once, again and again: wait a little, lose
-    // nobody.
-    void accept_later(const std::string& why) {
+    /// Retries after a delay: without a free file descriptor each accept fails at once. Connections
+    /// wait in the backlog meanwhile.
+    void accept_later(const std::string& reason) {
         if (on_trouble) {
-            on_trouble(why);
+            on_trouble(reason);
         }
-        again.after(50ms, [this] {
+        retry_timer.after(50ms, [this] {
             if (acceptor.is_open()) {
                 accept();
             }
         });
     }
 
-    void take(tcp::socket socket) {
-        asio::error_code wrong;
-        const auto far = socket.remote_endpoint(wrong);
-        if (wrong) {
+    void on_accepted(tcp::socket socket) {
+        asio::error_code error;
+        const auto remote = socket.remote_endpoint(error);
+        if (error) {
             return;
         }
         InFlightBytes& ledger = loop.ledger();
         const InFlightBytes::PairId pair =
-            loop.keeps_ledger ? ledger.accept(far.port(), port, host) : 0;
+            loop.keeps_ledger ? ledger.accept(remote.port(), port, host) : 0;
         auto stream =
             std::make_shared<Stream>(loop, actor, host, std::move(socket), pair, Side::Accepter);
         if (loop.is_virtual() && pair) {
@@ -546,7 +554,7 @@
     std::function<void(std::string)> on_trouble;
     tcp::acceptor acceptor;
     std::uint16_t port = 0;
-    base::Timer again;
+    base::Timer retry_timer;
 };
 
 Listener::Listener(Loop& loop, base::ActorId actor, std::string host, const Address& at,
@@ -570,89 +578,91 @@
     asio::error_code ignored;
     state_->on_stream = {};
     state_->on_trouble = {};
-    state_->again.stop();
+    state_->retry_timer.stop();
     state_->acceptor.close(ignored);
 }
 
-void Listener::on_trouble(std::function<void(std::string)> told) {
-    state_->on_trouble = std::move(told);
+void Listener::on_trouble(std::function<void(std::string)> callback) {
+    state_->on_trouble = std::move(callback);
 }
 
 Address Listener::address() const {
-    const auto here = state_->acceptor.local_endpoint();
-    return {here.address().to_string(), here.port()};
+    const auto endpoint = state_->acceptor.local_endpoint();
+    return {endpoint.address().to_string(), endpoint.port()};
 }
 
 // ---- Dial
 
 struct Dial::State : std::enable_shared_from_this<Dial::State> {
-    State(Loop& l, base::ActorId a, std::string h, Address t,
-          std::function<void(StreamPtr, std::string)> d)
-        : loop(l),
-          actor(a),
-          host(std::move(h)),
-          to(std::move(t)),
-          done(std::move(d)),
-          socket(l.io()),
-          limit(l.clock(), a),
-          way(l.clock(), a) {}
+    State(Loop& owner_loop, base::ActorId owner_actor, std::string host_name, Address destination,
+          std::function<void(StreamPtr, std::string)> done_callback)
+        : loop(owner_loop),
+          actor(owner_actor),
+          host(std::move(host_name)),
+          to(std::move(destination)),
+          done(std::move(done_callback)),
+          socket(owner_loop.io()),
+          timeout_timer(owner_loop.clock(), owner_actor),
+          delay_timer(owner_loop.clock(), owner_actor) {}
 
     void begin(Micros timeout) {
-        limit.after(timeout, [this] { end(nullptr, "timed out"); });
-        travel();
+        timeout_timer.after(timeout, [this] { end(nullptr, "timed out"); });
+        wait_for_network();
     }
 
-    // The way there takes its time, and a cut lets nothing through: the time-out ends the wait.
-    void travel() {
+    /// Connects after the round-trip delay of the network conditions. During a partition it waits,
+    /// at most until the timeout.
+    void wait_for_network() {
         if (!loop.weather) {
             return connect();
         }
-        const std::string far = loop.ledger().listener(to.port);
-        if (loop.weather->cut(host, far)) {
-            return way.after(kCutLook, [this] { travel(); });
+        const std::string to_host = loop.ledger().listener(to.port);
+        if (loop.weather->cut(host, to_host)) {
+            return delay_timer.after(kPartitionCheckInterval, [this] { wait_for_network(); });
         }
-        way.after(loop.weather->delay(host, far) + loop.weather->delay(far, host),
-                  [this] { connect(); });
+        delay_timer.after(loop.weather->delay(host, to_host) + loop.weather->delay(to_host, host),
+                          [this] { connect(); });
     }
 
     void connect() {
-        asio::error_code wrong;
+        asio::error_code error;
         const auto endpoint = endpoint_of(to);
-        socket.open(endpoint.protocol(), wrong);
-        if (wrong) {
-            return end_later(wrong.message());
-        }
-        // The attempt itself gives the socket its port; what comes of it is handled in a later turn
-        // of the loop.
-        socket.async_connect(endpoint, [self = shared_from_this()](const asio::error_code& failed) {
-            self->came(failed);
-        });
+        socket.open(endpoint.protocol(), error);
+        if (error) {
+            return end_later(error.message());
+        }
+        // The socket has its local port once the attempt has begun. The result is handled in a
+        // later iteration of the loop.
+        socket.async_connect(endpoint,
+                             [self = shared_from_this()](const asio::error_code& connect_error) {
+                                 self->on_connect_result(connect_error);
+                             });
         if (!loop.keeps_ledger) {
             return;
         }
-        const auto here = socket.local_endpoint(wrong);
-        if (!wrong) {
-            pair = loop.ledger().dial(here.port(), to.port, host);
+        const auto local = socket.local_endpoint(error);
+        if (!error) {
+            pair = loop.ledger().dial(local.port(), to.port, host);
         }
     }
 
-    void came(const asio::error_code& failed) {
-        if (over) {
+    void on_connect_result(const asio::error_code& error) {
+        if (ended) {
             return;
         }
         InFlightBytes& ledger = loop.ledger();
-        if (failed) {
+        if (error) {
             if (loop.is_virtual() && pair) {
                 ledger.hold(pair, Side::Dialler,
-                            [self = shared_from_this(), why = failed.message()] {
-                                self->end(nullptr, why);
+                            [self = shared_from_this(), reason = error.message()] {
+                                self->end(nullptr, reason);
                             });
                 ledger.failed(std::exchange(pair, 0));
             } else {
                 if (pair) {
                     ledger.failed(std::exchange(pair, 0));
                 }
-                end(nullptr, failed.message());
+                end(nullptr, error.message());
             }
             return;
         }
@@ -664,7 +674,7 @@
         if (loop.is_virtual() && pair) {
             stream->start();
             ledger.hold(pair, Side::Dialler, [self = shared_from_this(), stream] {
-                if (self->over) {
+                if (self->ended) {
                     stream->close(true);
                 } else {
                     self->end(stream, {});
@@ -678,25 +688,26 @@
         }
     }
 
-    void end_later(std::string why) {
-        way.after(Micros{0}, [this, why = std::move(why)] { end(nullptr, why); });
+    /// Ends from the loop, so that `done` is not called from the constructor of Dial.
+    void end_later(std::string reason) {
+        delay_timer.after(Micros{0}, [this, reason = std::move(reason)] { end(nullptr, reason); });
     }
 
-    void end(StreamPtr stream, std::string why) {
-        if (std::exchange(over, true)) {
+    void end(StreamPtr stream, std::string reason) {
+        if (std::exchange(ended, true)) {
             return;
         }
         const auto self = shared_from_this();
         cancel();
         if (done) {
-            std::exchange(done, {})(std::move(stream), std::move(why));
+            std::exchange(done, {})(std::move(stream), std::move(reason));
         }
     }
 
     void cancel() {
-        over = true;
-        limit.stop();
-        way.stop();
+        ended = true;
+        timeout_timer.stop();
+        delay_timer.stop();
         if (pair) {
             loop.ledger().closed(std::exchange(pair, 0), Side::Dialler);
         }
@@ -712,9 +723,10 @@
     Address to;
     std::function<void(StreamPtr, std::string)> done;
     tcp::socket socket;
-    base::Timer limit, way;
+    base::Timer timeout_timer;
+    base::Timer delay_timer;
     InFlightBytes::PairId pair = 0;
-    bool over = false;
+    bool ended = false;
 };
 
 Dial::Dial(Loop& loop, base::ActorId actor, std::string host, const Address& to, Micros timeout,
