--- a/src/net/ledger.cpp
+++ b/src/net/ledger.cpp
@@ -6,12 +6,12 @@
 
 InFlightBytes::PairId InFlightBytes::dial(std::uint16_t local_port, std::uint16_t to_port,
                                           std::string from_host) {
-    const PairId id = ++ids_;
+    const PairId id = ++last_id_;
     Pair& pair = pairs_[id];
     pair.ports = {local_port, to_port};
     pair.ends[0].host = std::move(from_host);
-    by_ports_[pair.ports] = id;
-    review(id, pair);
+    pair_by_ports_[pair.ports] = id;
+    update(id, pair);
     return id;
 }
 
@@ -21,7 +21,7 @@
         return;
     }
     it->second.connected = true;
-    review(id, it->second);
+    update(id, it->second);
 }
 
 void InFlightBytes::failed(PairId id) {
@@ -30,20 +30,20 @@
         return;
     }
     it->second.failed = true;
-    review(id, it->second);
+    update(id, it->second);
 }
 
 InFlightBytes::PairId InFlightBytes::accept(std::uint16_t remote_port, std::uint16_t at_port,
                                             std::string at_host) {
-    const auto it = by_ports_.find({remote_port, at_port});
-    if (it == by_ports_.end()) {
+    const auto it = pair_by_ports_.find({remote_port, at_port});
+    if (it == pair_by_ports_.end()) {
         return 0;
     }
     Pair& pair = pairs_[it->second];
     pair.accepted = true;
     pair.ends[1].host = std::move(at_host);
     const PairId id = it->second;
-    review(id, pair);
+    update(id, pair);
     return id;
 }
 
@@ -52,8 +52,8 @@
     if (it == pairs_.end()) {
         return;
     }
-    end(it->second, from).wrote += bytes;
-    review(id, it->second);
+    end(it->second, from).written_bytes += bytes;
+    update(id, it->second);
 }
 
 void InFlightBytes::read(PairId id, Side at, std::size_t bytes) {
@@ -61,8 +61,8 @@
     if (it == pairs_.end()) {
         return;
     }
-    end(it->second, at).read += bytes;
-    review(id, it->second);
+    end(it->second, at).read_bytes += bytes;
+    update(id, it->second);
 }
 
 void InFlightBytes::closed(PairId id, Side by) {
@@ -71,7 +71,7 @@
         return;
     }
     end(it->second, by).closed = true;
-    review(id, it->second);
+    update(id, it->second);
 }
 
 void InFlightBytes::saw_end(PairId id, Side at) {
@@ -80,16 +80,16 @@
         return;
     }
     end(it->second, at).saw_end = true;
-    review(id, it->second);
+    update(id, it->second);
 }
 
-void InFlightBytes::paused(PairId id, Side at, bool now) {
+void InFlightBytes::paused(PairId id, Side at, bool is_paused) {
     const auto it = pairs_.find(id);
     if (it == pairs_.end()) {
         return;
     }
-    end(it->second, at).paused = now;
-    review(id, it->second);
+    end(it->second, at).paused = is_paused;
+    update(id, it->second);
 }
 
 std::string InFlightBytes::host(PairId id, Side side) const {
@@ -97,7 +97,7 @@
     return it == pairs_.end() ? std::string{} : it->second.ends[static_cast<int>(side)].host;
 }
 
-bool InFlightBytes::open_business(const Pair& pair) {
+bool InFlightBytes::in_flight(const Pair& pair) {
     if (pair.failed) {
         return false;
     }
@@ -113,28 +113,29 @@
         if (reader.closed || reader.saw_end || reader.paused) {
             continue;
         }
-        if (writer.closed || writer.wrote > reader.read) {
+        if (writer.closed || writer.written_bytes > reader.read_bytes) {
             return true;
         }
     }
     return false;
 }
 
-void InFlightBytes::review(PairId id, Pair& pair) {
-    const bool open = open_business(pair);
-    if (open != pair.counted) {
-        pair.counted = open;
-        if (open) {
+void InFlightBytes::update(PairId id, Pair& pair) {
+    const bool counted = in_flight(pair);
+    if (counted != pair.counted) {
+        pair.counted = counted;
+        if (counted) {
             ++unsettled_;
         } else {
             --unsettled_;
         }
     }
-    const bool over =
+    const bool completed =
         pair.failed || (pair.ends[0].closed && (pair.ends[1].closed || !pair.accepted));
-    if (over && !open) {
-        if (const auto it = by_ports_.find(pair.ports); it != by_ports_.end() && it->second == id) {
-            by_ports_.erase(it);
+    if (completed && !counted) {
+        if (const auto it = pair_by_ports_.find(pair.ports);
+            it != pair_by_ports_.end() && it->second == id) {
+            pair_by_ports_.erase(it);
         }
         pairs_.erase(id);
     }
@@ -145,21 +146,22 @@
     for (const auto& [id, pair] : pairs_) {
         if (pair.counted) {
             out += " " + pair.ends[0].host + "->" + pair.ends[1].host + "(" +
-                   std::to_string(pair.ends[0].wrote) + "/" + std::to_string(pair.ends[1].read) +
-                   "," + std::to_string(pair.ends[1].wrote) + "/" +
-                   std::to_string(pair.ends[0].read) + ")";
+                   std::to_string(pair.ends[0].written_bytes) + "/" +
+                   std::to_string(pair.ends[1].read_bytes) + "," +
+                   std::to_string(pair.ends[1].written_bytes) + "/" +
+                   std::to_string(pair.ends[0].read_bytes) + ")";
         }
     }
     return out;
 }
 
 void InFlightBytes::hold(PairId id, Side at, std::function<void()> event) {
-    held_.emplace(std::tuple(id, at, ++events_), std::move(event));
+    queued_events_.emplace(std::tuple(id, at, ++last_event_), std::move(event));
 }
 
 void InFlightBytes::deliver() {
-    auto round = std::exchange(held_, {});
-    for (auto& [key, event] : round) {
+    auto events = std::exchange(queued_events_, {});
+    for (auto& [key, event] : events) {
         event();
     }
 }
--- a/src/net/signals.cpp
+++ b/src/net/signals.cpp
@@ -14,21 +14,21 @@
 
 void Signals::run(const std::function<void()>& on_end, Micros pause,
                   const std::function<void()>& on_hangup) {
-    base::Timer end(loop_.clock(), base::ActorId{0});
-    const std::function<void()> wait = [&] {
-        signals_.async_wait([&](const asio::error_code& wrong, int signal) {
-            if (wrong) {
+    base::Timer stop_timer(loop_.clock(), base::ActorId{0});
+    const std::function<void()> wait_for_signal = [&] {
+        signals_.async_wait([&](const asio::error_code& error, int signal) {
+            if (error) {
                 return;
             }
             if (signal == SIGHUP) {
                 on_hangup();
-                return wait();
+                return wait_for_signal();
             }
             on_end();
-            end.after(pause, [this] { loop_.stop(); });
+            stop_timer.after(pause, [this] { loop_.stop(); });
         });
     };
-    wait();
+    wait_for_signal();
     loop_.run();
 }
 
