--- a/src/net/http1.cpp
+++ b/src/net/http1.cpp
@@ -21,8 +21,8 @@
         return std::nullopt;
     }
     std::int64_t out = 0;
-    const auto [end, wrong] = std::from_chars(text->data(), text->data() + text->size(), out);
-    if (wrong != std::errc{} || end != text->data() + text->size()) {
+    const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), out);
+    if (error != std::errc{} || end != text->data() + text->size()) {
         return std::nullopt;
     }
     return out;
@@ -40,22 +40,23 @@
         return false;
     }
     static const http_parser_settings kSettings = [] {
-        http_parser_settings s;
-        http_parser_settings_init(&s);
-        s.on_message_begin = message_begin;
-        s.on_url = url;
-        s.on_header_field = field;
-        s.on_header_value = value;
-        s.on_headers_complete = headers_complete;
-        s.on_body = body;
-        s.on_message_complete = message_complete;
-        return s;
+        http_parser_settings settings;
+        http_parser_settings_init(&settings);
+        settings.on_message_begin = message_begin;
+        settings.on_url = url;
+        settings.on_header_field = field;
+        settings.on_header_value = value;
+        settings.on_headers_complete = headers_complete;
+        settings.on_body = body;
+        settings.on_message_complete = message_complete;
+        return settings;
     }();
-    const std::size_t took = http_parser_execute(&parser_, &kSettings, bytes.data(), bytes.size());
+    const std::size_t parsed =
+        http_parser_execute(&parser_, &kSettings, bytes.data(), bytes.size());
     const auto code = HTTP_PARSER_ERRNO(&parser_);
     if (parser_.upgrade) {
-        error_ = "an upgrade to another protocol is not offered";
-    } else if (code != HPE_OK || took != bytes.size()) {
+        error_ = "protocol upgrades are not supported";
+    } else if (code != HPE_OK || parsed != bytes.size()) {
         if (error_.empty()) {
             error_ = http_errno_description(code);
         }
@@ -63,79 +64,80 @@
     return error_.empty();
 }
 
-bool Http1Parser::grow_head(std::size_t size) {
-    head_ += size;
-    if (head_ <= limits_.head_bytes) {
+bool Http1Parser::add_head_bytes(std::size_t size) {
+    head_bytes_ += size;
+    if (head_bytes_ <= limits_.head_bytes) {
         return true;
     }
-    error_ = "the head is larger than " + std::to_string(limits_.head_bytes) + " bytes";
+    error_ = "expected a header section of at most " + std::to_string(limits_.head_bytes) +
+             " bytes, got more";
     return false;
 }
 
-int Http1Parser::message_begin(http_parser* p) {
-    Http1Parser& self = of(p);
-    self.now_ = {};
-    self.head_ = 0;
+int Http1Parser::message_begin(http_parser* parser) {
+    Http1Parser& self = of(parser);
+    self.message_ = {};
+    self.head_bytes_ = 0;
     self.in_value_ = false;
     return 0;
 }
 
-int Http1Parser::url(http_parser* p, const char* at, std::size_t size) {
-    of(p).now_.target.append(at, size);
-    return of(p).grow_head(size) ? 0 : 1;
+int Http1Parser::url(http_parser* parser, const char* data, std::size_t size) {
+    of(parser).message_.target.append(data, size);
+    return of(parser).add_head_bytes(size) ? 0 : 1;
 }
 
-int Http1Parser::field(http_parser* p, const char* at, std::size_t size) {
-    Http1Parser& self = of(p);
-    if (self.in_value_ || self.now_.headers.empty()) {
-        self.now_.headers.emplace_back();
+int Http1Parser::field(http_parser* parser, const char* data, std::size_t size) {
+    Http1Parser& self = of(parser);
+    if (self.in_value_ || self.message_.headers.empty()) {
+        self.message_.headers.emplace_back();
     }
     self.in_value_ = false;
-    for (std::size_t k = 0; k < size; ++k) {
-        const char c = at[k];
-        self.now_.headers.back().first +=
+    for (std::size_t i = 0; i < size; ++i) {
+        const char c = data[i];
+        self.message_.headers.back().first +=
             c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
     }
-    return self.grow_head(size) ? 0 : 1;
+    return self.add_head_bytes(size) ? 0 : 1;
 }
 
-int Http1Parser::value(http_parser* p, const char* at, std::size_t size) {
-    Http1Parser& self = of(p);
-    if (self.now_.headers.empty()) {
+int Http1Parser::value(http_parser* parser, const char* data, std::size_t size) {
+    Http1Parser& self = of(parser);
+    if (self.message_.headers.empty()) {
         return 1;
     }
     self.in_value_ = true;
-    self.now_.headers.back().second.append(at, size);
-    return self.grow_head(size) ? 0 : 1;
-}
-
-int Http1Parser::headers_complete(http_parser* p) {
-    Http1Parser& self = of(p);
-    self.now_.method = http_method_str(static_cast<http_method>(p->method));
-    self.now_.status = static_cast<int>(p->status_code);
-    self.now_.keep_alive = http_should_keep_alive(p) != 0;
-    if (p->content_length != ULLONG_MAX && p->content_length > self.limits_.body_bytes) {
-        self.error_ =
-            "the body is larger than " + std::to_string(self.limits_.body_bytes) + " bytes";
+    self.message_.headers.back().second.append(data, size);
+    return self.add_head_bytes(size) ? 0 : 1;
+}
+
+int Http1Parser::headers_complete(http_parser* parser) {
+    Http1Parser& self = of(parser);
+    self.message_.method = http_method_str(static_cast<http_method>(parser->method));
+    self.message_.status = static_cast<int>(parser->status_code);
+    self.message_.keep_alive = http_should_keep_alive(parser) != 0;
+    if (parser->content_length != ULLONG_MAX && parser->content_length > self.limits_.body_bytes) {
+        self.error_ = "expected a body of at most " + std::to_string(self.limits_.body_bytes) +
+                      " bytes, got more";
         return -1;
     }
     return 0;
 }
 
-int Http1Parser::body(http_parser* p, const char* at, std::size_t size) {
-    Http1Parser& self = of(p);
-    if (self.now_.body.size() + size > self.limits_.body_bytes) {
-        self.error_ =
-            "the body is larger than " + std::to_string(self.limits_.body_bytes) + " bytes";
+int Http1Parser::body(http_parser* parser, const char* data, std::size_t size) {
+    Http1Parser& self = of(parser);
+    if (self.message_.body.size() + size > self.limits_.body_bytes) {
+        self.error_ = "expected a body of at most " + std::to_string(self.limits_.body_bytes) +
+                      " bytes, got more";
         return 1;
     }
-    self.now_.body.append(at, size);
+    self.message_.body.append(data, size);
     return 0;
 }
 
-int Http1Parser::message_complete(http_parser* p) {
-    Http1Parser& self = of(p);
-    self.on_message_(std::exchange(self.now_, {}));
+int Http1Parser::message_complete(http_parser* parser) {
+    Http1Parser& self = of(parser);
+    self.on_message_(std::exchange(self.message_, {}));
     return 0;
 }
 
@@ -171,7 +173,8 @@
 }
 
 namespace {
-void add_rest(std::string& out, const HttpMessage& message) {
+/// Appends everything after the first line.
+void add_headers_and_body(std::string& out, const HttpMessage& message) {
     for (const auto& [key, value] : message.headers) {
         out.append(key).append(": ").append(value).append("\r\n");
     }
@@ -187,14 +190,14 @@
 std::string to_bytes_request(const HttpMessage& message, std::string_view host) {
     std::string out = message.method + " " + message.target + " HTTP/1.1\r\nhost: ";
     out.append(host).append("\r\n");
-    add_rest(out, message);
+    add_headers_and_body(out, message);
     return out;
 }
 
 std::string to_bytes_response(const HttpMessage& message) {
     std::string out = "HTTP/1.1 " + std::to_string(message.status) + " ";
     out.append(reason_phrase(message.status)).append("\r\n");
-    add_rest(out, message);
+    add_headers_and_body(out, message);
     return out;
 }
 
--- a/src/net/http1.h
+++ b/src/net/http1.h
@@ -1,5 +1,6 @@
-// HTTP/1.1 messages without sockets: bytes in, whole messages out (http-parser does the reading).
-// Limits guard against heads and bodies without end.
+/// HTTP/1.1 without sockets: an incremental parser (on http-parser) that turns bytes into complete
+/// messages, and the serialization of messages. Limits in bytes bound the memory that a peer can
+/// use with an endless header section or body. Upgrades are rejected.
 #pragma once
 
 #include <http_parser.h>
@@ -13,6 +14,7 @@
 
 namespace badgergrade::net {
 
+/// A complete request or response.
 struct HttpMessage {
     std::string method, target;                                // requests
     int status = 0;                                            // responses
@@ -20,52 +22,63 @@
     std::string body;
     bool keep_alive = true;
 
-    // The first header of that name (lower case), if any.
+    /// The first header with this name (lower case), if any.
     std::optional<std::string_view> header(std::string_view name) const;
-    // A whole number from a header; nothing where it is missing or no number.
+    /// The value of a header as an integer; nothing if it is missing or not an integer.
     std::optional<std::int64_t> number(std::string_view name) const;
 };
 
+/// Limits of one message.
 struct HttpLimits {
+    /// Target, header names and values together.
     std::size_t head_bytes = 16 * 1024;
     std::size_t body_bytes = 1024 * 1024;
 };
 
+/// Parses one direction of a connection. `on_message` is called with each complete message.
 class Http1Parser {
 public:
     enum class Kind { Requests, Responses };
     Http1Parser(Kind kind, HttpLimits limits, std::function<void(HttpMessage)> on_message);
     Http1Parser(const Http1Parser&) = delete;
 
-    // Feeds bytes; false where they are no HTTP or break a limit: then error() says what is wrong
-    // and no more may be fed.
+    /// Parses more bytes. False if they are not valid HTTP or exceed a limit: error() then holds
+    /// the reason, and the parser accepts no more bytes.
     bool feed(std::string_view bytes);
 
     const std::string& error() const { return error_; }
 
 private:
-    static int message_begin(http_parser* p);
-    static int url(http_parser* p, const char* at, std::size_t size);
-    static int field(http_parser* p, const char* at, std::size_t size);
-    static int value(http_parser* p, const char* at, std::size_t size);
-    static int headers_complete(http_parser* p);
-    static int body(http_parser* p, const char* at, std::size_t size);
-    static int message_complete(http_parser* p);
-    bool grow_head(std::size_t size);
+    // Callbacks of http-parser; a result other than 0 stops it.
+    static int message_begin(http_parser* parser);
+    static int url(http_parser* parser, const char* data, std::size_t size);
+    static int field(http_parser* parser, const char* data, std::size_t size);
+    static int value(http_parser* parser, const char* data, std::size_t size);
+    static int headers_complete(http_parser* parser);
+    static int body(http_parser* parser, const char* data, std::size_t size);
+    static int message_complete(http_parser* parser);
+    /// Adds to the size of the header section. False if it exceeds the limit.
+    bool add_head_bytes(std::size_t size);
 
-    static Http1Parser& of(http_parser* p) { return *static_cast<Http1Parser*>(p->data); }
+    static Http1Parser& of(http_parser* parser) { return *static_cast<Http1Parser*>(parser->data); }
 
     http_parser parser_;
     HttpLimits limits_;
     std::function<void(HttpMessage)> on_message_;
-    HttpMessage now_;
-    std::size_t head_ = 0;
+    /// The message that is being parsed.
+    HttpMessage message_;
+    std::size_t head_bytes_ = 0;
+    /// Whether the last callback for a header was for its value; the next name then starts a
+    /// header.
     bool in_value_ = false;
     std::string error_;
 };
 
+/// The bytes of a request; `host` is the value of its host header.
 std::string to_bytes_request(const HttpMessage& message, std::string_view host);
+/// The bytes of a response.
 std::string to_bytes_response(const HttpMessage& message);
+/// The reason phrase of a status; "Status" for one that is not used here.
 std::string_view reason_phrase(int status);
 
 }  // namespace badgergrade::net
--- a/src/net/http2.cpp
+++ b/src/net/http2.cpp
@@ -7,6 +7,7 @@
 namespace badgergrade::net {
 
 namespace {
+/// The headers in the form of nghttp2, which refer to the strings of `headers`.
 std::vector<nghttp2_nv> to_nv(const Http2Headers& headers) {
     std::vector<nghttp2_nv> out;
     out.reserve(headers.size());
@@ -23,7 +24,7 @@
     static Http2Session& of(void* user) { return *static_cast<Http2Session*>(user); }
 
     static int begin_headers(nghttp2_session*, const nghttp2_frame* frame, void* user) {
-        of(user).in_[frame->hd.stream_id] = {};
+        of(user).headers_[frame->hd.stream_id] = {};
         return 0;
     }
 
@@ -31,15 +32,16 @@
                       std::size_t name_size, const std::uint8_t* value, std::size_t value_size,
                       std::uint8_t, void* user) {
         Http2Session& self = of(user);
-        In& in = self.in_[frame->hd.stream_id];
-        in.bytes += name_size + value_size + 32;
-        if (in.bytes > self.limits_.head_bytes) {
-            self.error_ =
-                "a head larger than " + std::to_string(self.limits_.head_bytes) + " bytes";
+        IncomingHeaders& incoming = self.headers_[frame->hd.stream_id];
+        incoming.bytes += name_size + value_size + 32;
+        if (incoming.bytes > self.limits_.head_bytes) {
+            self.error_ = "expected a header list of at most " +
+                          std::to_string(self.limits_.head_bytes) + " bytes, got more";
             return NGHTTP2_ERR_CALLBACK_FAILURE;
         }
-        in.headers.emplace_back(std::string(reinterpret_cast<const char*>(name), name_size),
-                                std::string(reinterpret_cast<const char*>(value), value_size));
+        incoming.headers.emplace_back(
+            std::string(reinterpret_cast<const char*>(name), name_size),
+            std::string(reinterpret_cast<const char*>(value), value_size));
         return 0;
     }
 
@@ -50,8 +52,8 @@
         switch (frame->hd.type) {
             case NGHTTP2_HEADERS: {
                 self.idle_frames_ = 0;
-                const Http2Headers headers = std::move(self.in_[stream].headers);
-                self.in_[stream].headers.clear();
+                const Http2Headers headers = std::move(self.headers_[stream].headers);
+                self.headers_[stream].headers.clear();
                 if (self.on_headers) {
                     self.on_headers(stream, headers, last);
                 }
@@ -67,7 +69,7 @@
                 if (last && self.on_half_closed) {
                     self.on_half_closed(stream);
                 }
-                return self.idle(frame->hd.length == 0 && !last);
+                return self.count_idle_frame(frame->hd.length == 0 && !last);
             case NGHTTP2_GOAWAY:
                 if (self.on_goaway) {
                     self.on_goaway();
@@ -75,10 +77,10 @@
                 return 0;
             case NGHTTP2_PING:
             case NGHTTP2_SETTINGS:
-                return self.idle(!(frame->hd.flags & NGHTTP2_FLAG_ACK));
+                return self.count_idle_frame(!(frame->hd.flags & NGHTTP2_FLAG_ACK));
             case NGHTTP2_RST_STREAM:
             case NGHTTP2_PRIORITY:
-                return self.idle(true);
+                return self.count_idle_frame(true);
             default:
                 return 0;
         }
@@ -96,60 +98,60 @@
     static int stream_close(nghttp2_session*, std::int32_t stream, std::uint32_t error,
                             void* user) {
         Http2Session& self = of(user);
-        if (const auto it = self.out_.find(stream); it != self.out_.end()) {
+        if (const auto it = self.bodies_.find(stream); it != self.bodies_.end()) {
             for (const auto& part : it->second.parts) {
-                self.queued_ -= part.bytes().size();
+                self.queued_bytes_ -= part.bytes().size();
             }
-            self.queued_ += it->second.offset;
-            self.out_.erase(it);
+            self.queued_bytes_ += it->second.offset;
+            self.bodies_.erase(it);
         }
-        self.in_.erase(stream);
+        self.headers_.erase(stream);
         if (self.on_closed) {
             self.on_closed(stream, error);
         }
         return 0;
     }
 
-    static ssize_t read(nghttp2_session* session, std::int32_t stream, std::uint8_t* to,
+    static ssize_t read(nghttp2_session* session, std::int32_t stream, std::uint8_t* buffer,
                         std::size_t size, std::uint32_t* flags, nghttp2_data_source*, void* user) {
         Http2Session& self = of(user);
-        const auto it = self.out_.find(stream);
-        if (it == self.out_.end()) {
+        const auto it = self.bodies_.find(stream);
+        if (it == self.bodies_.end()) {
             *flags |= NGHTTP2_DATA_FLAG_EOF;
             return 0;
         }
-        Out& out = it->second;
-        std::size_t done = 0;
-        while (done < size && !out.parts.empty()) {
-            const std::string& part = out.parts.front().bytes();
-            const std::size_t n = std::min(size - done, part.size() - out.offset);
-            std::copy_n(part.data() + out.offset, n, to + done);
-            done += n;
-            out.offset += n;
-            self.queued_ -= n;
-            if (out.offset < part.size()) {
+        OutgoingBody& body = it->second;
+        std::size_t copied = 0;
+        while (copied < size && !body.parts.empty()) {
+            const std::string& part = body.parts.front().bytes();
+            const std::size_t n = std::min(size - copied, part.size() - body.offset);
+            std::copy_n(part.data() + body.offset, n, buffer + copied);
+            copied += n;
+            body.offset += n;
+            self.queued_bytes_ -= n;
+            if (body.offset < part.size()) {
                 break;
             }
-            out.offset = 0;
-            out.parts.pop_front();
+            body.offset = 0;
+            body.parts.pop_front();
         }
-        if (out.parts.empty() && out.ending) {
+        if (body.parts.empty() && body.ending) {
             *flags |= NGHTTP2_DATA_FLAG_EOF;
-            if (!out.trailers.empty()) {
+            if (!body.trailers.empty()) {
                 *flags |= NGHTTP2_DATA_FLAG_NO_END_STREAM;
-                const auto nv = to_nv(out.trailers);
+                const auto nv = to_nv(body.trailers);
                 nghttp2_submit_trailer(session, stream, nv.data(), nv.size());
             }
-            return static_cast<ssize_t>(done);
+            return static_cast<ssize_t>(copied);
         }
-        if (done == 0) {
-            out.deferred = true;
+        if (copied == 0) {
+            body.deferred = true;
             return NGHTTP2_ERR_DEFERRED;
         }
-        return static_cast<ssize_t>(done);
+        return static_cast<ssize_t>(copied);
     }
 
-    // A GOAWAY with an error of ours says what the other side did wrong.
+    /// A GOAWAY of this end with an error code: the code says what the peer did wrong.
     static int frame_sent(nghttp2_session*, const nghttp2_frame* frame, void* user) {
         if (frame->hd.type == NGHTTP2_GOAWAY && frame->goaway.error_code != NGHTTP2_NO_ERROR &&
             of(user).error_.empty()) {
@@ -164,11 +166,11 @@
     }
 };
 
-int Http2Session::idle(bool counts) {
-    if (!counts || ++idle_frames_ <= limits_.idle_frames) {
+int Http2Session::count_idle_frame(bool is_idle) {
+    if (!is_idle || ++idle_frames_ <= limits_.idle_frames) {
         return 0;
     }
-    error_ = "a flood of frames that carry nothing";
+    error_ = "too many frames in a row without headers or data";
     return NGHTTP2_ERR_CALLBACK_FAILURE;
 }
 
@@ -198,13 +200,13 @@
         {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, limits.head_bytes},
         {NGHTTP2_SETTINGS_ENABLE_PUSH, 0},
     };
-    // A server may not send ENABLE_PUSH other than 0, and need not send it at all.
+    // A server must not send ENABLE_PUSH with a value other than 0, and does not have to send it.
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings, role == Role::Server ? 3 : 4);
     nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, 4 << 20);
 }
 
 Http2Session::~Http2Session() {
-    // The session's end closes its streams; nobody wants to hear of it any more.
+    // Deleting the session closes its streams; the owner is not notified of that.
     on_headers = {};
     on_data = {};
     on_half_closed = {};
@@ -217,10 +219,10 @@
     if (!error_.empty()) {
         return false;
     }
-    const ssize_t took = nghttp2_session_mem_recv(
+    const ssize_t processed = nghttp2_session_mem_recv(
         session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-    if (took < 0 && error_.empty()) {
-        error_ = nghttp2_strerror(static_cast<int>(took));
+    if (processed < 0 && error_.empty()) {
+        error_ = nghttp2_strerror(static_cast<int>(processed));
     }
     return error_.empty();
 }
@@ -256,7 +258,7 @@
     const std::int32_t stream =
         nghttp2_submit_request(session_, nullptr, nv.data(), nv.size(), &body, nullptr);
     if (stream > 0) {
-        out_[stream].has_body = true;
+        bodies_[stream].has_body = true;
     }
     return stream;
 }
@@ -266,7 +268,7 @@
     nghttp2_data_provider body{};
     body.read_callback = Callbacks::read;
     if (!last) {
-        out_[stream].has_body = true;
+        bodies_[stream].has_body = true;
     }
     nghttp2_submit_response(session_, stream, nv.data(), nv.size(), last ? nullptr : &body);
 }
@@ -279,29 +281,29 @@
     add(stream, {{}, std::move(bytes)});
 }
 
-void Http2Session::add(std::int32_t stream, Part part) {
-    const auto it = out_.find(stream);
-    if (it == out_.end() || it->second.ending || part.bytes().empty()) {
+void Http2Session::add(std::int32_t stream, BodyPart part) {
+    const auto it = bodies_.find(stream);
+    if (it == bodies_.end() || it->second.ending || part.bytes().empty()) {
         return;
     }
-    queued_ += part.bytes().size();
+    queued_bytes_ += part.bytes().size();
     it->second.parts.push_back(std::move(part));
-    body_for(stream);
+    resume_body(stream);
 }
 
 void Http2Session::end(std::int32_t stream, Http2Headers trailers) {
-    const auto it = out_.find(stream);
-    if (it == out_.end() || it->second.ending) {
+    const auto it = bodies_.find(stream);
+    if (it == bodies_.end() || it->second.ending) {
         return;
     }
     it->second.ending = true;
     it->second.trailers = std::move(trailers);
-    body_for(stream);
+    resume_body(stream);
 }
 
-void Http2Session::body_for(std::int32_t stream) {
-    Out& out = out_.at(stream);
-    if (std::exchange(out.deferred, false)) {
+void Http2Session::resume_body(std::int32_t stream) {
+    OutgoingBody& body = bodies_.at(stream);
+    if (std::exchange(body.deferred, false)) {
         nghttp2_session_resume_data(session_, stream);
     }
 }
