--- a/src/net/grpc.cpp
+++ b/src/net/grpc.cpp
@@ -7,11 +7,11 @@
 namespace badgergrade::net {
 
 namespace {
-// One byte of compression (none), four of length.
-std::string frame_head(std::size_t size) {
+/// The header of a frame: a byte for compression (none), and the length in four bytes, big-endian.
+std::string frame_header(std::size_t size) {
     std::string out(1, '\0');
-    for (int k = 0; k < 4; ++k) {
-        out += static_cast<char>(size >> (24 - 8 * k) & 255);
+    for (int i = 0; i < 4; ++i) {
+        out += static_cast<char>(size >> (24 - 8 * i) & 255);
     }
     return out;
 }
@@ -20,7 +20,7 @@
 std::string grpc_frame(std::string_view message) {
     std::string out;
     out.reserve(5 + message.size());
-    return out.append(frame_head(message.size())).append(message);
+    return out.append(frame_header(message.size())).append(message);
 }
 
 bool GrpcFramer::feed(std::string_view bytes,
@@ -29,39 +29,39 @@
         return false;
     }
     buffer_ += bytes;
-    std::size_t at = 0;
-    while (buffer_.size() - at >= 5) {
-        const auto* head = reinterpret_cast<const unsigned char*>(buffer_.data() + at);
+    std::size_t offset = 0;
+    while (buffer_.size() - offset >= 5) {
+        const auto* header = reinterpret_cast<const unsigned char*>(buffer_.data() + offset);
         const std::size_t size =
-            std::size_t{head[1]} << 24 | head[2] << 16 | head[3] << 8 | head[4];
-        if (head[0] != 0) {
-            error_ = "a compressed message, which was not agreed on";
-        } else if (size > most_) {
-            error_ = "a message of " + std::to_string(size) + " bytes, " + std::to_string(most_) +
-                     " at most";
+            std::size_t{header[1]} << 24 | header[2] << 16 | header[3] << 8 | header[4];
+        if (header[0] != 0) {
+            error_ = "expected an uncompressed message, got a compressed one";
+        } else if (size > max_message_bytes_) {
+            error_ = "expected a message of at most " + std::to_string(max_message_bytes_) +
+                     " bytes, got " + std::to_string(size);
         }
         if (!error_.empty()) {
             return false;
         }
-        if (buffer_.size() - at - 5 < size) {
+        if (buffer_.size() - offset - 5 < size) {
             break;
         }
-        const std::string message = buffer_.substr(at + 5, size);
-        at += 5 + size;
+        const std::string message = buffer_.substr(offset + 5, size);
+        offset += 5 + size;
         on_message(message);
     }
-    buffer_.erase(0, at);
+    buffer_.erase(0, offset);
     return true;
 }
 
 // ---- GrpcCall
 
 GrpcCall::GrpcCall(GrpcConnection& connection, std::int32_t stream, std::string path,
-                   std::size_t message_most)
+                   std::size_t max_message_bytes)
     : connection_(&connection),
       stream_(stream),
       path_(std::move(path)),
-      framer_(message_most) {}
+      framer_(max_message_bytes) {}
 
 std::string GrpcCall::peer() const {
     return connection_ ? connection_->peer() : std::string{};
@@ -83,30 +83,30 @@
     if (!connection_ || finished_) {
         return;
     }
-    connection_->session_.send(stream_, frame_head(common->size() + rest.size()));
+    connection_->session_.send(stream_, frame_header(common->size() + rest.size()));
     connection_->session_.send(stream_, std::move(common));
     connection_->session_.send(stream_, std::string(rest));
     connection_->flush();
 }
 
-void GrpcCall::finish(GrpcStatus status, std::string_view why) {
+void GrpcCall::finish(GrpcStatus status, std::string_view message) {
     if (!connection_ || std::exchange(finished_, true)) {
         return;
     }
     Http2Headers trailers;
     if (connection_->role_ == Http2Session::Role::Server) {
         trailers.emplace_back("grpc-status", std::to_string(static_cast<int>(status)));
-        if (!why.empty()) {
-            trailers.emplace_back("grpc-message", std::string(why));
+        if (!message.empty()) {
+            trailers.emplace_back("grpc-message", std::string(message));
         }
     }
     connection_->session_.end(stream_, std::move(trailers));
     connection_->flush();
 }
 
-void GrpcCall::abort(const std::string& why) {
+void GrpcCall::abort(const std::string& reason) {
     if (connection_) {
-        connection_->abort(why);
+        connection_->abort(reason);
     }
 }
 
@@ -125,11 +125,11 @@
     }
 }
 
-void GrpcCall::over(const std::string& why) {
+void GrpcCall::end(const std::string& reason) {
     connection_ = nullptr;
     const auto self = shared_from_this();
     if (on_closed) {
-        std::exchange(on_closed, {})(why.empty() ? status_ : why);
+        std::exchange(on_closed, {})(reason.empty() ? status_ : reason);
     }
     on_message = {};
     on_half_closed = {};
@@ -147,20 +147,20 @@
       keepalive_(loop.clock(), actor) {}
 
 GrpcConnection::~GrpcConnection() {
-    if (!over_) {
+    if (!ended_) {
         stream_->close(true);
     }
 }
 
 void GrpcConnection::start() {
     stream_->on_data = [this](std::string_view bytes) {
-        came(bytes);
+        on_bytes(bytes);
     };
-    stream_->on_end = [this](std::string why) {
-        fail(why);
+    stream_->on_end = [this](std::string reason) {
+        fail(reason);
     };
-    session_.on_headers = [this](std::int32_t id, const Http2Headers& h, bool last) {
-        headers(id, h, last);
+    session_.on_headers = [this](std::int32_t id, const Http2Headers& received, bool last) {
+        handle_headers(id, received, last);
     };
     session_.on_data = [this](std::int32_t id, std::string_view bytes) {
         const auto it = calls_.find(id);
@@ -168,12 +168,12 @@
             return;
         }
         const GrpcCallPtr call = it->second;
-        const bool good = call->framer_.feed(bytes, [&](std::string_view message) {
+        const bool valid = call->framer_.feed(bytes, [&](std::string_view message) {
             if (call->on_message && !call->finished_) {
                 call->on_message(message);
             }
         });
-        if (!good) {
+        if (!valid) {
             call->finish(GrpcStatus::ResourceExhausted, call->framer_.error());
         }
     };
@@ -184,10 +184,10 @@
         }
         const GrpcCallPtr call = it->second;
         if (role_ == Http2Session::Role::Client) {
-            // The server's end is the call's end, whatever of ours is still open.
+            // The end of the server's half ends the call, even if the client's half is still open.
             calls_.erase(it);
             session_.reset(id, NGHTTP2_CANCEL);
-            call->over(call->status_);
+            call->end(call->status_);
         } else if (call->on_half_closed) {
             call->on_half_closed();
         }
@@ -199,33 +199,33 @@
         }
         const GrpcCallPtr call = it->second;
         calls_.erase(it);
-        call->over(error == 0 ? std::string{}
-                              : std::string("stream reset: ") + nghttp2_http2_strerror(error));
+        call->end(error == 0 ? std::string{}
+                             : std::string("stream reset: ") + nghttp2_http2_strerror(error));
     };
-    heard_ = loop_.clock().now();
+    last_received_at_ = loop_.clock().now();
     if (limits_.keepalive > Micros{0}) {
-        keepalive_.after(limits_.keepalive, [this] { look(); });
+        keepalive_.after(limits_.keepalive, [this] { check_keepalive(); });
     }
     flush();
 }
 
-void GrpcConnection::headers(std::int32_t id, const Http2Headers& headers, bool last) {
+void GrpcConnection::handle_headers(std::int32_t id, const Http2Headers& headers, bool last) {
     if (const auto known = calls_.find(id); known != calls_.end()) {
-        // Client: the answer's head, or its trailers with the status.
+        // Client: the headers of the response, or its trailers with the status.
         std::string status;
-        std::string why;
+        std::string message;
         for (const auto& [name, value] : headers) {
             if (name == "grpc-status") {
                 status = value;
             } else if (name == "grpc-message") {
-                why = value;
+                message = value;
             } else if (name == ":status" && value != "200") {
-                why = "HTTP status " + value;
+                message = "HTTP status " + value;
                 status = "2";
             }
         }
         if (!status.empty() && status != "0") {
-            known->second->status_ = "gRPC status " + status + ": " + why;
+            known->second->status_ = "gRPC status " + status + ": " + message;
         }
         return;
     }
@@ -255,7 +255,7 @@
         on_call(call);
     }
     if (!call->on_message) {
-        call->finish(GrpcStatus::Unimplemented, "no such method");
+        call->finish(GrpcStatus::Unimplemented, "unknown method");
     } else if (last && call->on_half_closed) {
         call->on_half_closed();
     }
@@ -276,91 +276,92 @@
     return call;
 }
 
-void GrpcConnection::came(std::string_view bytes) {
+void GrpcConnection::on_bytes(std::string_view bytes) {
     const auto self = shared_from_this();
-    heard_ = loop_.clock().now();
-    pinged_ = false;
-    feeding_ = true;
-    const bool good = session_.feed(bytes);
-    feeding_ = false;
-    if (!failed_.empty()) {
-        return fail(std::exchange(failed_, {}));
-    }
-    if (over_) {
+    last_received_at_ = loop_.clock().now();
+    ping_pending_ = false;
+    receiving_ = true;
+    const bool valid = session_.feed(bytes);
+    receiving_ = false;
+    if (!deferred_failure_.empty()) {
+        return fail(std::exchange(deferred_failure_, {}));
+    }
+    if (ended_) {
         return;
     }
     flush();
-    if (!good) {
-        return fail("no good HTTP/2: " + session_.error());
+    if (!valid) {
+        return fail("HTTP/2 error: " + session_.error());
     }
-    if (!over_ && session_.over()) {
-        fail(session_.error().empty() ? "" : "no good HTTP/2: " + session_.error());
+    if (!ended_ && session_.over()) {
+        fail(session_.error().empty() ? "" : "HTTP/2 error: " + session_.error());
     }
 }
 
 void GrpcConnection::flush() {
-    if (over_ || feeding_ || corks_ > 0) {
+    if (ended_ || receiving_ || corks_ > 0) {
         return;
     }
     const auto self = shared_from_this();
-    // One buffer for all connections of the thread: a burst to many streams must not allocate for
-    // each.
+    // One buffer for all connections of the thread, so that a burst to many streams does not
+    // allocate memory for each.
     thread_local std::string out;
     out.clear();
     session_.output(out);
     if (!out.empty()) {
         stream_->write(out);
     }
-    if (!over_ && waiting() > limits_.waiting_bytes) {
-        fail("does not read: " + std::to_string(waiting()) + " bytes wait for it");
+    if (!ended_ && waiting() > limits_.waiting_bytes) {
+        fail("peer does not read: " + std::to_string(waiting()) + " bytes wait to be sent");
     }
 }
 
-void GrpcConnection::look() {
-    const Micros quiet = loop_.clock().now() - heard_;
-    if (pinged_ && quiet >= 2 * limits_.keepalive) {
-        return fail("no answer to a ping");
+void GrpcConnection::check_keepalive() {
+    const Micros silence = loop_.clock().now() - last_received_at_;
+    if (ping_pending_ && silence >= 2 * limits_.keepalive) {
+        return fail("keepalive timeout: no answer to a PING");
     }
-    if (!pinged_ && quiet >= limits_.keepalive) {
-        pinged_ = true;
+    if (!ping_pending_ && silence >= limits_.keepalive) {
+        ping_pending_ = true;
         session_.ping();
         flush();
     }
-    if (!over_) {
-        keepalive_.after(limits_.keepalive, [this] { look(); });
+    if (!ended_) {
+        keepalive_.after(limits_.keepalive, [this] { check_keepalive(); });
     }
 }
 
-void GrpcConnection::fail(const std::string& why) {
-    if (feeding_) {
-        // nghttp2 is still at work on this session: what ends it waits until it returns.
-        if (failed_.empty()) {
-            failed_ = why.empty() ? "closed" : why;
+void GrpcConnection::fail(const std::string& reason) {
+    if (receiving_) {
+        // nghttp2 is processing bytes of this session, which must not be destroyed before it
+        // returns.
+        if (deferred_failure_.empty()) {
+            deferred_failure_ = reason.empty() ? "closed" : reason;
         }
         return;
     }
-    if (std::exchange(over_, true)) {
+    if (std::exchange(ended_, true)) {
         return;
     }
     const auto self = shared_from_this();
     keepalive_.stop();
-    stream_->close(!why.empty());
-    end_calls(why.empty() ? "closed" : why);
+    stream_->close(!reason.empty());
+    end_calls(reason.empty() ? "closed" : reason);
     if (on_closed) {
-        std::exchange(on_closed, {})(why);
+        std::exchange(on_closed, {})(reason);
     }
 }
 
-void GrpcConnection::end_calls(const std::string& why) {
+void GrpcConnection::end_calls(const std::string& reason) {
     while (!calls_.empty()) {
         const GrpcCallPtr call = calls_.begin()->second;
         calls_.erase(calls_.begin());
-        call->over(why);
+        call->end(reason);
     }
 }
 
 void GrpcConnection::close() {
-    if (over_) {
+    if (ended_) {
         return;
     }
     const auto self = shared_from_this();
@@ -368,25 +369,25 @@
     if (std::string out = session_.output(); !out.empty()) {
         stream_->send(std::move(out));
     }
-    over_ = true;
+    ended_ = true;
     keepalive_.stop();
     stream_->close(false);
     on_closed = {};
-    end_calls("closed here");
+    end_calls("closed by this end");
 }
 
-void GrpcConnection::abort(const std::string& why) {
-    fail(why.empty() ? "given up" : why);
+void GrpcConnection::abort(const std::string& reason) {
+    fail(reason.empty() ? "aborted" : reason);
 }
 
 // ---- GrpcServer
 
 GrpcServer::GrpcServer(Loop& loop, base::ActorId actor, std::string host, const Address& at,
-                       GrpcLimits limits, std::size_t connections_most)
+                       GrpcLimits limits, std::size_t max_connections)
     : loop_(loop),
       actor_(actor),
       limits_(limits),
-      most_(connections_most),
+      max_connections_(max_connections),
       listener_(
           std::make_unique<Listener>(loop, actor, std::move(host), at,
                                      [this](StreamPtr stream) { accept(std::move(stream)); })) {}
@@ -396,41 +397,42 @@
 }
 
 void GrpcServer::accept(StreamPtr stream) {
-    if (connections_.size() >= most_) {
+    if (connections_.size() >= max_connections_) {
         if (on_trouble) {
-            on_trouble(stream->peer(),
-                       "refused: " + std::to_string(most_) + " connections stand already");
+            on_trouble(stream->peer(), "connection refused: the limit of " +
+                                           std::to_string(max_connections_) +
+                                           " connections is reached");
         }
         stream->close(true);
         return;
     }
     const auto connection = std::make_shared<GrpcConnection>(
         loop_, actor_, Http2Session::Role::Server, stream, limits_);
-    const std::uint64_t id = ++ids_;
+    const std::uint64_t id = ++last_id_;
     connections_[id] = connection;
     connection->on_call = [this](GrpcCallPtr call) {
         if (on_call) {
             on_call(std::move(call));
         }
     };
-    connection->on_closed = [this, id, peer = stream->peer()](std::string why) {
-        if (on_trouble && !why.empty()) {
-            on_trouble(peer, why);
+    connection->on_closed = [this, id, peer = stream->peer()](std::string reason) {
+        if (on_trouble && !reason.empty()) {
+            on_trouble(peer, reason);
         }
         connections_.erase(id);
     };
     connection->start();
 }
 
-void GrpcServer::close(bool in_order) {
+void GrpcServer::close(bool graceful) {
     listener_.reset();
     auto all = std::exchange(connections_, {});
     for (auto& [id, connection] : all) {
         connection->on_closed = {};
-        if (in_order) {
+        if (graceful) {
             connection->close();
         } else {
-            connection->abort("the server ends");
+            connection->abort("the server shuts down");
         }
     }
 }
--- a/src/net/grpc.h
+++ b/src/net/grpc.h
@@ -1,6 +1,8 @@
-// gRPC over HTTP/2 on one connection, either role: calls with messages both ways. Framing
-// (grpc.io's PROTOCOL-HTTP2): each message is a byte of compression (0 only here), a length of four
-// bytes, the message.
+/// gRPC over HTTP/2, as client and as server: bidirectional calls on one connection, keepalive, and
+/// limits on the memory that a peer can use.
+///
+/// Framing (gRPC's PROTOCOL-HTTP2): a byte for compression, which must be 0 here, the length of the
+/// message in four bytes, big-endian, and the message.
 #pragma once
 
 #include <functional>
@@ -14,7 +16,7 @@
 
 namespace badgergrade::net {
 
-// The status codes of gRPC that we answer.
+/// The gRPC status codes that this program sends.
 enum class GrpcStatus {
     Ok = 0,
     Cancelled = 1,
@@ -27,111 +29,128 @@
     Unavailable = 14
 };
 
+/// A message with its frame header.
 std::string grpc_frame(std::string_view message);
 
-// Takes a byte stream apart into messages.
+/// Splits a byte stream into messages.
 class GrpcFramer {
 public:
-    explicit GrpcFramer(std::size_t message_most) : most_(message_most) {}
+    explicit GrpcFramer(std::size_t max_message_bytes) : max_message_bytes_(max_message_bytes) {}
 
-    // False on a compressed or oversized message, told by error().
+    /// Calls `on_message` for each complete message. False at a compressed or oversized one:
+    /// error() then holds the reason.
     bool feed(std::string_view bytes, const std::function<void(std::string_view)>& on_message);
 
     const std::string& error() const { return error_; }
 
+    /// Whether part of a message has been received.
     bool midway() const { return !buffer_.empty(); }
 
 private:
-    std::size_t most_;
-    std::string buffer_, error_;
+    std::size_t max_message_bytes_;
+    std::string buffer_;
+    std::string error_;
 };
 
+/// Limits of one connection.
 struct GrpcLimits {
     Http2Limits http2;
     std::size_t message_bytes = 4 * 1024 * 1024;
-    // Bytes that may wait for a peer that does not read before its connection is given up.
+    /// Limit of the bytes that wait to be sent. A peer that does not read and exceeds it is
+    /// disconnected.
     std::size_t waiting_bytes = 8 * 1024 * 1024;
-    // A ping goes out after this long without a byte; without any answer for as long again the peer
-    // is gone. Zero: never.
+    /// A PING is sent when nothing was received for this time. The connection is closed if nothing
+    /// is received for the same time again. 0 disables both.
     Micros keepalive{};
 };
 
 class GrpcConnection;
 
+/// One call. The connection and the user share it; when it is closed, sending has no effect.
 class GrpcCall : public std::enable_shared_from_this<GrpcCall> {
 public:
     GrpcCall(GrpcConnection& connection, std::int32_t stream, std::string path,
-             std::size_t message_most);
+             std::size_t max_message_bytes);
 
     std::function<void(std::string_view)> on_message;
-    // The other side ended its half in order.
+    /// The peer has ended its half of the call normally.
     std::function<void()> on_half_closed;
-    // Over, whatever the cause: once. The text is empty after a good end.
+    /// The call is closed, for whatever reason. Called once, with the reason; empty after a normal
+    /// end.
     std::function<void(std::string)> on_closed;
 
     const std::string& path() const { return path_; }
 
     std::string peer() const;
-    // Bytes that wait on this call's connection.
+    /// Bytes that wait to be sent on the connection of this call.
     std::size_t waiting() const;
 
     bool open() const { return connection_ != nullptr; }
 
     void send(std::string_view message);
-    // A message whose first part is sent alike to many.
+    /// Sends a message whose first part is shared with other calls, without copying that part.
     void send(std::shared_ptr<const std::string> common, std::string_view rest);
-    // Server: ends the call with a status. Client: ends its half.
-    void finish(GrpcStatus status = GrpcStatus::Ok, std::string_view why = {});
-    // Gives the whole connection up at once.
-    void abort(const std::string& why);
-    // What is sent until the matching uncork leaves in one piece.
+    /// Server: ends the call with a status. Client: ends its half of the call.
+    void finish(GrpcStatus status = GrpcStatus::Ok, std::string_view message = {});
+    /// Closes the whole connection at once.
+    void abort(const std::string& reason);
+    /// Collects the messages that are sent until the matching uncork(), to write them at once.
     void cork();
     void uncork();
 
 private:
     friend class GrpcConnection;
-    void over(const std::string& why);
+    void end(const std::string& reason);
 
     GrpcConnection* connection_;
     std::int32_t stream_;
     std::string path_;
     GrpcFramer framer_;
     bool finished_ = false;
-    std::string status_;  // client: what the trailers said, if not good
+    /// Client: the status in the trailers, as text, unless it is OK.
+    std::string status_;
 };
 
 using GrpcCallPtr = std::shared_ptr<GrpcCall>;
 
+/// One HTTP/2 connection that carries gRPC calls.
 class GrpcConnection : public std::enable_shared_from_this<GrpcConnection> {
 public:
     GrpcConnection(Loop& loop, base::ActorId actor, Http2Session::Role role, StreamPtr stream,
                    GrpcLimits limits);
     ~GrpcConnection();
 
-    // Server: a call was opened; its handlers are to be set in here.
+    /// Server: a call was opened. The callback sets the handlers of the call; without `on_message`
+    /// the call ends with UNIMPLEMENTED.
     std::function<void(GrpcCallPtr)> on_call;
-    // The connection is over; not called from close().
+    /// The connection is closed, with the reason; empty after a normal end. Not called from
+    /// close().
     std::function<void(std::string)> on_closed;
 
     void start();
+    /// Client: opens a call of the method at `path`.
     GrpcCallPtr call(const std::string& path);
-    // Ends in order: a GOAWAY, then what is queued, then the socket.
+    /// Closes normally: sends GOAWAY and what is queued, then closes the socket.
     void close();
-    // Ends at once; calls hear `why`.
-    void abort(const std::string& why);
+    /// Closes at once. `reason` is passed to the calls.
+    void abort(const std::string& reason);
 
     std::string peer() const { return stream_->peer(); }
 
+    /// Bytes that wait to be sent.
     std::size_t waiting() const { return session_.queued() + stream_->unsent(); }
 
 private:
     friend class GrpcCall;
-    void came(std::string_view bytes);
-    void headers(std::int32_t id, const Http2Headers& headers, bool last);
+    void on_bytes(std::string_view bytes);
+    void handle_headers(std::int32_t id, const Http2Headers& headers, bool last);
+    /// Writes what the session has to send. Fails the connection if too many bytes wait then.
     void flush();
-    void fail(const std::string& why);
-    void end_calls(const std::string& why);
-    void look();
+    /// Closes the connection with a reason, empty for a normal end. While the session processes
+    /// received bytes, the close is deferred.
+    void fail(const std::string& reason);
+    void end_calls(const std::string& reason);
+    void check_keepalive();
 
     Loop& loop_;
     Http2Session::Role role_;
@@ -140,33 +159,40 @@
     Http2Session session_;
     std::map<std::int32_t, GrpcCallPtr> calls_;
     base::Timer keepalive_;
-    Micros heard_{};
-    bool pinged_ = false, feeding_ = false, over_ = false;
+    Micros last_received_at_{};
+    bool ping_pending_ = false;
+    /// Whether the session is processing received bytes.
+    bool receiving_ = false;
+    bool ended_ = false;
+    /// Number of cork() calls without their uncork().
     int corks_ = 0;
-    std::string failed_;
+    /// Reason of a failure while `receiving_`, handled afterwards.
+    std::string deferred_failure_;
 };
 
 using GrpcConnectionPtr = std::shared_ptr<GrpcConnection>;
 
+/// Accepts connections at one address and passes their calls on.
 class GrpcServer {
 public:
     GrpcServer(Loop& loop, base::ActorId actor, std::string host, const Address& at,
-               GrpcLimits limits, std::size_t connections_most);
+               GrpcLimits limits, std::size_t max_connections);
     ~GrpcServer();
 
     std::function<void(GrpcCallPtr)> on_call;
-    // For the log: a connection that ended badly or was refused.
-    std::function<void(const std::string& peer, const std::string& why)> on_trouble;
+    /// For the log: a connection that ended with an error or was refused.
+    std::function<void(const std::string& peer, const std::string& reason)> on_trouble;
 
-    // No connection can be taken for want of descriptors.
-    void on_exhausted(std::function<void(std::string)> told) {
-        listener_->on_trouble(std::move(told));
+    /// Sets the callback for a failure to accept a connection, for example for lack of file
+    /// descriptors.
+    void on_exhausted(std::function<void(std::string)> callback) {
+        listener_->on_trouble(std::move(callback));
     }
 
     Address address() const { return listener_->address(); }
 
-    // All connections in order (true) or at once.
-    void close(bool in_order);
+    /// Closes all connections, normally if `graceful`, else at once.
+    void close(bool graceful);
 
     std::size_t connections() const { return connections_.size(); }
 
@@ -175,8 +201,8 @@
     Loop& loop_;
     base::ActorId actor_;
     GrpcLimits limits_;
-    std::size_t most_;
-    std::uint64_t ids_ = 0;
+    std::size_t max_connections_;
+    std::uint64_t last_id_ = 0;
     std::map<std::uint64_t, GrpcConnectionPtr> connections_;
     std::unique_ptr<Listener> listener_;
 };
