--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -15,9 +15,9 @@
 }
 
 HttpServer::HttpServer(Loop& loop, base::ActorId actor, std::string host, const Address& at,
-                       HttpLimits limits, std::size_t connections_most)
+                       HttpLimits limits, std::size_t max_connections)
     : limits_(limits),
-      most_(connections_most),
+      max_connections_(max_connections),
       listener_(
           std::make_unique<Listener>(loop, actor, std::move(host), at,
                                      [this](StreamPtr stream) { accept(std::move(stream)); })) {}
@@ -34,25 +34,25 @@
 }
 
 void HttpServer::accept(StreamPtr stream) {
-    if (connections_.size() >= most_) {
+    if (connections_.size() >= max_connections_) {
         if (on_trouble) {
-            on_trouble(stream->peer(), "refused: too many connections");
+            on_trouble(stream->peer(), "connection refused: the connection limit is reached");
         }
         stream->close(true);
         return;
     }
-    const std::uint64_t id = ++ids_;
+    const std::uint64_t id = ++last_id_;
     Connection& connection = connections_[id];
     connection.stream = stream;
     connection.parser = std::make_unique<Http1Parser>(
         Http1Parser::Kind::Requests, limits_, [this, id](HttpMessage message) {
             const auto it = connections_.find(id);
             if (it != connections_.end()) {
-                it->second.waiting.push_back(std::move(message));
+                it->second.pipelined.push_back(std::move(message));
             }
         });
     stream->on_data = [this, id](std::string_view bytes) {
-        came(id, bytes);
+        on_bytes(id, bytes);
     };
     stream->on_end = [this, id](std::string) {
         drop(id, false);
@@ -62,42 +62,41 @@
     }
 }
 
-void HttpServer::came(std::uint64_t id, std::string_view bytes) {
+void HttpServer::on_bytes(std::uint64_t id, std::string_view bytes) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) {
         return;
     }
-    const bool good = it->second.parser->feed(bytes);
-    if (!good) {
+    const bool valid = it->second.parser->feed(bytes);
+    if (!valid) {
         if (on_trouble) {
-            on_trouble(it->second.stream->peer(),
-                       "no good HTTP/1.1: " + it->second.parser->error());
+            on_trouble(it->second.stream->peer(), "HTTP/1.1 error: " + it->second.parser->error());
         }
-        HttpMessage refusal;
-        refusal.status = 400;
-        refusal.body = it->second.parser->error() + "\n";
-        refusal.keep_alive = false;
-        it->second.stream->send(to_bytes_response(refusal));
+        HttpMessage error_response;
+        error_response.status = 400;
+        error_response.body = it->second.parser->error() + "\n";
+        error_response.keep_alive = false;
+        it->second.stream->send(to_bytes_response(error_response));
         return drop(id, false);
     }
-    // A client that sends on and on without waiting for answers is not let fill our memory.
-    if (it->second.waiting.size() > 64) {
+    // Limits the memory that a client can use by pipelining requests without waiting for answers.
+    if (it->second.pipelined.size() > 64) {
         return drop(id, true);
     }
-    next(id);
+    start_next(id);
 }
 
-void HttpServer::next(std::uint64_t id) {
+void HttpServer::start_next(std::uint64_t id) {
     const auto it = connections_.find(id);
-    if (it == connections_.end() || it->second.now || it->second.waiting.empty()) {
+    if (it == connections_.end() || it->second.current || it->second.pipelined.empty()) {
         return;
     }
     const auto exchange = std::make_shared<HttpExchange>();
-    exchange->request = std::move(it->second.waiting.front());
-    it->second.waiting.pop_front();
+    exchange->request = std::move(it->second.pipelined.front());
+    it->second.pipelined.pop_front();
     exchange->server_ = this;
     exchange->connection_ = id;
-    it->second.now = exchange;
+    it->second.current = exchange;
     it->second.last = !exchange->request.keep_alive;
     if (on_request) {
         on_request(exchange);
@@ -115,12 +114,12 @@
         response.keep_alive = false;
     }
     const bool last = !response.keep_alive;
-    it->second.now.reset();
+    it->second.current.reset();
     it->second.stream->send(to_bytes_response(response));
     if (last) {
         return drop(id, false);
     }
-    next(id);
+    start_next(id);
 }
 
 void HttpServer::drop(std::uint64_t id, bool abort) {
@@ -128,14 +127,14 @@
     if (it == connections_.end()) {
         return;
     }
-    // Destroyed only after the callbacks: the parser may be what is calling.
-    const auto gone = std::make_shared<Connection>(std::move(it->second));
+    // Destroyed after the callbacks: a callback of its parser may be running now.
+    const auto closed = std::make_shared<Connection>(std::move(it->second));
     connections_.erase(it);
-    gone->stream->close(abort);
-    if (gone->now) {
-        gone->now->connection_ = 0;
-        if (gone->now->on_gone) {
-            std::exchange(gone->now->on_gone, {})();
+    closed->stream->close(abort);
+    if (closed->current) {
+        closed->current->connection_ = 0;
+        if (closed->current->on_gone) {
+            std::exchange(closed->current->on_gone, {})();
         }
     }
 }
@@ -143,167 +142,170 @@
 // ---- HttpPool
 
 HttpPool::HttpPool(Loop& loop, base::ActorId actor, std::string host, Address to,
-                   Micros connect_timeout, Micros idle)
+                   Micros connect_timeout, Micros idle_timeout)
     : loop_(loop),
       actor_(actor),
       host_(std::move(host)),
       to_(std::move(to)),
       connect_timeout_(connect_timeout),
-      idle_(idle),
-      sweep_(loop.clock(), actor) {}
+      idle_timeout_(idle_timeout),
+      cleanup_timer_(loop.clock(), actor) {}
 
 HttpPool::~HttpPool() {
-    for (auto& [id, link] : links_) {
-        link->stream->close(true);
+    for (auto& [id, connection] : connections_) {
+        connection->stream->close(true);
     }
 }
 
-HttpPool::TryId HttpPool::send(HttpMessage request, Micros timeout, Done done, Micros silence) {
-    const TryId id = ++ids_;
-    auto fresh = std::make_unique<Try>();
-    fresh->request = std::move(request);
-    fresh->done = std::move(done);
-    fresh->limit = base::Timer(loop_.clock(), actor_);
-    Try& now = *fresh;
-    tries_[id] = std::move(fresh);
-    now.silence = silence;
-    now.due = loop_.clock().now() + timeout;
-    now.limit.at(now.due, [this, id] { overdue(id); });
-    for (auto& [link_id, link] : links_) {
-        if (!link->now && !link->dead) {
-            on_link(id, link_id);
+HttpPool::TryId HttpPool::send(HttpMessage request, Micros timeout, Done done, Micros max_pause) {
+    const TryId id = ++last_id_;
+    auto added = std::make_unique<Attempt>();
+    added->request = std::move(request);
+    added->done = std::move(done);
+    added->timeout_timer = base::Timer(loop_.clock(), actor_);
+    Attempt& attempt = *added;
+    attempts_[id] = std::move(added);
+    attempt.max_pause = max_pause;
+    attempt.deadline = loop_.clock().now() + timeout;
+    attempt.timeout_timer.at(attempt.deadline, [this, id] { on_deadline(id); });
+    for (auto& [connection_id, connection] : connections_) {
+        if (!connection->attempt && !connection->closing) {
+            send_on(id, connection_id);
             return id;
         }
     }
-    now.fresh = true;
-    now.dial = std::make_unique<Dial>(loop_, actor_, host_, to_, connect_timeout_,
-                                      [this, id](StreamPtr stream, std::string why) {
-                                          if (stream) {
-                                              return add_link(id, std::move(stream));
-                                          }
-                                          HttpOutcome outcome;
-                                          outcome.why = std::move(why);
-                                          outcome.fresh_connection = true;
-                                          end(id, std::move(outcome));
-                                      });
+    attempt.fresh_connection = true;
+    attempt.dial = std::make_unique<Dial>(loop_, actor_, host_, to_, connect_timeout_,
+                                          [this, id](StreamPtr stream, std::string reason) {
+                                              if (stream) {
+                                                  return add_connection(id, std::move(stream));
+                                              }
+                                              HttpOutcome outcome;
+                                              outcome.why = std::move(reason);
+                                              outcome.fresh_connection = true;
+                                              end(id, std::move(outcome));
+                                          });
     return id;
 }
 
-void HttpPool::overdue(TryId id) {
-    // What came while this process had no processor lies unread: that is not the peer's silence.
-    if (const auto it = tries_.find(id); it != tries_.end() && it->second->link) {
-        const StreamPtr stream = links_.at(it->second->link)->stream;
+void HttpPool::on_deadline(TryId id) {
+    // The answer may have arrived unread while this process did not run. Then the peer is not late.
+    if (const auto it = attempts_.find(id); it != attempts_.end() && it->second->connection_id) {
+        const StreamPtr stream = connections_.at(it->second->connection_id)->stream;
         stream->take_unread();
     }
-    const auto it = tries_.find(id);
-    if (it == tries_.end()) {
+    const auto it = attempts_.find(id);
+    if (it == attempts_.end()) {
         return;
     }
-    Try& now = *it->second;
-    if (now.due > loop_.clock().now()) {
-        return now.limit.at(now.due, [this, id] { overdue(id); });
+    Attempt& attempt = *it->second;
+    if (attempt.deadline > loop_.clock().now()) {
+        return attempt.timeout_timer.at(attempt.deadline, [this, id] { on_deadline(id); });
     }
     HttpOutcome outcome;
-    outcome.how = now.written ? HttpOutcome::How::TimedOut : HttpOutcome::How::NeverSent;
+    outcome.how = attempt.written ? HttpOutcome::How::TimedOut : HttpOutcome::How::NeverSent;
     outcome.why = "timed out";
-    outcome.fresh_connection = now.fresh;
-    const std::uint64_t link = now.link;
+    outcome.fresh_connection = attempt.fresh_connection;
+    const std::uint64_t connection_id = attempt.connection_id;
     end(id, std::move(outcome));
-    if (link) {
-        link_over(link, "given up");
+    if (connection_id) {
+        close_connection(connection_id, "attempt timed out");
     }
 }
 
-void HttpPool::add_link(TryId id, StreamPtr stream) {
-    const auto it = tries_.find(id);
-    if (it == tries_.end()) {
+void HttpPool::add_connection(TryId id, StreamPtr stream) {
+    const auto it = attempts_.find(id);
+    if (it == attempts_.end()) {
         return stream->close(true);
     }
-    const std::uint64_t link_id = ++ids_;
-    auto link = std::make_unique<Link>();
-    link->stream = std::move(stream);
-    link->idle = base::Timer(loop_.clock(), actor_);
-    link->parser = std::make_unique<Http1Parser>(
-        Http1Parser::Kind::Responses, HttpLimits{},
-        [this, link_id](HttpMessage response) { answered(link_id, std::move(response)); });
-    Link& now = *link;
-    links_[link_id] = std::move(link);
-    now.stream->on_data = [this, link_id](std::string_view bytes) {
-        const auto at = links_.find(link_id);
-        if (at == links_.end()) {
+    const std::uint64_t connection_id = ++last_id_;
+    auto added = std::make_unique<PooledConnection>();
+    added->stream = std::move(stream);
+    added->idle_timer = base::Timer(loop_.clock(), actor_);
+    added->parser = std::make_unique<Http1Parser>(
+        Http1Parser::Kind::Responses, HttpLimits{}, [this, connection_id](HttpMessage response) {
+            on_response(connection_id, std::move(response));
+        });
+    PooledConnection& connection = *added;
+    connections_[connection_id] = std::move(added);
+    connection.stream->on_data = [this, connection_id](std::string_view bytes) {
+        const auto found = connections_.find(connection_id);
+        if (found == connections_.end()) {
             return;
         }
-        Link& here = *at->second;
-        if (const auto now = tries_.find(here.now);
-            now != tries_.end() && now->second->silence > Micros{0}) {
-            now->second->due =
-                std::max(now->second->due, loop_.clock().now() + now->second->silence);
+        PooledConnection& receiving = *found->second;
+        if (const auto attempt = attempts_.find(receiving.attempt);
+            attempt != attempts_.end() && attempt->second->max_pause > Micros{0}) {
+            attempt->second->deadline = std::max(attempt->second->deadline,
+                                                 loop_.clock().now() + attempt->second->max_pause);
         }
-        here.feeding = true;
-        const bool good = here.parser->feed(bytes);
-        here.feeding = false;
-        if (!good) {
-            link_over(link_id, "no good HTTP/1.1: " + here.parser->error());
-        } else if (here.dead) {
-            link_over(link_id, "closed");
+        receiving.parsing = true;
+        const bool valid = receiving.parser->feed(bytes);
+        receiving.parsing = false;
+        if (!valid) {
+            close_connection(connection_id, "HTTP/1.1 error: " + receiving.parser->error());
+        } else if (receiving.closing) {
+            close_connection(connection_id, "closed");
         }
     };
-    now.stream->on_end = [this, link_id](std::string why) {
-        link_over(link_id, why);
+    connection.stream->on_end = [this, connection_id](std::string reason) {
+        close_connection(connection_id, reason);
     };
-    on_link(id, link_id);
+    send_on(id, connection_id);
 }
 
-void HttpPool::on_link(TryId id, std::uint64_t link_id) {
-    Try& now = *tries_.at(id);
-    Link& link = *links_.at(link_id);
-    now.link = link_id;
-    now.written = true;
-    link.now = id;
-    link.idle.stop();
-    link.stream->send(to_bytes_request(now.request, to_text(to_)));
+void HttpPool::send_on(TryId id, std::uint64_t connection_id) {
+    Attempt& attempt = *attempts_.at(id);
+    PooledConnection& connection = *connections_.at(connection_id);
+    attempt.connection_id = connection_id;
+    attempt.written = true;
+    connection.attempt = id;
+    connection.idle_timer.stop();
+    connection.stream->send(to_bytes_request(attempt.request, to_text(to_)));
 }
 
-void HttpPool::answered(std::uint64_t link_id, HttpMessage response) {
-    Link& link = *links_.at(link_id);
-    const TryId id = std::exchange(link.now, 0);
+void HttpPool::on_response(std::uint64_t connection_id, HttpMessage response) {
+    PooledConnection& connection = *connections_.at(connection_id);
+    const TryId id = std::exchange(connection.attempt, 0);
     if (!response.keep_alive || retired_) {
-        link.dead = true;
+        connection.closing = true;
     } else {
-        link.idle.after(idle_, [this, link_id] { link_over(link_id, "idle"); });
+        connection.idle_timer.after(idle_timeout_, [this, connection_id] {
+            close_connection(connection_id, "idle timeout");
+        });
     }
     if (id == 0) {
-        link.dead = true;  // an answer that nobody asked for
+        connection.closing = true;  // a response without a request
         return;
     }
     HttpOutcome outcome;
     outcome.how = HttpOutcome::How::Answered;
     outcome.response = std::move(response);
-    if (const auto it = tries_.find(id); it != tries_.end()) {
-        outcome.fresh_connection = it->second->fresh;
+    if (const auto it = attempts_.find(id); it != attempts_.end()) {
+        outcome.fresh_connection = it->second->fresh_connection;
     }
     end(id, std::move(outcome));
 }
 
-void HttpPool::link_over(std::uint64_t link_id, const std::string& why) {
-    const auto it = links_.find(link_id);
-    if (it == links_.end()) {
+void HttpPool::close_connection(std::uint64_t connection_id, const std::string& reason) {
+    const auto it = connections_.find(connection_id);
+    if (it == connections_.end()) {
         return;
     }
-    if (it->second->feeding) {
-        it->second->dead = true;
+    if (it->second->parsing) {
+        it->second->closing = true;
         return;
     }
-    auto link = std::move(it->second);
-    links_.erase(it);
-    link->stream->close(link->now != 0);
-    const TryId id = link->now;
-    link->idle.stop();
-    dead_links_.push_back(std::move(link));
-    if (!sweep_.set()) {
-        sweep_.after(Micros{0}, [this] {
-            dead_links_.clear();
-            dead_tries_.clear();
+    auto connection = std::move(it->second);
+    connections_.erase(it);
+    connection->stream->close(connection->attempt != 0);
+    const TryId id = connection->attempt;
+    connection->idle_timer.stop();
+    closed_connections_.push_back(std::move(connection));
+    if (!cleanup_timer_.set()) {
+        cleanup_timer_.after(Micros{0}, [this] {
+            closed_connections_.clear();
+            ended_attempts_.clear();
         });
     }
     if (id == 0) {
@@ -311,43 +313,44 @@
     }
     HttpOutcome outcome;
     outcome.how = HttpOutcome::How::Broken;
-    outcome.why = why;
+    outcome.why = reason;
     end(id, std::move(outcome));
 }
 
 void HttpPool::cancel(TryId id) {
-    const auto it = tries_.find(id);
-    if (it == tries_.end()) {
+    const auto it = attempts_.find(id);
+    if (it == attempts_.end()) {
         return;
     }
     it->second->done = {};
-    const std::uint64_t link = it->second->link;
+    const std::uint64_t connection_id = it->second->connection_id;
     end(id, {});
-    if (const auto at = links_.find(link); at != links_.end()) {
-        at->second->now = 0;
-        link_over(link, "cancelled");
+    if (const auto found = connections_.find(connection_id); found != connections_.end()) {
+        found->second->attempt = 0;
+        close_connection(connection_id, "attempt cancelled");
     }
 }
 
 void HttpPool::end(TryId id, HttpOutcome outcome) {
-    const auto it = tries_.find(id);
-    if (it == tries_.end()) {
+    const auto it = attempts_.find(id);
+    if (it == attempts_.end()) {
         return;
     }
-    auto now = std::move(it->second);
-    tries_.erase(it);
-    now->limit.stop();
-    // The link of a try that ended early is closed by whoever ended it; it must not answer this one
-    // again.
-    if (const auto at = links_.find(now->link); at != links_.end() && at->second->now == id) {
-        at->second->now = 0;
-    }
-    const Done done = std::move(now->done);
-    dead_tries_.push_back(std::move(now));
-    if (!sweep_.set()) {
-        sweep_.after(Micros{0}, [this] {
-            dead_links_.clear();
-            dead_tries_.clear();
+    auto attempt = std::move(it->second);
+    attempts_.erase(it);
+    attempt->timeout_timer.stop();
+    // The caller closes the connection of an attempt that ended early. That must not end this
+    // attempt again.
+    if (const auto found = connections_.find(attempt->connection_id);
+        found != connections_.end() && found->second->attempt == id) {
+        found->second->attempt = 0;
+    }
+    const Done done = std::move(attempt->done);
+    ended_attempts_.push_back(std::move(attempt));
+    if (!cleanup_timer_.set()) {
+        cleanup_timer_.after(Micros{0}, [this] {
+            closed_connections_.clear();
+            ended_attempts_.clear();
         });
     }
     if (done) {
@@ -357,9 +360,9 @@
 
 void HttpPool::take_unread() {
     std::vector<StreamPtr> streams;
-    streams.reserve(links_.size());
-    for (const auto& [id, link] : links_) {
-        streams.push_back(link->stream);
+    streams.reserve(connections_.size());
+    for (const auto& [id, connection] : connections_) {
+        streams.push_back(connection->stream);
     }
     for (const StreamPtr& stream : streams) {
         stream->take_unread();
@@ -369,13 +372,13 @@
 void HttpPool::retire() {
     retired_ = true;
     std::vector<std::uint64_t> idle;
-    for (const auto& [id, link] : links_) {
-        if (!link->now) {
+    for (const auto& [id, connection] : connections_) {
+        if (!connection->attempt) {
             idle.push_back(id);
         }
     }
     for (const auto id : idle) {
-        link_over(id, "retired");
+        close_connection(id, "retired");
     }
 }
 
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,5 +1,7 @@
-// A small HTTP/1.1 server and client on streams: for the registry, probes, workers, forwarders and
-// clients.
+/// A small HTTP/1.1 server and client on streams. Used for the registry, health checks, and the
+/// fakes of the testbed: servers, proxies and clients. The server answers pipelined requests of a
+/// connection one after the other. The client keeps connections to one address alive and runs one
+/// request at a time on each.
 #pragma once
 
 #include <deque>
@@ -16,45 +18,50 @@
 
 class HttpServer;
 
-// One request that waits for its answer. The answer may come later; the peer may go away meanwhile.
+/// A request that the server has received and not answered yet. The answer may be given at any
+/// later time; meanwhile the client may close the connection.
 class HttpExchange {
 public:
     HttpMessage request;
-    // The client went away before the answer.
+    /// The connection closed before the answer.
     std::function<void()> on_gone;
 
+    /// Whether the connection is open and the request is not answered yet.
     bool open() const { return connection_ != 0; }
 
     void answer(HttpMessage response);
-    // Breaks the connection off without an answer.
+    /// Resets the connection instead of answering.
     void break_off();
 
 private:
     friend class HttpServer;
     HttpServer* server_ = nullptr;
+    /// Id of the connection; 0 when answered or closed.
     std::uint64_t connection_ = 0;
 };
 
 using HttpExchangePtr = std::shared_ptr<HttpExchange>;
 
+/// Accepts connections at one address and passes on their requests.
 class HttpServer {
 public:
     HttpServer(Loop& loop, base::ActorId actor, std::string host, const Address& at,
-               HttpLimits limits, std::size_t connections_most);
+               HttpLimits limits, std::size_t max_connections);
     ~HttpServer();
 
     std::function<void(HttpExchangePtr)> on_request;
-    // A connection was taken; tells how many stand now. May be unset.
+    /// A connection was accepted; the argument is the number of open connections. May be unset.
     std::function<void(std::size_t)> on_connection;
-    std::function<void(const std::string& peer, const std::string& why)> on_trouble;
+    /// For the log: a connection was refused or sent invalid HTTP. May be unset.
+    std::function<void(const std::string& peer, const std::string& reason)> on_trouble;
 
     Address address() const { return listener_->address(); }
 
     std::size_t connections() const { return connections_.size(); }
 
-    void limit_connections(std::size_t most) { most_ = most; }
+    void limit_connections(std::size_t max_connections) { max_connections_ = max_connections; }
 
-    // Ends all connections at once, as when the process dies.
+    /// Stops listening and resets all connections, as when the process crashes.
     void abort();
 
 private:
@@ -63,100 +70,126 @@
     struct Connection {
         StreamPtr stream;
         std::unique_ptr<Http1Parser> parser;
-        std::deque<HttpMessage> waiting;
-        HttpExchangePtr now;
-        bool feeding = false, last = false;
+        /// Pipelined requests behind the current one.
+        std::deque<HttpMessage> pipelined;
+        /// The request that is being answered, if any.
+        HttpExchangePtr current;
+        bool feeding = false;
+        /// Whether the connection closes after the current answer.
+        bool last = false;
     };
 
     void accept(StreamPtr stream);
-    void came(std::uint64_t id, std::string_view bytes);
-    void next(std::uint64_t id);
+    void on_bytes(std::uint64_t id, std::string_view bytes);
+    /// Starts the next pipelined request if none is being answered.
+    void start_next(std::uint64_t id);
     void answer(std::uint64_t id, HttpMessage response);
+    /// Closes the connection, with a reset if `abort`.
     void drop(std::uint64_t id, bool abort);
 
     HttpLimits limits_;
-    std::size_t most_;
-    std::uint64_t ids_ = 0;
+    std::size_t max_connections_;
+    std::uint64_t last_id_ = 0;
     std::map<std::uint64_t, Connection> connections_;
     std::unique_ptr<Listener> listener_;
 };
 
-// How a try over HTTP ended, with what it proves about the far side.
+/// How an attempt over HTTP ended, and what that shows about its execution at the peer.
 struct HttpOutcome {
     enum class How {
         Answered,
-        NeverSent,  // refused, no connection, nothing written: it surely never ran
-        Broken,     // the connection broke after bytes were written: it may have run
-        TimedOut,
+        NeverSent,  // not connected or nothing written: the request was not executed
+        Broken,     // the connection broke after bytes were written: it may have been executed
+        TimedOut,   // no answer in time after bytes were written: it may have been executed
     };
     How how = How::NeverSent;
+    /// Valid if answered.
     HttpMessage response;
+    /// Reason of a failure.
     std::string why;
+    /// Whether the attempt opened a connection.
     bool fresh_connection = false;
 };
 
-// Connections to one address, kept open between tries, one try at a time on each.
+/// Connection pool for one address. A connection carries one attempt at a time and is kept open for
+/// the next one; an attempt that finds none idle opens one.
 class HttpPool {
 public:
     HttpPool(Loop& loop, base::ActorId actor, std::string host, Address to, Micros connect_timeout,
-             Micros idle);
+             Micros idle_timeout);
     ~HttpPool();
 
     using Done = std::function<void(HttpOutcome)>;
     using TryId = std::uint64_t;
-    // `timeout` counts from now; `done` is called once, never from within send(). Where `silence`
-    // is given, an answer that has begun may take longer, as long as no pause in it is longer than
-    // that.
-    TryId send(HttpMessage request, Micros timeout, Done done, Micros silence = Micros{0});
-    // Gives a try up: its connection is closed, `done` is not called.
+    /// Starts an attempt that ends after `timeout` at the latest. `done` is called once, never from
+    /// within send(). If `max_pause` is not 0, each part of the answer extends the deadline to at
+    /// least that long after it.
+    TryId send(HttpMessage request, Micros timeout, Done done, Micros max_pause = Micros{0});
+    /// Cancels an attempt: its connection is closed and `done` is not called.
     void cancel(TryId id);
 
-    std::size_t connections() const { return links_.size(); }
+    std::size_t connections() const { return connections_.size(); }
 
-    // Reads what has come on all connections, without waiting for their turn.
+    /// Reads the bytes that the kernel has received on all connections, without waiting for the
+    /// loop to reach them (see Stream::take_unread).
     void take_unread();
-    // Closes what is idle and every other connection when its try is over.
+    /// Closes idle connections now, and each other one when its attempt ends.
     void retire();
 
 private:
-    struct Try {
+    struct Attempt {
         HttpMessage request;
         Done done;
-        base::Timer limit;
+        base::Timer timeout_timer;
         std::unique_ptr<Dial> dial;
-        std::uint64_t link = 0;
-        bool written = false, fresh = false;
-        Micros silence{}, due{};
+        /// Id of its connection; 0 while connecting.
+        std::uint64_t connection_id = 0;
+        /// Whether the request was given to a connection.
+        bool written = false;
+        /// Whether the connection was opened for this attempt.
+        bool fresh_connection = false;
+        Micros max_pause{};
+        Micros deadline{};
     };
 
-    struct Link {
+    struct PooledConnection {
         StreamPtr stream;
         std::unique_ptr<Http1Parser> parser;
-        base::Timer idle;
-        TryId now = 0;
-        bool feeding = false, dead = false;
+        base::Timer idle_timer;
+        /// The attempt that uses the connection; 0 for none.
+        TryId attempt = 0;
+        /// Whether the parser is processing received bytes; closing is deferred meanwhile.
+        bool parsing = false;
+        /// Whether the connection closes and must not be used again.
+        bool closing = false;
     };
 
-    void overdue(TryId id);
-    void on_link(TryId id, std::uint64_t link);
-    void add_link(TryId id, StreamPtr stream);
-    void answered(std::uint64_t link, HttpMessage response);
-    void link_over(std::uint64_t link, const std::string& why);
+    void on_deadline(TryId id);
+    /// Sends the request of an attempt on an idle connection.
+    void send_on(TryId id, std::uint64_t connection_id);
+    /// Adds the connection that was opened for an attempt.
+    void add_connection(TryId id, StreamPtr stream);
+    void on_response(std::uint64_t connection_id, HttpMessage response);
+    /// Closes a connection. Its attempt, if any, ends as broken, with the reason.
+    void close_connection(std::uint64_t connection_id, const std::string& reason);
     void end(TryId id, HttpOutcome outcome);
 
     Loop& loop_;
     base::ActorId actor_;
     std::string host_;
     Address to_;
-    Micros connect_timeout_, idle_;
-    std::uint64_t ids_ = 0;
+    Micros connect_timeout_;
+    Micros idle_timeout_;
+    /// Last id given to an attempt or a connection.
+    std::uint64_t last_id_ = 0;
     bool retired_ = false;
-    std::map<TryId, std::unique_ptr<Try>> tries_;
-    std::map<std::uint64_t, std::unique_ptr<Link>> links_;
-    // What ended is destroyed at the next turn: it may be what is calling.
-    base::Timer sweep_;
-    std::vector<std::unique_ptr<Link>> dead_links_;
-    std::vector<std::unique_ptr<Try>> dead_tries_;
+    std::map<TryId, std::unique_ptr<Attempt>> attempts_;
+    std::map<std::uint64_t, std::unique_ptr<PooledConnection>> connections_;
+    /// Destroys what has ended in the next iteration of the loop: a callback of it may be running
+    /// now.
+    base::Timer cleanup_timer_;
+    std::vector<std::unique_ptr<PooledConnection>> closed_connections_;
+    std::vector<std::unique_ptr<Attempt>> ended_attempts_;
 };
 
 }  // namespace badgergrade::net
