--- a/src/replay/variant.h
+++ b/src/replay/variant.h
@@ -37,12 +37,12 @@
 std::optional<std::pair<std::string, std::string>> parse_override(const std::string& text);
 
 // The day's script under the trial's settings, checked against the day once more.
-scenario::DayScript make_script(const RecordedRun& day, const Variant& variant,
-                                std::vector<config::ConfigError>& mistakes);
+scenario::ScenarioScript make_script(const RecordedRun& day, const Variant& variant,
+                                     std::vector<config::ConfigError>& mistakes);
 
 struct ReplayInput {
-    scenario::DayScript script;
-    scenario::GivenWorld input;
+    scenario::ScenarioScript script;
+    scenario::RecordedScenario input;
 };
 
 // That script, and the recorded world with the ready-made changes.
--- a/tests/program/governor_test.cpp
+++ b/tests/program/governor_test.cpp
@@ -410,7 +410,7 @@
     fixture.start();
     fixture.run(1s);
     const int updates = fixture.logged("endpoints.updated");
-    fixture.registry->go_back(3);
+    fixture.registry->rewind_index(3);
     fixture.run(3s);
     EXPECT_EQ(fixture.logged("endpoints.updated"), updates);
     EXPECT_GE(fixture.logged("endpoints.watch_failed"), 1);
@@ -423,15 +423,15 @@
     fixture.list_four_servers();
     fixture.start();
     fixture.run(1s);
-    fixture.registry->hang(true);
+    fixture.registry->set_hanging(true);
     fixture.run(8s);
     EXPECT_GE(fixture.logged("endpoints.watch_failed"), 1);
-    fixture.registry->hang(false);
-    fixture.registry->garbage = "{\"registry\": 7";
+    fixture.registry->set_hanging(false);
+    fixture.registry->malformed_response = "{\"registry\": 7";
     fixture.list_server("e", "north", 9005);
     fixture.run(4s);
     const int updates = fixture.logged("endpoints.updated");
-    fixture.registry->garbage.clear();
+    fixture.registry->malformed_response.clear();
     fixture.run(10s);
     EXPECT_EQ(fixture.logged("endpoints.updated"), updates + 1);
 }
@@ -466,7 +466,7 @@
         {R"({"registry":"r","index":3,"servers":[{"id":"a","address":"1.2.3.4:5","state":"odd"}]})",
          "odd"},
         {R"({"registry":"r","index":-1,"servers":[{"id":"a","address":"1.2.3.4:5"},{"id":"a","address":"1.2.3.4:5"}]})",
-         "duplicate"},
+         "twice"},
     };
     for (const auto& [text, reason] : invalid_lists) {
         try {
--- a/tests/program/support.h
+++ b/tests/program/support.h
@@ -12,7 +12,7 @@
 
 #include "config/instance_config.h"
 #include "net/grpc.h"
-#include "testbed/registry.h"
+#include "testbed/fake_registry.h"
 #include "xds/ads_client.h"
 #include "xds_server/xds_server.h"
 
@@ -72,15 +72,15 @@
         log = std::make_unique<log::Log>(
             loop->clock(), log::Level::Debug, log::Form::Json,
             [this](const std::string& line) { log_lines.push_back(line); });
-        registry = std::make_unique<testbed::Registry>(*loop, base::ActorId{3}, "registry",
-                                                       net::Address{}, nullptr);
+        registry = std::make_unique<testbed::FakeRegistry>(*loop, base::ActorId{3}, "registry",
+                                                           net::Address{}, nullptr);
         config.registry_address = net::to_text(registry->address());
     }
 
     // Lists a server at 127.0.0.1:`port`, or changes its entry.
     void list_server(const std::string& id, const std::string& zone, int port,
                      ServerState state = ServerState::Ready) {
-        testbed::Registry::Row row;
+        testbed::FakeRegistry::Entry row;
         row.server.id = id;
         row.server.zone = zone;
         row.server.incarnation = "1";
@@ -116,7 +116,7 @@
     config::InstanceConfig config;
     std::vector<std::string> log_lines;
     std::unique_ptr<log::Log> log;
-    std::unique_ptr<testbed::Registry> registry;
+    std::unique_ptr<testbed::FakeRegistry> registry;
     std::unique_ptr<xds_server::XdsServer> server;
 };
 
