--- a/src/scenario/auditor.h
+++ b/src/scenario/auditor.h
@@ -42,7 +42,7 @@
 public:
     Auditor(base::Clock& clock, const config::InstanceConfig& config);
 
-    const std::vector<RuleViolation>& violations() const { return breaks_; }
+    const std::vector<RuleViolation>& violations() const { return violations_; }
 
     std::int64_t violation_count(const std::string& rule) const;
     // Times in the rules grow by this factor from now on (a slow channel), and back.
@@ -59,76 +59,77 @@
 
     std::int64_t check_count(const std::string& rule) const;
 
-    void on_proxy_stopped(Micros, const std::string& forwarder) override;
-    void on_proxy_connected(Micros, const std::string& forwarder,
-                            const std::string& governor) override;
-    void on_proxy_disconnected(Micros, const std::string& forwarder,
-                               const std::string& governor) override;
-    void on_response(Micros, const std::string& forwarder, const std::string& governor,
-                     const std::string& orders, std::size_t bytes, const std::string& why) override;
-    void on_endpoint_availability(Micros, const std::string& forwarder, int operation,
-                                  bool any) override;
-    void on_attempt_sent(Micros, const std::string& forwarder, const std::string& server,
+    void on_proxy_stopped(Micros, const std::string& proxy) override;
+    void on_proxy_connected(Micros, const std::string& proxy, const std::string& instance) override;
+    void on_proxy_disconnected(Micros, const std::string& proxy,
+                               const std::string& instance) override;
+    void on_response(Micros, const std::string& proxy, const std::string& instance,
+                     const std::string& release_text, std::size_t bytes,
+                     const std::string& why) override;
+    void on_endpoint_availability(Micros, const std::string& proxy, int operation,
+                                  bool has_endpoint) override;
+    void on_attempt_sent(Micros, const std::string& proxy, const std::string& server,
                          std::uint64_t invocation, int operation, int number,
-                         testbed::AttemptOutcome before) override;
+                         testbed::AttemptOutcome previous_outcome) override;
     void on_server_started(Micros, const std::string& server, bool cold) override;
     void on_server_collapsed(Micros, const std::string& server,
                              const std::vector<ReceivedWork>& pushes) override;
     void on_execution_started(Micros, const std::string& server, std::uint64_t invocation,
                               int operation) override;
-    void on_server_list_sent(Micros, const std::string& governor,
+    void on_server_list_sent(Micros, const std::string& instance,
                              const xds_server::ServerList& list) override;
 
 private:
-    struct ForwarderSight {
-        std::string governor;  // empty: not joined
-        Micros joined{}, last_order{};
-        std::map<int, bool> any;
-        std::map<int, Micros> bare_since;
-        std::deque<Micros> messages;
+    struct ProxyState {
+        std::string instance;  // empty: not joined
+        Micros joined{}, last_update_decided_at{};
+        std::map<int, bool> has_endpoint;
+        std::map<int, Micros> without_endpoint_since;
+        std::deque<Micros> message_times;
     };
 
-    struct ListedSight {
+    struct ListedServerState {
         bool ready = false;
         Micros started{};  // 0: long ago
         Micros told{};     // when this start was first told
     };
 
-    struct GovernorSight {
-        std::map<std::string, ListedSight> servers;  // by id/incarnation
-        std::map<std::string, Micros> gone;          // told gone or draining
-        std::string registry;
-        std::uint64_t index = 0;
-        std::size_t servers_told = 0;
+    struct InstanceState {
+        std::map<std::string, ListedServerState> servers;  // by id/incarnation
+        std::map<std::string, Micros> removed_at;          // told gone or draining
+        std::string registry_incarnation;
+        std::uint64_t list_index = 0;
+        std::size_t listed_count = 0;
     };
 
-    struct Release {
+    struct QueueChange {
         Micros at{};
         double lines = 0;
     };
 
-    void report_violation(std::string rule, Micros when, std::string parties, std::string what);
-    bool warm_server_listed(const GovernorSight& sight, Micros now) const;
-    void look();
-    void look_at(const std::string& forwarder, ForwarderSight& sight, Micros now);
-    void take_order(Micros now, const std::string& forwarder, ForwarderSight& sight,
-                    const std::string& origin, const xds::ReleasedUpdate& order);
-    double stretch_since(Micros since) const;
+    void report_violation(std::string rule, Micros when, std::string parties,
+                          std::string description);
+    bool has_warm_server(const InstanceState& state, Micros now) const;
+    void check();
+    void check_proxy(const std::string& proxy, ProxyState& state, Micros now);
+    void record_update(Micros now, const std::string& proxy, ProxyState& state,
+                       const std::string& origin, const xds::ReleasedUpdate& update);
+    double time_limit_factor(Micros since) const;
 
     base::Clock& clock_;
     const config::InstanceConfig& config_;
-    base::Timer tick_;
-    std::map<std::string, ForwarderSight> forwarders_;
-    std::map<std::string, GovernorSight> governors_;
+    base::Timer check_timer_;
+    std::map<std::string, ProxyState> proxies_;
+    std::map<std::string, InstanceState> instances_;
     // By origin (a life of a governor): lines that waited, as +lines when ordered and -lines when
     // released.
     std::map<std::string, std::multimap<Micros, double>> queues_;
-    std::map<std::uint64_t, std::pair<Micros, std::string>> effects_;
+    std::map<std::uint64_t, std::pair<Micros, std::string>> first_effects_;
     std::map<std::string, Micros> started_;
-    std::set<std::pair<std::string, std::string>> told_;
-    std::vector<std::pair<Micros, double>> stretches_;
-    std::vector<RuleViolation> breaks_;
-    std::map<std::string, std::int64_t> counts_, checks_;
+    std::set<std::pair<std::string, std::string>> reported_;
+    std::vector<std::pair<Micros, double>> time_limit_factors_;
+    std::vector<RuleViolation> violations_;
+    std::map<std::string, std::int64_t> violation_counts_, checks_;
     Margins margins_;
 };
 
--- a/src/scenario/metrics.cpp
+++ b/src/scenario/metrics.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int kWindow = 10;
+constexpr int kWorstWindowSeconds = 10;
 
 double rounded(double v) {
     return std::round(v * 1e6) / 1e6;
@@ -42,8 +42,8 @@
             {"timed_out", s.timed_out}};
 }
 
-const char* name_of(testbed::AttemptOutcome end) {
-    switch (end) {
+const char* name_of(testbed::AttemptOutcome outcome) {
+    switch (outcome) {
         case testbed::AttemptOutcome::Answered:
             return "answered";
         case testbed::AttemptOutcome::Refused:
@@ -75,47 +75,47 @@
 }
 
 ScenarioMetrics::ScenarioMetrics(const ScenarioScript& script, Micros begin, Micros length,
-                                 std::map<std::string, std::string> zone_of_forwarder)
+                                 std::map<std::string, std::string> proxy_zones)
     : script_(script),
       begin_(begin),
-      zones_(std::move(zone_of_forwarder)),
+      proxy_zones_(std::move(proxy_zones)),
       by_operation_(script.operations.size()),
       by_second_(
           static_cast<std::size_t>(std::max<std::int64_t>(0, length.count()) / 1000000 + 1)) {}
 
-void ScenarioMetrics::on_invocation_arrived(Micros now, const testbed::Invocation& what) {
+void ScenarioMetrics::on_invocation_arrived(Micros now, const testbed::Invocation& invocation) {
     if (now >= begin_) {
-        open_[what.id] = what;
+        pending_[invocation.id] = invocation;
     }
 }
 
 void ScenarioMetrics::on_client_attempt(Micros, const testbed::Invocation&) {
-    ++client_tries_;
+    ++client_attempts_;
 }
 
-void ScenarioMetrics::on_invocation_finished(Micros now, const testbed::Invocation& what,
+void ScenarioMetrics::on_invocation_finished(Micros now, const testbed::Invocation& invocation,
                                              testbed::InvocationResult result) {
-    if (open_.erase(what.id) > 0) {
-        add(what, result, now - what.arrived_at);
+    if (pending_.erase(invocation.id) > 0) {
+        record(invocation, result, now - invocation.arrived_at);
     }
 }
 
-void ScenarioMetrics::add(const testbed::Invocation& what, testbed::InvocationResult result,
-                          Micros took) {
+void ScenarioMetrics::record(const testbed::Invocation& invocation,
+                             testbed::InvocationResult result, Micros response_time) {
     const auto& op =
-        script_.instance_config.settings.operations[static_cast<std::size_t>(what.operation)];
+        script_.instance_config.settings.operations[static_cast<std::size_t>(invocation.operation)];
     ServiceTotals one;
     one.invocations = 1;
     one.billed_value = op.priority_weight;
     switch (result) {
         case testbed::InvocationResult::Succeeded:
             one.succeeded = 1;
-            if (took <= op.latency_objective) {
+            if (response_time <= op.latency_objective) {
                 one.value_within_objective = op.priority_weight;
             } else {
                 one.late = 1;
             }
-            answered_.push_back(took);
+            response_times_.push_back(response_time);
             break;
         case testbed::InvocationResult::RateLimited:
             one.rate_limited = 1;
@@ -128,25 +128,25 @@
             break;
     }
     whole_ += one;
-    by_operation_[static_cast<std::size_t>(what.operation)] += one;
-    by_zone_[zones_[what.proxy]] += one;
+    by_operation_[static_cast<std::size_t>(invocation.operation)] += one;
+    by_zone_[proxy_zones_[invocation.proxy]] += one;
     const auto second = static_cast<std::size_t>(
-        std::max<std::int64_t>(0, (what.arrived_at - begin_).count() / 1000000));
+        std::max<std::int64_t>(0, (invocation.arrived_at - begin_).count() / 1000000));
     by_second_[std::min(second, by_second_.size() - 1)] += one;
 }
 
 void ScenarioMetrics::finish() {
-    for (const auto& [id, what] : std::exchange(open_, {})) {
-        add(what, testbed::InvocationResult::TimedOut, 0us);
+    for (const auto& [id, invocation] : std::exchange(pending_, {})) {
+        record(invocation, testbed::InvocationResult::TimedOut, 0us);
     }
 }
 
 ServiceTotals ScenarioMetrics::worst_window() const {
     ServiceTotals worst;
     bool any = false;
-    for (std::size_t at = 0; at + kWindow <= by_second_.size(); ++at) {
+    for (std::size_t at = 0; at + kWorstWindowSeconds <= by_second_.size(); ++at) {
         ServiceTotals sum;
-        for (std::size_t k = at; k < at + kWindow; ++k) {
+        for (std::size_t k = at; k < at + kWorstWindowSeconds; ++k) {
             sum += by_second_[k];
         }
         if (sum.billed_value > 0 && (!any || sum.fraction() < worst.fraction())) {
@@ -159,44 +159,43 @@
 
 // ---- orders
 
-void ScenarioMetrics::on_proxy_connected(Micros now, const std::string& forwarder,
-                                         const std::string& governor) {
-    forwarders_[forwarder] = {governor, now};
+void ScenarioMetrics::on_proxy_connected(Micros now, const std::string& proxy,
+                                         const std::string& instance) {
+    proxies_[proxy] = {instance, now};
 }
 
-void ScenarioMetrics::on_proxy_disconnected(Micros, const std::string& forwarder,
-                                            const std::string&) {
-    forwarders_[forwarder].governor.clear();
+void ScenarioMetrics::on_proxy_disconnected(Micros, const std::string& proxy, const std::string&) {
+    proxies_[proxy].instance.clear();
 }
 
-void ScenarioMetrics::on_response(Micros now, const std::string& forwarder,
-                                  const std::string& governor, const std::string& orders,
-                                  std::size_t bytes, const std::string& why) {
-    GovernorCounts& counts = governors_[governor];
+void ScenarioMetrics::on_response(Micros now, const std::string& proxy, const std::string& instance,
+                                  const std::string& release_text, std::size_t bytes,
+                                  const std::string& why) {
+    InstanceCounts& counts = instances_[instance];
     ++counts.responses;
     counts.bytes += static_cast<std::int64_t>(bytes);
     counts.rejected += !why.empty();
     Micros newest{};
-    for (const auto& order : xds::parse_release_text(orders).updates) {
-        ++counts.orders;
+    for (const auto& order : xds::parse_release_text(release_text).updates) {
+        ++counts.updates;
         counts.lines += static_cast<std::int64_t>(order.lines);
         newest = std::max(newest, order.decided_at);
     }
-    ForwarderSight& sight = forwarders_[forwarder];
+    ProxyState& state = proxies_[proxy];
     if (!why.empty() || newest == 0us) {
         return;
     }
-    for (const Micros told : counts.untold) {
-        if (told > sight.applied && told <= newest) {
-            applied_.push_back(now - told);
+    for (const Micros list_changed_at : counts.list_changes) {
+        if (list_changed_at > state.applied && list_changed_at <= newest) {
+            apply_delays_.push_back(now - list_changed_at);
         }
     }
-    sight.applied = std::max(sight.applied, newest);
+    state.applied = std::max(state.applied, newest);
 }
 
-void ScenarioMetrics::on_server_list_sent(Micros now, const std::string& governor,
+void ScenarioMetrics::on_server_list_sent(Micros now, const std::string& instance,
                                           const xds_server::ServerList& list) {
-    GovernorCounts& counts = governors_[governor];
+    InstanceCounts& counts = instances_[instance];
     ++counts.lists;
     std::string ready;
     for (const auto& server : list.servers) {
@@ -204,47 +203,47 @@
             ready += server.id + "/" + server.incarnation + " ";
         }
     }
-    if (ready == counts.shown) {
+    if (ready == counts.ready_servers) {
         return;
     }
-    if (!counts.shown.empty()) {
-        counts.untold.push_back(now);
+    if (!counts.ready_servers.empty()) {
+        counts.list_changes.push_back(now);
     }
-    counts.shown = std::move(ready);
+    counts.ready_servers = std::move(ready);
 }
 
 // ---- tries
 
 void ScenarioMetrics::on_attempt_sent(Micros, const std::string&, const std::string&, std::uint64_t,
                                       int, int number, testbed::AttemptOutcome) {
-    ++tries_;
-    further_ += number > 1;
+    ++proxy_attempts_;
+    retries_ += number > 1;
 }
 
 void ScenarioMetrics::on_attempt_finished(Micros, const std::string&, const std::string&,
-                                          std::uint64_t, testbed::AttemptOutcome end) {
-    ++ends_[name_of(end)];
+                                          std::uint64_t, testbed::AttemptOutcome outcome) {
+    ++attempt_outcomes_[name_of(outcome)];
 }
 
 void ScenarioMetrics::on_server_started(Micros, const std::string&, bool) {
-    ++starts_;
+    ++server_starts_;
 }
 
 void ScenarioMetrics::on_server_collapsed(Micros, const std::string&,
                                           const std::vector<ReceivedWork>&) {
-    ++falls_;
+    ++collapses_;
 }
 
 void ScenarioMetrics::on_execution_started(Micros, const std::string& server,
                                            std::uint64_t invocation, int operation) {
-    ++effects_;
-    ++effects_by_server_[server];
+    ++executions_;
+    ++executions_by_server_[server];
     if (script_.instance_config.settings.operations[static_cast<std::size_t>(operation)].effect !=
         Effect::SideEffecting) {
         return;
     }
-    if (++effect_counts_[invocation] == 2) {
-        ++double_effects_;
+    if (++side_effect_counts_[invocation] == 2) {
+        ++double_executions_;
     }
 }
 
@@ -261,25 +260,26 @@
     for (const ServiceTotals& second : by_second_) {
         out["by_second"].push_back(rounded(second.fraction()));
     }
-    out["answer_ms"] = {{"p50", ms(quantile(answered_, 0.5))},
-                        {"p99", ms(quantile(answered_, 0.99))}};
-    out["tries"] = {
-        {"by_clients", client_tries_}, {"by_forwarders", tries_}, {"further", further_}};
-    for (const auto& [end, count] : ends_) {
-        out["tries"]["ended"][end] = count;
+    out["answer_ms"] = {{"p50", ms(quantile(response_times_, 0.5))},
+                        {"p99", ms(quantile(response_times_, 0.99))}};
+    out["tries"] = {{"by_clients", client_attempts_},
+                    {"by_forwarders", proxy_attempts_},
+                    {"further", retries_}};
+    for (const auto& [outcome, count] : attempt_outcomes_) {
+        out["tries"]["ended"][outcome] = count;
     }
-    out["effects"] = {{"all", effects_},
-                      {"side_effecting_invocations", effect_counts_.size()},
-                      {"twice", double_effects_}};
-    out["servers"] = {{"starts", starts_}, {"pushed_over", falls_}};
-    for (const auto& [name, counts] : governors_) {
-        out["governors"][name] = {{"orders_applied", counts.orders}, {"lines", counts.lines},
-                                  {"responses", counts.responses},   {"bytes", counts.bytes},
-                                  {"rejected", counts.rejected},     {"lists", counts.lists}};
+    out["effects"] = {{"all", executions_},
+                      {"side_effecting_invocations", side_effect_counts_.size()},
+                      {"twice", double_executions_}};
+    out["servers"] = {{"starts", server_starts_}, {"pushed_over", collapses_}};
+    for (const auto& [name, counts] : instances_) {
+        out["governors"][name] = {{"orders_applied", counts.updates}, {"lines", counts.lines},
+                                  {"responses", counts.responses},    {"bytes", counts.bytes},
+                                  {"rejected", counts.rejected},      {"lists", counts.lists}};
     }
-    out["list_change_to_applied_ms"] = {{"count", applied_.size()},
-                                        {"p50", ms(quantile(applied_, 0.5))},
-                                        {"p99", ms(quantile(applied_, 0.99))}};
+    out["list_change_to_applied_ms"] = {{"count", apply_delays_.size()},
+                                        {"p50", ms(quantile(apply_delays_, 0.5))},
+                                        {"p99", ms(quantile(apply_delays_, 0.99))}};
     return out;
 }
 
--- a/src/scenario/metrics.h
+++ b/src/scenario/metrics.h
@@ -24,19 +24,19 @@
 public:
     // Counts the invocations that come from `begin` on, by seconds over `length`.
     ScenarioMetrics(const ScenarioScript& script, Micros begin, Micros length,
-                    std::map<std::string, std::string> zone_of_forwarder);
+                    std::map<std::string, std::string> proxy_zones);
 
     void on_invocation_arrived(Micros, const testbed::Invocation&) override;
     void on_client_attempt(Micros, const testbed::Invocation&) override;
     void on_invocation_finished(Micros, const testbed::Invocation&,
                                 testbed::InvocationResult) override;
-    void on_proxy_connected(Micros, const std::string& forwarder,
-                            const std::string& governor) override;
-    void on_proxy_disconnected(Micros, const std::string& forwarder,
-                               const std::string& governor) override;
-    void on_response(Micros, const std::string& forwarder, const std::string& governor,
-                     const std::string& orders, std::size_t bytes, const std::string& why) override;
-    void on_attempt_sent(Micros, const std::string& forwarder, const std::string& server,
+    void on_proxy_connected(Micros, const std::string& proxy, const std::string& instance) override;
+    void on_proxy_disconnected(Micros, const std::string& proxy,
+                               const std::string& instance) override;
+    void on_response(Micros, const std::string& proxy, const std::string& instance,
+                     const std::string& release_text, std::size_t bytes,
+                     const std::string& why) override;
+    void on_attempt_sent(Micros, const std::string& proxy, const std::string& server,
                          std::uint64_t invocation, int operation, int number,
                          testbed::AttemptOutcome before) override;
     void on_attempt_finished(Micros, const std::string&, const std::string&, std::uint64_t,
@@ -46,12 +46,12 @@
                              const std::vector<ReceivedWork>&) override;
     void on_execution_started(Micros, const std::string& server, std::uint64_t invocation,
                               int operation) override;
-    void on_server_list_sent(Micros, const std::string& governor,
+    void on_server_list_sent(Micros, const std::string& instance,
                              const xds_server::ServerList& list) override;
 
     // Where a forwarder stands, learnt later.
-    void set_proxy_zone(const std::string& forwarder, const std::string& zone) {
-        zones_[forwarder] = zone;
+    void set_proxy_zone(const std::string& proxy, const std::string& zone) {
+        proxy_zones_[proxy] = zone;
     }
 
     // Ends what clients still wait for at the day's end: counted as timed out.
@@ -63,34 +63,35 @@
     nlohmann::ordered_json json() const;
 
 private:
-    struct GovernorCounts {
-        std::int64_t responses = 0, bytes = 0, orders = 0, lines = 0, rejected = 0, lists = 0;
-        std::string shown;           // the servers it was last told, ready ones
-        std::vector<Micros> untold;  // list changes that some forwarder has not applied yet
+    struct InstanceCounts {
+        std::int64_t responses = 0, bytes = 0, updates = 0, lines = 0, rejected = 0, lists = 0;
+        std::string ready_servers;         // the servers it was last told, ready ones
+        std::vector<Micros> list_changes;  // list changes that some forwarder has not applied yet
     };
 
-    struct ForwarderSight {
-        std::string governor;
+    struct ProxyState {
+        std::string instance;
         Micros applied{};  // list changes up to here are in force
     };
 
-    void add(const testbed::Invocation& what, testbed::InvocationResult result, Micros took);
+    void record(const testbed::Invocation& invocation, testbed::InvocationResult result,
+                Micros response_time);
 
     const ScenarioScript& script_;
     Micros begin_;
-    std::map<std::string, std::string> zones_;
-    std::map<std::uint64_t, testbed::Invocation> open_;
+    std::map<std::string, std::string> proxy_zones_;
+    std::map<std::uint64_t, testbed::Invocation> pending_;
     ServiceTotals whole_;
     std::vector<ServiceTotals> by_operation_, by_second_;
     std::map<std::string, ServiceTotals> by_zone_;
-    std::map<std::string, GovernorCounts> governors_;
-    std::map<std::string, ForwarderSight> forwarders_;
-    std::vector<Micros> applied_, answered_;
-    std::int64_t tries_ = 0, further_ = 0, client_tries_ = 0, effects_ = 0, double_effects_ = 0,
-                 falls_ = 0, starts_ = 0;
-    std::map<std::string, std::int64_t> ends_;
-    std::map<std::uint64_t, int> effect_counts_;
-    std::map<std::string, std::int64_t> effects_by_server_;
+    std::map<std::string, InstanceCounts> instances_;
+    std::map<std::string, ProxyState> proxies_;
+    std::vector<Micros> apply_delays_, response_times_;
+    std::int64_t proxy_attempts_ = 0, retries_ = 0, client_attempts_ = 0, executions_ = 0,
+                 double_executions_ = 0, collapses_ = 0, server_starts_ = 0;
+    std::map<std::string, std::int64_t> attempt_outcomes_;
+    std::map<std::uint64_t, int> side_effect_counts_;
+    std::map<std::string, std::int64_t> executions_by_server_;
 };
 
 // The value below which this part lies; sorts its copy.
--- a/src/scenario/network_conditions.cpp
+++ b/src/scenario/network_conditions.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 // What is lost on the way is sent again after this long, as TCP does.
-constexpr Micros kSentAgain = 200ms;
+constexpr Micros kRetransmissionDelay = 200ms;
 // So long the weather of one way stays as it is.
-constexpr Micros kMoment = 20ms;
+constexpr Micros kRedrawInterval = 20ms;
 }  // namespace
 
 NetworkConditions::NetworkConditions(const base::Clock& clock, const ScenarioScript& script,
                                      std::uint64_t seed)
-    : same_(script.same_zone_delay),
-      cross_(script.cross_zone_delay),
-      orders_(script.update_delay_us),
+    : same_zone_delay_(script.same_zone_delay),
+      cross_zone_delay_(script.cross_zone_delay),
+      update_delay_us_(script.update_delay_us),
       clock_(clock),
-      luck_(base::seed_for(seed, "weather")) {}
+      seed_(base::seed_for(seed, "weather")) {}
 
 const std::string& NetworkConditions::zone(const std::string& host) const {
     static const std::string kNone;
@@ -27,22 +27,22 @@
     return it == zones_.end() ? kNone : it->second;
 }
 
-base::CounterRandom NetworkConditions::luck(const char* what, const std::string& from,
-                                            const std::string& to) const {
-    return {base::seed_for(luck_, what + ("/" + from) + "/" + to),
-            static_cast<std::uint64_t>(clock_.now() / kMoment)};
+base::CounterRandom NetworkConditions::random_for(const char* purpose, const std::string& from,
+                                                  const std::string& to) const {
+    return {base::seed_for(seed_, purpose + ("/" + from) + "/" + to),
+            static_cast<std::uint64_t>(clock_.now() / kRedrawInterval)};
 }
 
 void NetworkConditions::set_partitioned(const std::string& zone, bool on) {
     if (on) {
-        cut_.insert(zone);
+        partitioned_zones_.insert(zone);
     } else {
-        cut_.erase(zone);
+        partitioned_zones_.erase(zone);
     }
 }
 
 bool NetworkConditions::cut(const std::string& from, const std::string& to) {
-    if (cut_.empty()) {
+    if (partitioned_zones_.empty()) {
         return false;
     }
     const std::string& a = zone(from);
@@ -50,30 +50,31 @@
     if (a.empty() || b.empty() || a == b) {
         return false;
     }
-    return cut_.contains(a) || cut_.contains(b);
+    return partitioned_zones_.contains(a) || partitioned_zones_.contains(b);
 }
 
 Micros NetworkConditions::delay(const std::string& from, const std::string& to) {
     const std::string& a = zone(from);
     const std::string& b = zone(to);
     if (a.empty() || b.empty()) {
-        return same_;
+        return same_zone_delay_;
     }
-    Micros out = a == b ? same_ : cross_;
+    Micros out = a == b ? same_zone_delay_ : cross_zone_delay_;
     if (a != b) {
-        for (const auto& [zone, slow] : slow_) {
-            if (slow.delay <= 0us || (zone != a && zone != b)) {
+        for (const auto& [zone, zone_delay] : zone_delays_) {
+            if (zone_delay.delay <= 0us || (zone != a && zone != b)) {
                 continue;
             }
-            out += slow.delay;
-            if (slow.retransmitted_fraction > 0 &&
-                luck("lost", from, to).part() < slow.retransmitted_fraction) {
-                out += kSentAgain;
+            out += zone_delay.delay;
+            if (zone_delay.retransmitted_fraction > 0 &&
+                random_for("lost", from, to).part() < zone_delay.retransmitted_fraction) {
+                out += kRetransmissionDelay;
             }
         }
     }
-    if (governors_.contains(from) && forwarders_.contains(to)) {
-        out += Micros(std::llround(luck("orders", from, to).between(orders_.low, orders_.high)));
+    if (instances_.contains(from) && proxies_.contains(to)) {
+        out += Micros(std::llround(
+            random_for("orders", from, to).between(update_delay_us_.low, update_delay_us_.high)));
     }
     return out;
 }
--- a/src/scenario/network_conditions.h
+++ b/src/scenario/network_conditions.h
@@ -21,9 +21,9 @@
 
     void set_zone(const std::string& host, const std::string& zone) { zones_[host] = zone; }
 
-    void add_instance(const std::string& host) { governors_.insert(host); }
+    void add_instance(const std::string& host) { instances_.insert(host); }
 
-    void add_proxy(const std::string& host) { forwarders_.insert(host); }
+    void add_proxy(const std::string& host) { proxies_.insert(host); }
 
     void set_partitioned(const std::string& zone, bool on);
 
@@ -32,23 +32,25 @@
         double retransmitted_fraction = 0;  // part of what is sent that has to be sent again
     };
 
-    void set_zone_delay(const std::string& zone, ZoneDelay slow) { slow_[zone] = slow; }
+    void set_zone_delay(const std::string& zone, ZoneDelay zone_delay) {
+        zone_delays_[zone] = zone_delay;
+    }
 
     Micros delay(const std::string& from, const std::string& to) override;
     bool cut(const std::string& from, const std::string& to) override;
 
 private:
     const std::string& zone(const std::string& host) const;
-    base::CounterRandom luck(const char* what, const std::string& from,
-                             const std::string& to) const;
+    base::CounterRandom random_for(const char* purpose, const std::string& from,
+                                   const std::string& to) const;
 
-    Micros same_, cross_;
-    Range orders_;
+    Micros same_zone_delay_, cross_zone_delay_;
+    Range update_delay_us_;
     const base::Clock& clock_;
-    std::uint64_t luck_;
+    std::uint64_t seed_;
     std::map<std::string, std::string> zones_;
-    std::set<std::string> governors_, forwarders_, cut_;
-    std::map<std::string, ZoneDelay> slow_;
+    std::set<std::string> instances_, proxies_, partitioned_zones_;
+    std::map<std::string, ZoneDelay> zone_delays_;
 };
 
 }  // namespace badgergrade::scenario
--- a/src/scenario/runner.cpp
+++ b/src/scenario/runner.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::int64_t kBegin = 1000;
+constexpr std::int64_t kClockOriginSeconds = 1000;
 
 double rounded(double v) {
     return std::round(v * 1e4) / 1e4;
@@ -32,11 +32,12 @@
                       {"lines", rounded(margins.lines)},
                       {"messages", rounded(margins.messages)}};
     out["breaks"] = ordered_json::array();
-    for (const RuleViolation& b : auditor.violations()) {
-        out["breaks"].push_back({{"rule", b.rule},
-                                 {"at_s", static_cast<double>((b.at - begin).count()) / 1e6},
-                                 {"parties", b.parties},
-                                 {"what", b.description}});
+    for (const RuleViolation& violation : auditor.violations()) {
+        out["breaks"].push_back(
+            {{"rule", violation.rule},
+             {"at_s", static_cast<double>((violation.at - begin).count()) / 1e6},
+             {"parties", violation.parties},
+             {"what", violation.description}});
     }
     return out;
 }
@@ -46,7 +47,7 @@
 ScenarioRun run_scenario(const ScenarioScript& script, const ScenarioOptions& options) {
     const bool is_virtual = options.clock == ClockKind::Virtual;
     std::unique_ptr<net::Loop> loop =
-        is_virtual ? std::make_unique<net::Loop>(std::chrono::seconds(kBegin))
+        is_virtual ? std::make_unique<net::Loop>(std::chrono::seconds(kClockOriginSeconds))
                    : std::make_unique<net::Loop>(options.speed);
     loop->keeps_ledger = true;
     log::Log log =
@@ -63,28 +64,28 @@
     ScenarioMetrics figures(script, clock.now() + options.measure_from,
                             script.length - options.measure_from,
                             SimulatedFleet::proxy_zones(script, options.recorded));
-    std::vector<testbed::Observer*> watchers{&auditor, &figures};
-    watchers.insert(watchers.end(), options.observers.begin(), options.observers.end());
+    std::vector<testbed::Observer*> observers{&auditor, &figures};
+    observers.insert(observers.end(), options.observers.begin(), options.observers.end());
     if (options.make_observers) {
-        for (auto* watcher : options.make_observers(clock.now())) {
-            watchers.push_back(watcher);
+        for (auto* observer : options.make_observers(clock.now())) {
+            observers.push_back(observer);
         }
     }
     ScenarioRun run;
     {
-        SimulatedFleet world(*loop, script, log, watchers, options.recorded);
-        world.on_channels_slowed = [&](double slower) {
+        SimulatedFleet fleet(*loop, script, log, observers, options.recorded);
+        fleet.on_channels_slowed = [&](double slower) {
             auditor.scale_time_limits(slower);
         };
         if (options.before_start) {
-            options.before_start(world);
+            options.before_start(fleet);
         }
-        world.start();
+        fleet.start();
         Micros tail = 0us;
         for (const Operation& op : script.instance_config.settings.operations) {
             tail = std::max(tail, op.integration_timeout);
         }
-        loop->run_until(world.begin() + script.length + tail + 500ms);
+        loop->run_until(fleet.begin() + script.length + tail + 500ms);
         auditor.finish();
         figures.finish();
         run.result["day"] = script.name;
@@ -95,13 +96,13 @@
                                {"governors", script.instance_count},
                                {"rate", script.invocations_per_second}};
         run.result["figures"] = figures.json();
-        run.result["rules"] = rules_json(auditor, world.begin());
+        run.result["rules"] = rules_json(auditor, fleet.begin());
         run.violations = auditor.violations();
-        const auto governors = world.instance_metrics();
-        for (std::size_t k = 0; k < governors.size(); ++k) {
+        const auto instances = fleet.instance_metrics();
+        for (std::size_t k = 0; k < instances.size(); ++k) {
             run.machine["governors"]["governor-" + std::to_string(k)] = {
-                {"handler_cpu_ms", static_cast<double>(governors[k].handler_cpu_us) / 1000},
-                {"decisions", governors[k].decisions}};
+                {"handler_cpu_ms", static_cast<double>(instances[k].handler_cpu_us) / 1000},
+                {"decisions", instances[k].decisions}};
         }
     }
     run.machine["clock"] = is_virtual ? "virtual" : "real";
@@ -161,10 +162,10 @@
             << " looked at)";
     }
     out << "\n";
-    for (const RuleViolation& b : run.violations) {
-        const std::int64_t milliseconds = b.at.count() / 1000 - kBegin * 1000;
-        out << "  BROKEN " << b.rule << " at " << static_cast<double>(milliseconds) / 1000
-            << " s: " << b.parties << ": " << b.description << "\n";
+    for (const RuleViolation& violation : run.violations) {
+        const std::int64_t milliseconds = violation.at.count() / 1000 - kClockOriginSeconds * 1000;
+        out << "  BROKEN " << violation.rule << " at " << static_cast<double>(milliseconds) / 1000
+            << " s: " << violation.parties << ": " << violation.description << "\n";
     }
     out.precision(2);
     out << "took " << run.machine["real_seconds"].get<double>() << " s, "
--- a/src/scenario/script.cpp
+++ b/src/scenario/script.cpp
@@ -16,15 +16,15 @@
 using config::ConfigError;
 
 // What each trouble takes: whom it strikes, and which of the words it needs.
-struct Shape {
+struct FaultSpec {
     FaultKind kind;
     const char* name;
-    const char* whom;   // workers, forwarders, zone, governor, none
-    const char* needs;  // words that must stand there
-    const char* may;    // words that may
+    const char* targets;   // workers, forwarders, zone, governor, none
+    const char* required;  // words that must stand there
+    const char* optional;  // words that may
 };
 
-constexpr Shape kTroubles[] = {
+constexpr FaultSpec kFaultSpecs[] = {
     {FaultKind::Crash, "crash", "workers", "", "for unlisted"},
     {FaultKind::Hang, "hang", "workers", "for", ""},
     {FaultKind::FastErrors, "fast-errors", "workers", "by for", ""},
@@ -55,7 +55,7 @@
     {FaultKind::RegistryGarbage, "registry-garbage", "none", "for", ""},
 };
 
-struct Wrong : std::runtime_error {
+struct ScriptError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -63,8 +63,8 @@
 class Words {
 public:
     explicit Words(const std::string& line) {
-        std::istringstream in(line.substr(0, line.find('#')));
-        for (std::string word; in >> word;) {
+        std::istringstream words(line.substr(0, line.find('#')));
+        for (std::string word; words >> word;) {
             words_.push_back(word);
         }
     }
@@ -76,9 +76,9 @@
         return empty() ? kNone : words_[at_];
     }
 
-    std::string word(const char* what) {
+    std::string word(const char* expected) {
         if (empty()) {
-            throw Wrong(std::string("wants ") + what);
+            throw ScriptError(std::string("wants ") + expected);
         }
         return words_[at_++];
     }
@@ -86,63 +86,63 @@
     bool skip(const char* word) { return peek() == word ? (++at_, true) : false; }
 
     // "25%" is 0.25; "0.25" is itself.
-    double part(const char* what) {
-        const std::string text = word(what);
+    double fraction(const char* expected) {
+        const std::string text = word(expected);
         const bool percent = !text.empty() && text.back() == '%';
-        return number_of(percent ? text.substr(0, text.size() - 1) : text, what) /
+        return number_of(percent ? text.substr(0, text.size() - 1) : text, expected) /
                (percent ? 100 : 1);
     }
 
-    double number(const char* what) { return number_of(word(what), what); }
+    double line_number(const char* expected) { return number_of(word(expected), expected); }
 
-    int whole(const char* what, int least, int most) {
-        const double n = number(what);
+    int integer(const char* expected, int least, int most) {
+        const double n = line_number(expected);
         if (n != std::floor(n) || n < least || n > most) {
-            throw Wrong(std::string(what) + " is a whole number from " + std::to_string(least) +
-                        " to " + std::to_string(most));
+            throw ScriptError(std::string(expected) + " is a whole number from " +
+                              std::to_string(least) + " to " + std::to_string(most));
         }
         return static_cast<int>(n);
     }
 
-    Range range(const char* what) {
-        const std::string text = word(what);
+    Range range(const char* expected) {
+        const std::string text = word(expected);
         const auto dots = text.find("..");
         if (dots == std::string::npos) {
-            const double one = number_of(text, what);
+            const double one = number_of(text, expected);
             return {one, one};
         }
-        const Range out{number_of(text.substr(0, dots), what),
-                        number_of(text.substr(dots + 2), what)};
+        const Range out{number_of(text.substr(0, dots), expected),
+                        number_of(text.substr(dots + 2), expected)};
         if (out.low > out.high) {
-            throw Wrong(std::string(what) + ": the range runs backwards");
+            throw ScriptError(std::string(expected) + ": the range runs backwards");
         }
         return out;
     }
 
-    Micros time(const char* what) {
-        std::string text = word(what);
+    Micros time(const char* expected) {
+        std::string text = word(expected);
         if (is_unit(peek())) {
             text += " " + words_[at_++];
         }
-        std::string why;
-        const auto out = config::parse_time(text, why);
+        std::string error;
+        const auto out = config::parse_time(text, error);
         if (!out) {
-            throw Wrong(why);
+            throw ScriptError(error);
         }
         if (*out < 0us) {
-            throw Wrong(std::string(what) + " is below zero");
+            throw ScriptError(std::string(expected) + " is below zero");
         }
         return *out;
     }
 
     // "80..370 ms" in microseconds.
-    Range times(const char* what) {
-        const Range numbers = range(what);
+    Range times(const char* expected) {
+        const Range numbers = range(expected);
         const std::string unit = word("a unit of time");
-        std::string why;
-        const auto one = config::parse_time("1 " + unit, why);
+        std::string error;
+        const auto one = config::parse_time("1 " + unit, error);
         if (!one) {
-            throw Wrong(why);
+            throw ScriptError(error);
         }
         const auto us = static_cast<double>(one->count());
         return {numbers.low * us, numbers.high * us};
@@ -153,12 +153,12 @@
         return word == "us" || word == "ms" || word == "s" || word == "min" || word == "h";
     }
 
-    static double number_of(const std::string& text, const char* what) {
+    static double number_of(const std::string& text, const char* expected) {
         double out = 0;
         const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), out);
         if (bad != std::errc{} || end != text.data() + text.size() || !std::isfinite(out) ||
             out < 0) {
-            throw Wrong("'" + text + "' is no number for " + what);
+            throw ScriptError("'" + text + "' is no number for " + expected);
         }
         return out;
     }
@@ -167,9 +167,9 @@
     std::size_t at_ = 0;
 };
 
-bool holds(const std::string& words, const std::string& word) {
-    std::istringstream in(words);
-    for (std::string one; in >> one;) {
+bool contains_word(const std::string& words, const std::string& word) {
+    std::istringstream stream(words);
+    for (std::string one; stream >> one;) {
         if (one == word) {
             return true;
         }
@@ -177,114 +177,114 @@
     return false;
 }
 
-MachineKind read_kind(Words& in) {
+MachineKind read_kind(Words& words) {
     MachineKind out;
-    out.name = in.word("a name");
-    while (!in.empty()) {
-        const std::string key = in.word("a word");
+    out.name = words.word("a name");
+    while (!words.empty()) {
+        const std::string key = words.word("a word");
         if (key == "share") {
-            out.share = in.part("share");
+            out.share = words.fraction("share");
         } else if (key == "cores") {
-            out.cores = in.whole("cores", 1, 1024);
+            out.cores = words.integer("cores", 1, 1024);
         } else if (key == "speed") {
-            out.speed = in.range("speed");
+            out.speed = words.range("speed");
         } else if (key == "queue") {
-            out.max_queued_per_core = in.range("queue");
+            out.max_queued_per_core = words.range("queue");
         } else if (key == "connections") {
-            out.max_connections = in.range("connections");
+            out.max_connections = words.range("connections");
         } else {
-            throw Wrong("'" + key + "' is none of: share, cores, speed, queue, connections");
+            throw ScriptError("'" + key + "' is none of: share, cores, speed, queue, connections");
         }
     }
     if (out.speed.low <= 0) {
-        throw Wrong("speed is above 0");
+        throw ScriptError("speed is above 0");
     }
     return out;
 }
 
-OperationLoad read_operation(Words& in) {
+OperationLoad read_operation(Words& words) {
     OperationLoad out;
-    out.name = in.word("a name");
+    out.name = words.word("a name");
     out.mean_work = 100ms;
-    while (!in.empty()) {
-        const std::string key = in.word("a word");
+    while (!words.empty()) {
+        const std::string key = words.word("a word");
         if (key == "share") {
-            out.share = in.part("share");
+            out.share = words.fraction("share");
         } else if (key == "work") {
-            out.mean_work = in.time("work");
+            out.mean_work = words.time("work");
         } else if (key == "cv") {
-            out.work_cv = in.number("cv");
+            out.work_cv = words.line_number("cv");
         } else {
-            throw Wrong("'" + key + "' is none of: share, work, cv");
+            throw ScriptError("'" + key + "' is none of: share, work, cv");
         }
     }
     return out;
 }
 
-void read_whom(Words& in, const Shape& shape, Fault& out) {
-    const std::string whom = shape.whom;
-    if (whom == "none") {
+void read_targets(Words& words, const FaultSpec& spec, Fault& out) {
+    const std::string targets = spec.targets;
+    if (targets == "none") {
         return;
     }
-    if (whom == "zone" || whom == "governor") {
-        out.target_name = in.word(whom == "zone" ? "a zone" : "a governor's number");
+    if (targets == "zone" || targets == "governor") {
+        out.target_name = words.word(targets == "zone" ? "a zone" : "a governor's number");
         return;
     }
-    if (in.skip(whom.c_str())) {
-        const std::string text = in.peek();
+    if (words.skip(targets.c_str())) {
+        const std::string text = words.peek();
         if (!text.empty() && text.back() == '%') {
-            out.target_fraction = in.part("a part");
+            out.target_fraction = words.fraction("a part");
         } else {
-            out.target_count = in.whole("a number", 1, 100000);
+            out.target_count = words.integer("a number", 1, 100000);
         }
         if (out.target_fraction > 1) {
-            throw Wrong("a part is 100% at most");
+            throw ScriptError("a part is 100% at most");
         }
     } else {
-        out.target_name = in.word((whom + " and how many, or the name of one").c_str());
+        out.target_name = words.word((targets + " and how many, or the name of one").c_str());
     }
 }
 
-Fault read_trouble(Words& in, int line) {
+Fault read_fault(Words& words, int line) {
     Fault out;
     out.line = line;
-    out.begin = in.time("a time");
-    out.name = in.word("a trouble");
-    const auto shape = std::find_if(std::begin(kTroubles), std::end(kTroubles),
-                                    [&](const Shape& s) { return out.name == s.name; });
-    if (shape == std::end(kTroubles)) {
+    out.begin = words.time("a time");
+    out.name = words.word("a trouble");
+    const auto spec = std::find_if(std::begin(kFaultSpecs), std::end(kFaultSpecs),
+                                   [&](const FaultSpec& s) { return out.name == s.name; });
+    if (spec == std::end(kFaultSpecs)) {
         std::vector<std::string> names;
-        for (const Shape& s : kTroubles) {
+        for (const FaultSpec& s : kFaultSpecs) {
             names.emplace_back(s.name);
         }
-        const std::string near = config::closest_word(out.name, names);
-        throw Wrong("no trouble is called '" + out.name + "'" +
-                    (near.empty() ? "" : "; did you mean " + near + "?"));
+        const std::string suggestion = config::closest_word(out.name, names);
+        throw ScriptError("no trouble is called '" + out.name + "'" +
+                          (suggestion.empty() ? "" : "; did you mean " + suggestion + "?"));
     }
-    out.kind = shape->kind;
-    read_whom(in, *shape, out);
+    out.kind = spec->kind;
+    read_targets(words, *spec, out);
     std::string seen;
-    while (!in.empty()) {
-        const std::string key = in.word("a word");
-        if (!holds(shape->needs, key) && !holds(shape->may, key)) {
-            throw Wrong("'" + key + "' says nothing for " + out.name +
-                        "; it takes: " + shape->needs + " " + shape->may);
+    while (!words.empty()) {
+        const std::string key = words.word("a word");
+        if (!contains_word(spec->required, key) && !contains_word(spec->optional, key)) {
+            throw ScriptError("'" + key + "' says nothing for " + out.name +
+                              "; it takes: " + spec->required + " " + spec->optional);
         }
         seen += key + " ";
         if (key == "for") {
-            out.duration = in.time("for");
+            out.duration = words.time("for");
         } else if (key == "by") {
-            out.magnitude = in.part("by");
+            out.magnitude = words.fraction("by");
         } else if (key == "turn") {
-            out.period = in.time("turn");
+            out.period = words.time("turn");
         } else if (key == "over") {
-            out.ramp_time = in.time("over");
+            out.ramp_time = words.time("over");
         } else if (key == "down") {
-            out.downtime = in.time("down");
+            out.downtime = words.time("down");
         } else if (key == "wait") {
-            out.delay = in.time("wait");
+            out.delay = words.time("wait");
         } else if (key == "how") {
-            out.mode = in.word("how");
+            out.mode = words.word("how");
         } else if (key == "unlisted") {
             out.unlisted = true;
         } else if (key == "with-forwarders") {
@@ -293,79 +293,78 @@
             out.with_instances = true;
         }
     }
-    std::istringstream needs(shape->needs);
-    for (std::string need; needs >> need;) {
-        if (!holds(seen, need)) {
-            throw Wrong(out.name + " wants '" + need + "'");
+    std::istringstream required(spec->required);
+    for (std::string need; required >> need;) {
+        if (!contains_word(seen, need)) {
+            throw ScriptError(out.name + " wants '" + need + "'");
         }
     }
     return out;
 }
 
-void check(ScenarioScript& day, const std::string& name, std::vector<ConfigError>& mistakes) {
-    const auto wrong = [&](int line, const std::string& text) {
-        mistakes.push_back({name, line, "", text});
+void check(ScenarioScript& script, const std::string& name, std::vector<ConfigError>& errors) {
+    const auto report_error = [&](int line, const std::string& text) {
+        errors.push_back({name, line, "", text});
     };
-    if (day.length <= 0us) {
-        wrong(0, "no length is given; for example: length 60 s");
+    if (script.length <= 0us) {
+        report_error(0, "no length is given; for example: length 60 s");
     }
-    if (day.length > 24h) {
-        wrong(0, "a day is 24 h at most");
+    if (script.length > 24h) {
+        report_error(0, "a day is 24 h at most");
     }
-    if (day.server_count <= 0) {
-        wrong(0, "no workers; for example: workers 24");
+    if (script.server_count <= 0) {
+        report_error(0, "no workers; for example: workers 24");
     }
-    if (day.proxy_count <= 0) {
-        wrong(0, "no forwarders; for example: forwarders 20");
+    if (script.proxy_count <= 0) {
+        report_error(0, "no forwarders; for example: forwarders 20");
     }
-    if (day.invocations_per_second <= 0) {
-        wrong(0, "no rate; for example: rate 130");
+    if (script.invocations_per_second <= 0) {
+        report_error(0, "no rate; for example: rate 130");
     }
-    if (day.invocations_per_second * static_cast<double>(day.length.count()) / 1e6 > 2e6) {
-        wrong(0, "more than 2 million invocations; shorten the day or lower the rate");
+    if (script.invocations_per_second * static_cast<double>(script.length.count()) / 1e6 > 2e6) {
+        report_error(0, "more than 2 million invocations; shorten the day or lower the rate");
     }
-    if (day.machine_kinds.empty()) {
-        day.machine_kinds.push_back({"plain", 1, 2, {1, 1}, {10, 10}, {200, 200}});
+    if (script.machine_kinds.empty()) {
+        script.machine_kinds.push_back({"plain", 1, 2, {1, 1}, {10, 10}, {200, 200}});
     }
     std::vector<OperationLoad> ordered;
-    for (const Operation& op : day.instance_config.settings.operations) {
-        const auto at = std::find_if(day.operations.begin(), day.operations.end(),
+    for (const Operation& op : script.instance_config.settings.operations) {
+        const auto at = std::find_if(script.operations.begin(), script.operations.end(),
                                      [&](const auto& o) { return o.name == op.name; });
-        if (at == day.operations.end()) {
-            wrong(0, "operation " + op.name + " of the settings has no load here");
+        if (at == script.operations.end()) {
+            report_error(0, "operation " + op.name + " of the settings has no load here");
         } else {
             ordered.push_back(*at);
         }
     }
-    for (const auto& op : day.operations) {
+    for (const auto& op : script.operations) {
         if (std::none_of(ordered.begin(), ordered.end(),
                          [&](const auto& o) { return o.name == op.name; })) {
-            wrong(op.line, "operation " + op.name + " is not in the settings");
+            report_error(op.line, "operation " + op.name + " is not in the settings");
         }
     }
-    day.operations = std::move(ordered);
-    for (const Fault& trouble : day.faults) {
-        if (trouble.begin > day.length) {
-            wrong(trouble.line, trouble.name + " begins after the day's end");
+    script.operations = std::move(ordered);
+    for (const Fault& fault : script.faults) {
+        if (fault.begin > script.length) {
+            report_error(fault.line, fault.name + " begins after the day's end");
         }
-        const auto& zones = day.instance_config.zones;
-        const bool zone_wanted = trouble.kind == FaultKind::ZoneCut ||
-                                 trouble.kind == FaultKind::ZoneLoss ||
-                                 trouble.kind == FaultKind::SlowLink ||
-                                 (trouble.kind == FaultKind::Shift && trouble.target_name != "mix");
+        const auto& zones = script.instance_config.zones;
+        const bool zone_wanted = fault.kind == FaultKind::ZoneCut ||
+                                 fault.kind == FaultKind::ZoneLoss ||
+                                 fault.kind == FaultKind::SlowLink ||
+                                 (fault.kind == FaultKind::Shift && fault.target_name != "mix");
         if (zone_wanted &&
-            std::find(zones.begin(), zones.end(), trouble.target_name) == zones.end()) {
-            wrong(trouble.line, "'" + trouble.target_name + "' is none of the zones");
+            std::find(zones.begin(), zones.end(), fault.target_name) == zones.end()) {
+            report_error(fault.line, "'" + fault.target_name + "' is none of the zones");
         }
-        if (trouble.kind == FaultKind::InstanceCrash) {
+        if (fault.kind == FaultKind::InstanceCrash) {
             int which = -1;
             const auto [end, bad] =
-                std::from_chars(trouble.target_name.data(),
-                                trouble.target_name.data() + trouble.target_name.size(), which);
-            if (bad != std::errc{} ||
-                end != trouble.target_name.data() + trouble.target_name.size() || which < 0 ||
-                which >= day.instance_count) {
-                wrong(trouble.line, "there is no governor '" + trouble.target_name + "'");
+                std::from_chars(fault.target_name.data(),
+                                fault.target_name.data() + fault.target_name.size(), which);
+            if (bad != std::errc{} || end != fault.target_name.data() + fault.target_name.size() ||
+                which < 0 || which >= script.instance_count) {
+                report_error(fault.line, "there is no governor '" + fault.target_name + "'");
             }
         }
     }
@@ -374,8 +373,8 @@
 }  // namespace
 
 std::string settings_file_name(const std::string& text) {
-    std::istringstream in(text);
-    for (std::string line; std::getline(in, line);) {
+    std::istringstream words(text);
+    for (std::string line; std::getline(words, line);) {
         Words words(line);
         if (words.skip("settings") && !words.empty()) {
             return words.word("a file");
@@ -385,194 +384,194 @@
 }
 
 ScenarioScript parse_script(const std::string& name, const std::string& text,
-                            const config::IniFile& settings, std::vector<ConfigError>& mistakes) {
-    ScenarioScript day;
-    day.name = std::filesystem::path(name).stem().string();
-    day.text = text;
-    day.settings = settings;
-    day.client_retry_backoff = 100ms;
-    day.cache_ttl = 5s;
-    day.same_zone_delay = 200us;
-    day.cross_zone_delay = 600us;
-    day.unlist_delay_us = {1e6, 3e6};
-    day.list_delay_us = {3e5, 2e6};
-    day.update_delay_us = {2e4, 2e4};
-    day.reconnect_delay_us = {6e5, 2e6};
-    int number = 0;
+                            const config::IniFile& settings, std::vector<ConfigError>& errors) {
+    ScenarioScript script;
+    script.name = std::filesystem::path(name).stem().string();
+    script.text = text;
+    script.settings = settings;
+    script.client_retry_backoff = 100ms;
+    script.cache_ttl = 5s;
+    script.same_zone_delay = 200us;
+    script.cross_zone_delay = 600us;
+    script.unlist_delay_us = {1e6, 3e6};
+    script.list_delay_us = {3e5, 2e6};
+    script.update_delay_us = {2e4, 2e4};
+    script.reconnect_delay_us = {6e5, 2e6};
+    int line_number = 0;
     using Reader = std::function<void(Words&)>;
     const std::map<std::string, Reader> readers{
         {"settings",
-         [&](Words& in) {
-             in.word("a file");
+         [&](Words& words) {
+             words.word("a file");
          }},
         {"seed",
-         [&](Words& in) {
-             day.seed = static_cast<std::uint64_t>(in.whole("seed", 0, 2000000000));
+         [&](Words& words) {
+             script.seed = static_cast<std::uint64_t>(words.integer("seed", 0, 2000000000));
          }},
         {"length",
-         [&](Words& in) {
-             day.length = in.time("length");
+         [&](Words& words) {
+             script.length = words.time("length");
          }},
         {"workers",
-         [&](Words& in) {
-             day.server_count = in.whole("workers", 1, 20000);
+         [&](Words& words) {
+             script.server_count = words.integer("workers", 1, 20000);
          }},
         {"forwarders",
-         [&](Words& in) {
-             day.proxy_count = in.whole("forwarders", 1, 20000);
+         [&](Words& words) {
+             script.proxy_count = words.integer("forwarders", 1, 20000);
          }},
         {"governors",
-         [&](Words& in) {
-             day.instance_count = in.whole("governors", 1, 16);
+         [&](Words& words) {
+             script.instance_count = words.integer("governors", 1, 16);
          }},
         {"rate",
-         [&](Words& in) {
-             day.invocations_per_second = in.number("rate");
+         [&](Words& words) {
+             script.invocations_per_second = words.line_number("rate");
          }},
         {"kind",
-         [&](Words& in) {
-             day.machine_kinds.push_back(read_kind(in));
+         [&](Words& words) {
+             script.machine_kinds.push_back(read_kind(words));
          }},
         {"operation",
-         [&](Words& in) {
-             day.operations.push_back(read_operation(in));
-             day.operations.back().line = number;
+         [&](Words& words) {
+             script.operations.push_back(read_operation(words));
+             script.operations.back().line = line_number;
          }},
         {"startup",
-         [&](Words& in) {
-             day.startup_table_size = in.whole("startup", 1, 1000);
+         [&](Words& words) {
+             script.startup_table_size = words.integer("startup", 1, 1000);
          }},
         {"redial",
-         [&](Words& in) {
-             day.reconnect_delay_us = in.times("redial");
+         [&](Words& words) {
+             script.reconnect_delay_us = words.times("redial");
          }},
         {"set",
-         [&](Words& in) {
-             const std::string section = in.word("a section");
-             const std::string key = in.word("a key");
-             std::string value = in.word("a value");
-             while (!in.empty()) {
-                 value += " " + in.word("a value");
+         [&](Words& words) {
+             const std::string section = words.word("a section");
+             const std::string key = words.word("a key");
+             std::string value = words.word("a value");
+             while (!words.empty()) {
+                 value += " " + words.word("a value");
              }
-             day.settings.set(section, key, value);
+             script.settings.set(section, key, value);
          }},
         {"keys",
-         [&](Words& in) {
-             day.key_count = in.whole("keys", 1, 10000000);
-             while (!in.empty()) {
-                 const std::string key = in.word("a word");
+         [&](Words& words) {
+             script.key_count = words.integer("keys", 1, 10000000);
+             while (!words.empty()) {
+                 const std::string key = words.word("a word");
                  if (key == "zipf") {
-                     day.key_zipf_exponent = in.number("zipf");
+                     script.key_zipf_exponent = words.line_number("zipf");
                  } else if (key == "gain") {
-                     day.cache_saving_fraction = in.part("gain");
+                     script.cache_saving_fraction = words.fraction("gain");
                  } else if (key == "kept") {
-                     day.cache_ttl = in.time("kept");
+                     script.cache_ttl = words.time("kept");
                  } else {
-                     throw Wrong("'" + key + "' is none of: zipf, gain, kept");
+                     throw ScriptError("'" + key + "' is none of: zipf, gain, kept");
                  }
              }
          }},
         {"clients",
-         [&](Words& in) {
-             while (!in.empty()) {
-                 const std::string key = in.word("a word");
+         [&](Words& words) {
+             while (!words.empty()) {
+                 const std::string key = words.word("a word");
                  if (key == "retries") {
-                     day.client_retries = in.whole("retries", 0, 10);
+                     script.client_retries = words.integer("retries", 0, 10);
                  } else if (key == "wait") {
-                     day.client_retry_backoff = in.time("wait");
+                     script.client_retry_backoff = words.time("wait");
                  } else if (key == "try-share") {
-                     day.client_attempt_timeout_fraction = in.part("try-share");
+                     script.client_attempt_timeout_fraction = words.fraction("try-share");
                  } else {
-                     throw Wrong("'" + key + "' is none of: retries, wait, try-share");
+                     throw ScriptError("'" + key + "' is none of: retries, wait, try-share");
                  }
              }
          }},
         {"list",
-         [&](Words& in) {
-             while (!in.empty()) {
-                 const std::string key = in.word("a word");
+         [&](Words& words) {
+             while (!words.empty()) {
+                 const std::string key = words.word("a word");
                  if (key == "gone") {
-                     day.unlist_delay_us = in.times("gone");
+                     script.unlist_delay_us = words.times("gone");
                  } else if (key == "new") {
-                     day.list_delay_us = in.times("new");
+                     script.list_delay_us = words.times("new");
                  } else {
-                     throw Wrong("'" + key + "' is none of: gone, new");
+                     throw ScriptError("'" + key + "' is none of: gone, new");
                  }
              }
          }},
         {"way",
-         [&](Words& in) {
-             while (!in.empty()) {
-                 const std::string key = in.word("a word");
+         [&](Words& words) {
+             while (!words.empty()) {
+                 const std::string key = words.word("a word");
                  if (key == "same") {
-                     day.same_zone_delay = in.time("same");
+                     script.same_zone_delay = words.time("same");
                  } else if (key == "cross") {
-                     day.cross_zone_delay = in.time("cross");
+                     script.cross_zone_delay = words.time("cross");
                  } else if (key == "orders") {
-                     day.update_delay_us = in.times("orders");
+                     script.update_delay_us = words.times("orders");
                  } else {
-                     throw Wrong("'" + key + "' is none of: same, cross, orders");
+                     throw ScriptError("'" + key + "' is none of: same, cross, orders");
                  }
              }
          }},
     };
     std::istringstream lines(text);
     for (std::string line; std::getline(lines, line);) {
-        ++number;
-        Words in(line);
-        if (in.empty()) {
+        ++line_number;
+        Words words(line);
+        if (words.empty()) {
             continue;
         }
         try {
-            const std::string word = in.word("a word");
+            const std::string word = words.word("a word");
             if (word == "at") {
-                day.faults.push_back(read_trouble(in, number));
+                script.faults.push_back(read_fault(words, line_number));
             } else if (const auto reader = readers.find(word); reader != readers.end()) {
-                reader->second(in);
-                if (!in.empty()) {
-                    throw Wrong("'" + in.peek() + "' is more than '" + word + "' takes");
+                reader->second(words);
+                if (!words.empty()) {
+                    throw ScriptError("'" + words.peek() + "' is more than '" + word + "' takes");
                 }
             } else {
                 std::vector<std::string> known{"at"};
                 for (const auto& [key, unused] : readers) {
                     known.push_back(key);
                 }
-                const std::string near = config::closest_word(word, known);
-                throw Wrong("no line begins with '" + word + "'" +
-                            (near.empty() ? "" : "; did you mean " + near + "?"));
+                const std::string suggestion = config::closest_word(word, known);
+                throw ScriptError("no line begins with '" + word + "'" +
+                                  (suggestion.empty() ? "" : "; did you mean " + suggestion + "?"));
             }
-        } catch (const Wrong& wrong) {
-            mistakes.push_back({name, number, "", wrong.what()});
+        } catch (const ScriptError& report_error) {
+            errors.push_back({name, line_number, "", report_error.what()});
         }
     }
-    std::stable_sort(day.faults.begin(), day.faults.end(),
+    std::stable_sort(script.faults.begin(), script.faults.end(),
                      [](const auto& a, const auto& b) { return a.begin < b.begin; });
     // The fleet's figures are those of the day.
-    day.settings.set("forwarders", "count", std::to_string(std::max(1, day.proxy_count)));
-    day.settings.set("governor", "governors", std::to_string(day.instance_count));
-    day.settings.set("governor", "ordinal", "0");
-    day.instance_config = config::read_instance_config(day.settings, mistakes);
-    if (mistakes.empty()) {
-        check(day, name, mistakes);
-    }
-    return day;
+    script.settings.set("forwarders", "count", std::to_string(std::max(1, script.proxy_count)));
+    script.settings.set("governor", "governors", std::to_string(script.instance_count));
+    script.settings.set("governor", "ordinal", "0");
+    script.instance_config = config::read_instance_config(script.settings, errors);
+    if (errors.empty()) {
+        check(script, name, errors);
+    }
+    return script;
 }
 
-ScenarioScript load_script(const std::string& path, std::vector<ConfigError>& mistakes) {
-    std::ifstream in(path, std::ios::binary);
-    if (!in) {
+ScenarioScript load_script(const std::string& path, std::vector<ConfigError>& errors) {
+    std::ifstream words(path, std::ios::binary);
+    if (!words) {
         throw std::runtime_error(path + ": can't be read");
     }
     std::ostringstream text;
-    text << in.rdbuf();
+    text << words.rdbuf();
     const std::string settings = settings_file_name(text.str());
     if (settings.empty()) {
-        mistakes.push_back({path, 0, "", "names no settings; for example: settings governor.ini"});
+        errors.push_back({path, 0, "", "names no settings; for example: settings governor.ini"});
         return {};
     }
     const auto beside = (std::filesystem::path(path).parent_path() / settings).string();
-    const auto file = config::IniFile::load(beside, mistakes);
-    return parse_script(path, text.str(), file, mistakes);
+    const auto file = config::IniFile::load(beside, errors);
+    return parse_script(path, text.str(), file, errors);
 }
 
 }  // namespace badgergrade::scenario
--- a/src/scenario/script.h
+++ b/src/scenario/script.h
@@ -116,10 +116,10 @@
 };
 
 // Reads a script; settings are loaded from beside it. Mistakes carry file and line.
-ScenarioScript load_script(const std::string& path, std::vector<config::ConfigError>& mistakes);
+ScenarioScript load_script(const std::string& path, std::vector<config::ConfigError>& errors);
 ScenarioScript parse_script(const std::string& name, const std::string& text,
                             const config::IniFile& settings,
-                            std::vector<config::ConfigError>& mistakes);
+                            std::vector<config::ConfigError>& errors);
 // The settings file that a script names; empty where it names none.
 std::string settings_file_name(const std::string& text);
 
--- a/src/scenario/simulated_fleet.cpp
+++ b/src/scenario/simulated_fleet.cpp
@@ -12,8 +12,9 @@
 
 // Actors by kind, so that ties at one moment go: troubles, registry, governors, workers,
 // forwarders, clients.
-constexpr std::uint32_t kTroubles = 2, kRegistry = 3, kGovernors = 10, kWorkers = 1000,
-                        kForwarders = 100000, kClients = 200000;
+constexpr std::uint32_t kFaultActor = 2, kRegistryActor = 3, kFirstInstanceActor = 10,
+                        kFirstServerActor = 1000, kFirstProxyActor = 100000,
+                        kFirstClientActor = 200000;
 
 base::ActorId actor(std::uint32_t kind, std::size_t k = 0) {
     return {kind + static_cast<std::uint32_t>(k)};
@@ -40,12 +41,12 @@
 }  // namespace
 
 std::map<std::string, std::string> SimulatedFleet::proxy_zones(const ScenarioScript& script,
-                                                               const RecordedScenario* given) {
+                                                               const RecordedScenario* recorded) {
     std::map<std::string, std::string> out;
-    if (given) {
-        for (const TimedFaultAction& move : given->actions) {
-            if (move.action.kind == FaultActionKind::AddProxy) {
-                out[move.action.target] = move.action.text;
+    if (recorded) {
+        for (const TimedFaultAction& action : recorded->actions) {
+            if (action.action.kind == FaultActionKind::AddProxy) {
+                out[action.action.target] = action.action.text;
             }
         }
         return out;
@@ -57,40 +58,40 @@
 }
 
 SimulatedFleet::SimulatedFleet(net::Loop& loop, const ScenarioScript& script, log::Log& log,
-                               const std::vector<testbed::Observer*>& watchers,
-                               const RecordedScenario* given)
+                               const std::vector<testbed::Observer*>& observers,
+                               const RecordedScenario* recorded)
     : loop_(loop),
       script_(script),
-      given_(given),
+      recorded_(recorded),
       log_(log),
-      weather_(loop.clock(), script, script.seed),
+      network_conditions_(loop.clock(), script, script.seed),
       begin_(loop.clock().now()),
-      chance_(script.seed, "world") {
-    watchers_.observers = watchers;
-    loop_.weather = &weather_;
+      random_(script.seed, "world") {
+    observers_.observers = observers;
+    loop_.weather = &network_conditions_;
     loop_.keeps_ledger = true;
     for (const Operation& op : script.instance_config.settings.operations) {
         operations_.push_back(op.name);
     }
     registry_port_ = std::make_unique<net::PortHold>(loop);
-    registry_ = std::make_unique<testbed::FakeRegistry>(loop, actor(kRegistry), "registry",
-                                                        registry_port_->address(), &watchers_);
+    registry_ = std::make_unique<testbed::FakeRegistry>(loop, actor(kRegistryActor), "registry",
+                                                        registry_port_->address(), &observers_);
 }
 
 SimulatedFleet::~SimulatedFleet() {
     timers_.clear();
-    forwarders_.clear();
-    governors_.clear();
-    workers_.clear();
+    proxies_.clear();
+    instances_.clear();
+    servers_.clear();
     registry_.reset();
     loop_.weather = nullptr;
 }
 
-void SimulatedFleet::later(Micros delay, std::function<void()> what) {
+void SimulatedFleet::schedule(Micros delay, std::function<void()> callback) {
     const std::uint64_t id = ++timer_ids_;
-    auto& timer = timers_.try_emplace(id, loop_.clock(), actor(kTroubles)).first->second;
-    timer.after(delay, [this, id, what = std::move(what)] {
-        const auto run = what;
+    auto& timer = timers_.try_emplace(id, loop_.clock(), actor(kFaultActor)).first->second;
+    timer.after(delay, [this, id, callback = std::move(callback)] {
+        const auto run = callback;
         timers_.erase(id);
         ++step_;
         run();
@@ -98,69 +99,69 @@
 }
 
 void SimulatedFleet::start() {
-    opening_ = true;
-    if (given_) {
-        open_given();
+    starting_ = true;
+    if (recorded_) {
+        start_from_recording();
     } else {
-        open_script();
+        start_from_script();
     }
-    opening_ = false;
+    starting_ = false;
 }
 
-void SimulatedFleet::open_script() {
+void SimulatedFleet::start_from_script() {
     using enum FaultActionKind;
     for (std::size_t k = 0; k < static_cast<std::size_t>(script_.server_count); ++k) {
-        const auto settings = draw_worker(k);
-        make({.kind = AddServer, .target = settings.id, .server_settings = settings});
-        make({.kind = StartServer, .target = settings.id});
-        make({.kind = ListServer, .target = settings.id});
+        const auto settings = draw_server_settings(k);
+        perform({.kind = AddServer, .target = settings.id, .server_settings = settings});
+        perform({.kind = StartServer, .target = settings.id});
+        perform({.kind = ListServer, .target = settings.id});
     }
     for (std::size_t k = 0; k < static_cast<std::size_t>(script_.instance_count); ++k) {
-        add_governor(k);
-        make({.kind = StartInstance, .target = governors_[k].name});
+        add_instance(k);
+        perform({.kind = StartInstance, .target = instances_[k].name});
     }
     const auto plans = plan_proxies(script_);
     for (const auto& plan : plans) {
-        make({.kind = AddProxy,
-              .target = plan.id,
-              .magnitude = plan.invocations_per_second,
-              .text = plan.zone});
+        perform({.kind = AddProxy,
+                 .target = plan.id,
+                 .magnitude = plan.invocations_per_second,
+                 .text = plan.zone});
     }
     for (const auto& plan : plans) {
-        make({.kind = StartProxy, .target = plan.id});
+        perform({.kind = StartProxy, .target = plan.id});
     }
     add_clients(generate_traffic(script_, plans, begin_));
-    for (const Fault& trouble : script_.faults) {
-        later(trouble.begin, [this, &trouble] { strike(trouble); });
+    for (const Fault& fault : script_.faults) {
+        schedule(fault.begin, [this, &fault] { inject(fault); });
     }
 }
 
-void SimulatedFleet::open_given() {
+void SimulatedFleet::start_from_recording() {
     for (std::size_t k = 0; k < static_cast<std::size_t>(script_.instance_count); ++k) {
-        add_governor(k);
+        add_instance(k);
     }
-    for (const TimedFaultAction& move : given_->actions) {
-        if (move.initial) {
-            make(move.action);
+    for (const TimedFaultAction& action : recorded_->actions) {
+        if (action.initial) {
+            perform(action.action);
         }
     }
-    auto traffic = given_->traffic;
-    for (auto& [forwarder, list] : traffic) {
+    auto traffic = recorded_->traffic;
+    for (auto& [proxy, list] : traffic) {
         for (auto& one : list) {
             one.arrived_at += begin_;
         }
     }
     add_clients(std::move(traffic));
     // What was done in one step is done in one step again: nothing comes in between.
-    for (auto first = given_->actions.begin(); first != given_->actions.end();) {
+    for (auto first = recorded_->actions.begin(); first != recorded_->actions.end();) {
         auto end = std::next(first);
-        while (end != given_->actions.end() && end->same_step && end->at == first->at) {
+        while (end != recorded_->actions.end() && end->same_step && end->at == first->at) {
             ++end;
         }
         if (!first->initial) {
-            later(first->at, [this, first, end] {
-                for (auto move = first; move != end; ++move) {
-                    make(move->action);
+            schedule(first->at, [this, first, end] {
+                for (auto action = first; action != end; ++action) {
+                    perform(action->action);
                 }
             });
         }
@@ -168,32 +169,33 @@
     }
 }
 
-void SimulatedFleet::add_governor(std::size_t k) {
-    GovernorSlot slot;
+void SimulatedFleet::add_instance(std::size_t k) {
+    InstanceSlot slot;
     slot.name = "governor-" + std::to_string(k);
     slot.zone = script_.instance_config.zones[k % script_.instance_config.zones.size()];
     slot.port = std::make_unique<net::PortHold>(loop_);
-    weather_.set_zone(slot.name, slot.zone);
-    weather_.add_instance(slot.name);
-    governors_.push_back(std::move(slot));
+    network_conditions_.set_zone(slot.name, slot.zone);
+    network_conditions_.add_instance(slot.name);
+    instances_.push_back(std::move(slot));
 }
 
-void SimulatedFleet::add_forwarder(const ProxyPlan& plan) {
-    ForwarderSlot slot;
+void SimulatedFleet::add_proxy(const ProxyPlan& plan) {
+    ProxySlot slot;
     slot.plan = plan;
     slot.port = std::make_unique<net::PortHold>(loop_);
-    weather_.set_zone(plan.id, plan.zone);
-    weather_.add_proxy(plan.id);
-    forwarders_.push_back(std::move(slot));
+    network_conditions_.set_zone(plan.id, plan.zone);
+    network_conditions_.add_proxy(plan.id);
+    proxies_.push_back(std::move(slot));
 }
 
-std::vector<testbed::FakeClientSettings::AttemptTimeoutOverride> SimulatedFleet::gives_up() const {
+std::vector<testbed::FakeClientSettings::AttemptTimeoutOverride>
+SimulatedFleet::attempt_timeout_overrides() const {
     std::vector<testbed::FakeClientSettings::AttemptTimeoutOverride> out;
-    if (given_) {
-        for (const TimedFaultAction& move : given_->actions) {
-            if (move.action.kind == FaultActionKind::ShortenAttemptTimeouts) {
-                out.push_back({begin_ + move.at, begin_ + move.at + move.action.duration,
-                               move.action.magnitude});
+    if (recorded_) {
+        for (const TimedFaultAction& action : recorded_->actions) {
+            if (action.action.kind == FaultActionKind::ShortenAttemptTimeouts) {
+                out.push_back({begin_ + action.at, begin_ + action.at + action.action.duration,
+                               action.action.magnitude});
             }
         }
         return out;
@@ -212,30 +214,30 @@
     clients.retry_backoff = script_.client_retry_backoff;
     clients.attempt_timeout_fraction = script_.client_attempt_timeout_fraction;
     clients.operations = script_.instance_config.settings.operations;
-    clients.attempt_timeout_overrides = gives_up();
-    for (std::size_t k = 0; k < forwarders_.size(); ++k) {
-        ForwarderSlot& slot = forwarders_[k];
+    clients.attempt_timeout_overrides = attempt_timeout_overrides();
+    for (std::size_t k = 0; k < proxies_.size(); ++k) {
+        ProxySlot& slot = proxies_[k];
         const std::string client = numbered_name("client", k);
-        weather_.set_zone(client, slot.plan.zone);
+        network_conditions_.set_zone(client, slot.plan.zone);
         slot.client = std::make_unique<testbed::FakeClient>(
-            loop_, actor(kClients, k), client, clients, slot.port->address(),
-            std::move(traffic[slot.plan.id]), &watchers_);
+            loop_, actor(kFirstClientActor, k), client, clients, slot.port->address(),
+            std::move(traffic[slot.plan.id]), &observers_);
     }
 }
 
 // ---- moves
 
-void SimulatedFleet::make(const FaultAction& move) {
+void SimulatedFleet::perform(const FaultAction& action) {
     if (on_action) {
-        on_action(loop_.clock().now(), opening_, moved_step_ == step_, move);
+        on_action(loop_.clock().now(), starting_, last_action_step_ == step_, action);
     }
-    moved_step_ = step_;
-    apply(move);
+    last_action_step_ = step_;
+    apply(action);
 }
 
 namespace {
 template <class Slots, class Name>
-std::size_t called(const Slots& slots, const std::string& id, Name name) {
+std::size_t index_of(const Slots& slots, const std::string& id, Name name) {
     const auto it = std::find_if(slots.begin(), slots.end(),
                                  [&](const auto& slot) { return name(slot) == id; });
     if (it == slots.end()) {
@@ -245,102 +247,103 @@
 }
 }  // namespace
 
-std::size_t SimulatedFleet::worker_called(const std::string& id) const {
-    return called(workers_, id, [](const WorkerSlot& slot) { return slot.settings.id; });
+std::size_t SimulatedFleet::server_index(const std::string& id) const {
+    return index_of(servers_, id, [](const ServerSlot& slot) { return slot.settings.id; });
 }
 
-std::size_t SimulatedFleet::forwarder_called(const std::string& id) const {
-    return called(forwarders_, id, [](const ForwarderSlot& slot) { return slot.plan.id; });
+std::size_t SimulatedFleet::proxy_index(const std::string& id) const {
+    return index_of(proxies_, id, [](const ProxySlot& slot) { return slot.plan.id; });
 }
 
-std::size_t SimulatedFleet::governor_called(const std::string& id) const {
-    return called(governors_, id, [](const GovernorSlot& slot) { return slot.name; });
+std::size_t SimulatedFleet::instance_index(const std::string& id) const {
+    return index_of(instances_, id, [](const InstanceSlot& slot) { return slot.name; });
 }
 
-void SimulatedFleet::apply(const FaultAction& move) {
+void SimulatedFleet::apply(const FaultAction& action) {
     using enum FaultActionKind;
-    switch (move.kind) {
+    switch (action.kind) {
         case AddServer:
-            return add_worker(move.server_settings);
+            return add_server(action.server_settings);
         case AddProxy:
-            return add_forwarder({move.target, move.text, 1, move.magnitude});
+            return add_proxy({action.target, action.text, 1, action.magnitude});
         case StartServer:
         case StopServer:
         case ListServer:
         case UnlistServer:
         case SetServerFault:
-            return apply_to_worker(move);
+            return apply_to_server(action);
         case PartitionZone:
-            return weather_.set_partitioned(move.target, move.enabled);
+            return network_conditions_.set_partitioned(action.target, action.enabled);
         case DelayZone:
-            return weather_.set_zone_delay(move.target, {move.duration, move.magnitude});
+            return network_conditions_.set_zone_delay(action.target,
+                                                      {action.duration, action.magnitude});
         case StartProxy:
         case StopProxy:
         case BreakStream:
         case IsolateProxy:
         case StallProxy:
-            return apply_to_forwarder(move);
+            return apply_to_proxy(action);
         case StartInstance:
-            return start_governor(governor_called(move.target));
+            return start_instance(instance_index(action.target));
         case StopInstance:
-            return stop_governor(governor_called(move.target));
+            return stop_instance(instance_index(action.target));
         case SlowChannels:
-            return pace_channels(move.magnitude);
+            return set_channel_slowdown(action.magnitude);
         case HangRegistry:
-            return registry_->set_hanging(move.enabled);
+            return registry_->set_hanging(action.enabled);
         case RestartRegistry:
-            return registry_->restart(move.enabled);
+            return registry_->restart(action.enabled);
         case CorruptRegistry:
-            return void(registry_->malformed_response = move.text);
+            return void(registry_->malformed_response = action.text);
         case ServeStaleList:
-            return show_old_list(move.enabled, move.magnitude);
+            return serve_stale_list(action.enabled, action.magnitude);
         case ShortenAttemptTimeouts:
             return;  // the clients know it from the beginning
     }
 }
 
-void SimulatedFleet::apply_to_worker(const FaultAction& move) {
-    const std::size_t k = worker_called(move.target);
-    switch (move.kind) {
+void SimulatedFleet::apply_to_server(const FaultAction& action) {
+    const std::size_t k = server_index(action.target);
+    switch (action.kind) {
         case FaultActionKind::StartServer:
-            return start_worker(k, move.enabled);
+            return start_server(k, action.enabled);
         case FaultActionKind::StopServer:
-            return workers_[k].worker.reset();
+            return servers_[k].server.reset();
         case FaultActionKind::ListServer:
-            return put_on_list(k, move.enabled);
+            return put_in_registry(k, action.enabled);
         case FaultActionKind::UnlistServer:
-            registry_->remove(move.target);
+            registry_->remove(action.target);
             list_history_[loop_.clock().now()] = registry_->entries();
             return;
         default:
-            if (workers_[k].worker) {
-                workers_[k].worker->fault = move.server_fault;
+            if (servers_[k].server) {
+                servers_[k].server->fault = action.server_fault;
             }
     }
 }
 
-void SimulatedFleet::apply_to_forwarder(const FaultAction& move) {
-    const std::size_t k = forwarder_called(move.target);
-    if (move.kind == FaultActionKind::StartProxy) {
-        return start_forwarder(k);
+void SimulatedFleet::apply_to_proxy(const FaultAction& action) {
+    const std::size_t k = proxy_index(action.target);
+    if (action.kind == FaultActionKind::StartProxy) {
+        return start_proxy(k);
     }
-    const auto& forwarder = forwarders_[k].forwarder;
-    if (!forwarder) {
+    const auto& proxy = proxies_[k].proxy;
+    if (!proxy) {
         return;
     }
-    if (move.kind == FaultActionKind::StopProxy) {
-        forwarders_[k].forwarder.reset();
-    } else if (move.kind == FaultActionKind::BreakStream) {
-        forwarder->break_stream();
-    } else if (move.kind == FaultActionKind::IsolateProxy) {
-        forwarder->set_isolated(move.enabled);
+    if (action.kind == FaultActionKind::StopProxy) {
+        proxies_[k].proxy.reset();
+    } else if (action.kind == FaultActionKind::BreakStream) {
+        proxy->break_stream();
+    } else if (action.kind == FaultActionKind::IsolateProxy) {
+        proxy->set_isolated(action.enabled);
     } else {
-        forwarder->set_stalled(move.enabled);
+        proxy->set_stalled(action.enabled);
     }
 }
 
 // The list as it stood so many seconds before.
-void SimulatedFleet::show_old_list(bool on, double seconds_back) {
+void SimulatedFleet::serve_stale_list(bool on, double seconds_back) {
     if (!on) {
         return registry_->serve_instead(std::nullopt);
     }
@@ -354,27 +357,27 @@
     }
 }
 
-void SimulatedFleet::pace_channels(double slower) {
-    for (auto& slot : governors_) {
-        if (slot.service) {
-            slot.service->set_send_pace(1 / slower);
+void SimulatedFleet::set_channel_slowdown(double slowdown_factor) {
+    for (auto& slot : instances_) {
+        if (slot.xds_server) {
+            slot.xds_server->set_send_pace(1 / slowdown_factor);
         }
     }
     if (on_channels_slowed) {
-        on_channels_slowed(slower);
+        on_channels_slowed(slowdown_factor);
     }
 }
 
 // ---- workers
 
-testbed::FakeServerSettings SimulatedFleet::draw_worker(std::size_t k) const {
-    base::SequentialRandom chance(script_.seed, "worker/" + std::to_string(k));
-    const Settings& told = script_.instance_config.settings;
+testbed::FakeServerSettings SimulatedFleet::draw_server_settings(std::size_t k) const {
+    base::SequentialRandom random(script_.seed, "worker/" + std::to_string(k));
+    const Settings& settings = script_.instance_config.settings;
     double shares = 0;
     for (const auto& kind : script_.machine_kinds) {
         shares += kind.share;
     }
-    double draw = chance.part() * shares;
+    double draw = random.part() * shares;
     std::size_t which = 0;
     while (which + 1 < script_.machine_kinds.size() &&
            (draw -= script_.machine_kinds[which].share) >= 0) {
@@ -385,92 +388,92 @@
     s.id = numbered_name("worker", k);
     s.zone = script_.instance_config.zones[k % script_.instance_config.zones.size()];
     s.cores = kind.cores;
-    s.speed = chance.between(kind.speed.low, kind.speed.high);
+    s.speed = random.between(kind.speed.low, kind.speed.high);
     s.max_queued_per_core = static_cast<std::size_t>(
-        std::llround(chance.between(kind.max_queued_per_core.low, kind.max_queued_per_core.high)));
+        std::llround(random.between(kind.max_queued_per_core.low, kind.max_queued_per_core.high)));
     s.max_connections = static_cast<std::size_t>(
-        std::llround(chance.between(kind.max_connections.low, kind.max_connections.high)));
-    s.handshake_work = Micros(std::llround(chance.between(8000, 15000)));
+        std::llround(random.between(kind.max_connections.low, kind.max_connections.high)));
+    s.handshake_work = Micros(std::llround(random.between(8000, 15000)));
     // What the settings tell of cold servers is the least that holds.
     s.initial_capacity_fraction =
-        std::min(1.0, told.initial_capacity_fraction * chance.between(1, 1.5));
-    s.warm_up_time = Micros(
-        std::llround(static_cast<double>(told.slow_start_window.count()) * chance.between(0.7, 1)));
-    s.collapse_factor = told.overload_collapse_factor;
-    s.collapse_window = told.overload_collapse_time;
+        std::min(1.0, settings.initial_capacity_fraction * random.between(1, 1.5));
+    s.warm_up_time = Micros(std::llround(static_cast<double>(settings.slow_start_window.count()) *
+                                         random.between(0.7, 1)));
+    s.collapse_factor = settings.overload_collapse_factor;
+    s.collapse_window = settings.overload_collapse_time;
     s.cache_saving_fraction = script_.cache_saving_fraction;
     s.cache_ttl = script_.cache_ttl;
-    s.reports_load = !told.load_metric_names.empty();
-    s.load_report_interval = Micros(std::llround(chance.between(300e3, 1000e3)));
+    s.reports_load = !settings.load_metric_names.empty();
+    s.load_report_interval = Micros(std::llround(random.between(300e3, 1000e3)));
     return s;
 }
 
-void SimulatedFleet::add_worker(const testbed::FakeServerSettings& settings) {
-    WorkerSlot slot;
+void SimulatedFleet::add_server(const testbed::FakeServerSettings& settings) {
+    ServerSlot slot;
     slot.settings = settings;
     slot.port = std::make_unique<net::PortHold>(loop_);
     slot.settings.listen = slot.port->address();
-    weather_.set_zone(settings.id, settings.zone);
-    workers_.push_back(std::move(slot));
+    network_conditions_.set_zone(settings.id, settings.zone);
+    servers_.push_back(std::move(slot));
 }
 
-void SimulatedFleet::start_worker(std::size_t k, bool cold) {
-    WorkerSlot& slot = workers_[k];
-    slot.worker.reset();
+void SimulatedFleet::start_server(std::size_t k, bool cold) {
+    ServerSlot& slot = servers_[k];
+    slot.server.reset();
     ++slot.incarnation;
     slot.started = cold ? loop_.clock().now() : 0us;
     testbed::FakeServerSettings settings = slot.settings;
     settings.id += "/" + std::to_string(slot.incarnation);
-    weather_.set_zone(settings.id, settings.zone);
+    network_conditions_.set_zone(settings.id, settings.zone);
     server_names_[settings.listen] = settings.id;
-    slot.worker = std::make_unique<testbed::FakeServer>(loop_, actor(kWorkers, k), settings,
-                                                        base::seed_for(script_.seed, settings.id),
-                                                        &watchers_, cold, operations_);
+    slot.server = std::make_unique<testbed::FakeServer>(
+        loop_, actor(kFirstServerActor, k), settings, base::seed_for(script_.seed, settings.id),
+        &observers_, cold, operations_);
 }
 
-void SimulatedFleet::stop_worker(std::size_t k, bool unlisted) {
-    WorkerSlot& slot = workers_[k];
-    if (!slot.worker) {
+void SimulatedFleet::stop_server(std::size_t k, bool unlisted) {
+    ServerSlot& slot = servers_[k];
+    if (!slot.server) {
         return;
     }
-    make({.kind = FaultActionKind::StopServer, .target = slot.settings.id});
+    perform({.kind = FaultActionKind::StopServer, .target = slot.settings.id});
     if (unlisted) {
         return;
     }
     const Micros delay(
-        std::llround(chance_.between(script_.unlist_delay_us.low, script_.unlist_delay_us.high)));
-    later(delay, [this, k, incarnation = slot.incarnation] {
+        std::llround(random_.between(script_.unlist_delay_us.low, script_.unlist_delay_us.high)));
+    schedule(delay, [this, k, incarnation = slot.incarnation] {
         // Back before the list noticed: its new start is listed instead.
-        if (workers_[k].incarnation != incarnation || workers_[k].worker) {
+        if (servers_[k].incarnation != incarnation || servers_[k].server) {
             return;
         }
-        make({.kind = FaultActionKind::UnlistServer, .target = workers_[k].settings.id});
+        perform({.kind = FaultActionKind::UnlistServer, .target = servers_[k].settings.id});
     });
 }
 
 // A cold start, which the list tells of a while later.
-void SimulatedFleet::bring_back(std::size_t k, bool unlisted) {
-    make(
-        {.kind = FaultActionKind::StartServer, .target = workers_[k].settings.id, .enabled = true});
+void SimulatedFleet::restart_cold(std::size_t k, bool unlisted) {
+    perform(
+        {.kind = FaultActionKind::StartServer, .target = servers_[k].settings.id, .enabled = true});
     if (!unlisted) {
-        list_worker(k, Micros(std::llround(chance_.between(script_.list_delay_us.low,
-                                                           script_.list_delay_us.high))));
+        list_after_delay(k, Micros(std::llround(random_.between(script_.list_delay_us.low,
+                                                                script_.list_delay_us.high))));
     }
 }
 
-void SimulatedFleet::list_worker(std::size_t k, Micros delay, bool draining) {
-    later(delay, [this, k, draining, incarnation = workers_[k].incarnation] {
-        const WorkerSlot& slot = workers_[k];
-        if (slot.incarnation == incarnation && slot.worker) {
-            make({.kind = FaultActionKind::ListServer,
-                  .target = slot.settings.id,
-                  .enabled = draining});
+void SimulatedFleet::list_after_delay(std::size_t k, Micros delay, bool draining) {
+    schedule(delay, [this, k, draining, incarnation = servers_[k].incarnation] {
+        const ServerSlot& slot = servers_[k];
+        if (slot.incarnation == incarnation && slot.server) {
+            perform({.kind = FaultActionKind::ListServer,
+                     .target = slot.settings.id,
+                     .enabled = draining});
         }
     });
 }
 
-void SimulatedFleet::put_on_list(std::size_t k, bool draining) {
-    const WorkerSlot& slot = workers_[k];
+void SimulatedFleet::put_in_registry(std::size_t k, bool draining) {
+    const ServerSlot& slot = servers_[k];
     testbed::FakeRegistry::Entry row;
     row.server.id = slot.settings.id;
     row.server.zone = slot.settings.zone;
@@ -486,53 +489,56 @@
 
 // ---- governors and forwarders
 
-void SimulatedFleet::start_governor(std::size_t k) {
-    stop_governor(k);
-    GovernorSlot& slot = governors_[k];
+void SimulatedFleet::start_instance(std::size_t k) {
+    stop_instance(k);
+    InstanceSlot& slot = instances_[k];
     config::InstanceConfig config = script_.instance_config;
     config.id = slot.name;
-    config.seed = base::seed_for(script_.seed, slot.name + "/" + std::to_string(slot.life)) >> 12;
+    config.seed =
+        base::seed_for(script_.seed, slot.name + "/" + std::to_string(slot.incarnation)) >> 12;
     config.settings.ordinal = static_cast<int>(k);
     config.settings.instance_count = script_.instance_count;
     const auto at = std::find(config.zones.begin(), config.zones.end(), slot.zone);
     config.settings.zone = {static_cast<int>(at - config.zones.begin())};
     config.xds_address = net::to_text(slot.port->address());
     config.registry_address = net::to_text(registry_port_->address());
-    slot.service = std::make_unique<xds_server::XdsServer>(
-        loop_, actor(kGovernors, k), config, log_, "life-" + std::to_string(++slot.life));
+    slot.xds_server =
+        std::make_unique<xds_server::XdsServer>(loop_, actor(kFirstInstanceActor, k), config, log_,
+                                                "life-" + std::to_string(++slot.incarnation));
     if (instance_observer) {
-        slot.service->set_observer(*instance_observer);
+        slot.xds_server->set_observer(*instance_observer);
     }
-    slot.service->alter_commands_for_test = [this, k](Micros now, std::vector<Command>& actions) {
+    slot.xds_server->alter_commands_for_test = [this, k](Micros now,
+                                                         std::vector<Command>& actions) {
         if (alter_commands_for_test) {
-            alter_commands_for_test(static_cast<int>(k), *governors_[k].service, now, actions);
+            alter_commands_for_test(static_cast<int>(k), *instances_[k].xds_server, now, actions);
         }
     };
 }
 
-void SimulatedFleet::stop_governor(std::size_t k) {
-    GovernorSlot& slot = governors_[k];
-    if (!slot.service) {
+void SimulatedFleet::stop_instance(std::size_t k) {
+    InstanceSlot& slot = instances_[k];
+    if (!slot.xds_server) {
         return;
     }
-    slot.past += slot.service->metrics();
-    slot.service.reset();
+    slot.previous_metrics += slot.xds_server->metrics();
+    slot.xds_server.reset();
 }
 
 std::vector<xds_server::XdsServerMetrics> SimulatedFleet::instance_metrics() const {
     std::vector<xds_server::XdsServerMetrics> out;
-    for (const GovernorSlot& slot : governors_) {
-        xds_server::XdsServerMetrics sum = slot.past;
-        if (slot.service) {
-            sum += slot.service->metrics();
+    for (const InstanceSlot& slot : instances_) {
+        xds_server::XdsServerMetrics sum = slot.previous_metrics;
+        if (slot.xds_server) {
+            sum += slot.xds_server->metrics();
         }
         out.push_back(sum);
     }
     return out;
 }
 
-std::vector<xds::TableEndpoint> SimulatedFleet::draw_startup(const std::string& zone,
-                                                             base::SequentialRandom& chance) const {
+std::vector<xds::TableEndpoint> SimulatedFleet::draw_startup_table(
+    const std::string& zone, base::SequentialRandom& random) const {
     std::vector<xds::TableEndpoint> here;
     std::vector<xds::TableEndpoint> all;
     for (const auto& [id, row] : registry_->entries()) {
@@ -548,62 +554,62 @@
     auto& from = here.size() >= 3 ? here : all;
     std::vector<xds::TableEndpoint> out;
     while (!from.empty() && out.size() < static_cast<std::size_t>(script_.startup_table_size)) {
-        const std::size_t k = chance.below(from.size());
+        const std::size_t k = random.below(from.size());
         out.push_back(from[k]);
         from.erase(from.begin() + static_cast<std::ptrdiff_t>(k));
     }
     return out;
 }
 
-void SimulatedFleet::start_forwarder(std::size_t k) {
-    ForwarderSlot& slot = forwarders_[k];
-    slot.forwarder.reset();
+void SimulatedFleet::start_proxy(std::size_t k) {
+    ProxySlot& slot = proxies_[k];
+    slot.proxy.reset();
     ++slot.starts;
-    const Settings& told = script_.instance_config.settings;
-    base::SequentialRandom chance(script_.seed,
+    const Settings& settings = script_.instance_config.settings;
+    base::SequentialRandom random(script_.seed,
                                   slot.plan.id + "/start/" + std::to_string(slot.starts));
     testbed::FakeProxySettings s;
     s.id = slot.plan.id;
     s.zone = slot.plan.zone;
     s.invocations_per_second = slot.plan.invocations_per_second;
     s.listen = slot.port->address();
-    s.operations = told.operations;
+    s.operations = settings.operations;
     // Its own zone's governor first, the others in order.
     std::vector<std::size_t> order;
-    for (std::size_t g = 0; g < governors_.size(); ++g) {
-        if (governors_[g].zone == slot.plan.zone) {
+    for (std::size_t g = 0; g < instances_.size(); ++g) {
+        if (instances_[g].zone == slot.plan.zone) {
             order.push_back(g);
         }
     }
-    const std::size_t first = chance.below(governors_.size());
-    for (std::size_t g = 0; g < governors_.size(); ++g) {
-        const std::size_t next = (first + g) % governors_.size();
+    const std::size_t first = random.below(instances_.size());
+    for (std::size_t g = 0; g < instances_.size(); ++g) {
+        const std::size_t next = (first + g) % instances_.size();
         if (std::find(order.begin(), order.end(), next) == order.end()) {
             order.push_back(next);
         }
     }
     for (const std::size_t g : order) {
-        s.instance_addresses.push_back(governors_[g].port->address());
-        s.instance_names.push_back(governors_[g].name);
+        s.instance_addresses.push_back(instances_[g].port->address());
+        s.instance_names.push_back(instances_[g].name);
     }
-    s.startup_table = draw_startup(slot.plan.zone, chance);
-    s.load_balancing_policy = told.load_balancing_policy;
-    s.retry_mode = told.default_retry_mode;
-    s.ejection_failures = told.proxy_ejection_failures;
+    s.startup_table = draw_startup_table(slot.plan.zone, random);
+    s.load_balancing_policy = settings.load_balancing_policy;
+    s.retry_mode = settings.default_retry_mode;
+    s.ejection_failures = settings.proxy_ejection_failures;
     s.ejection_time = script_.instance_config.ejection_time;
     s.connect_timeout = 250ms;
     s.dial_timeout = 1s;
-    s.connection_idle_timeout = told.connection_idle_timeout;
+    s.connection_idle_timeout = settings.connection_idle_timeout;
     s.min_reconnect_delay = Micros(std::llround(script_.reconnect_delay_us.low));
     s.max_reconnect_delay = Micros(std::llround(script_.reconnect_delay_us.high));
     // A cut way shows only by silence.
     s.keepalive_interval = 1s;
-    slot.forwarder = std::make_unique<testbed::FakeProxy>(
-        loop_, actor(kForwarders, k), s,
-        base::seed_for(script_.seed, "start/" + std::to_string(slot.starts)), &watchers_,
+    slot.proxy = std::make_unique<testbed::FakeProxy>(
+        loop_, actor(kFirstProxyActor, k), s,
+        base::seed_for(script_.seed, "start/" + std::to_string(slot.starts)), &observers_,
         &server_names_);
     if (on_proxy_created) {
-        on_proxy_created(*slot.forwarder);
+        on_proxy_created(*slot.proxy);
     }
 }
 
@@ -611,14 +617,14 @@
 
 namespace {
 // So many of a row, or a part of it, drawn by chance; in the order of the row.
-std::vector<std::size_t> drawn(std::vector<std::size_t> from, double part, int count,
-                               base::SequentialRandom& chance) {
+std::vector<std::size_t> sample(std::vector<std::size_t> from, double part, int count,
+                                base::SequentialRandom& random) {
     const auto wanted =
         count > 0 ? static_cast<std::size_t>(count)
                   : static_cast<std::size_t>(std::ceil(part * static_cast<double>(from.size())));
     std::vector<std::size_t> out;
     while (!from.empty() && out.size() < wanted) {
-        const std::size_t k = chance.below(from.size());
+        const std::size_t k = random.below(from.size());
         out.push_back(from[k]);
         from.erase(from.begin() + static_cast<std::ptrdiff_t>(k));
     }
@@ -627,317 +633,321 @@
 }
 }  // namespace
 
-std::vector<std::size_t> SimulatedFleet::struck_workers(const Fault& trouble) {
+std::vector<std::size_t> SimulatedFleet::select_servers(const Fault& fault) {
     std::vector<std::size_t> from;
-    for (std::size_t k = 0; k < workers_.size(); ++k) {
-        if (!trouble.target_name.empty() && workers_[k].settings.id != trouble.target_name) {
+    for (std::size_t k = 0; k < servers_.size(); ++k) {
+        if (!fault.target_name.empty() && servers_[k].settings.id != fault.target_name) {
             continue;
         }
-        if (workers_[k].worker) {
+        if (servers_[k].server) {
             from.push_back(k);
         }
     }
-    if (!trouble.target_name.empty()) {
+    if (!fault.target_name.empty()) {
         return from;
     }
-    base::SequentialRandom chance(script_.seed, "struck/" + std::to_string(trouble.line));
-    return drawn(std::move(from), trouble.target_fraction, trouble.target_count, chance);
+    base::SequentialRandom random(script_.seed, "struck/" + std::to_string(fault.line));
+    return sample(std::move(from), fault.target_fraction, fault.target_count, random);
 }
 
-std::vector<std::size_t> SimulatedFleet::struck_forwarders(const Fault& trouble) {
+std::vector<std::size_t> SimulatedFleet::select_proxies(const Fault& fault) {
     std::vector<std::size_t> from;
-    for (std::size_t k = 0; k < forwarders_.size(); ++k) {
-        if (trouble.target_name.empty() || forwarders_[k].plan.id == trouble.target_name) {
+    for (std::size_t k = 0; k < proxies_.size(); ++k) {
+        if (fault.target_name.empty() || proxies_[k].plan.id == fault.target_name) {
             from.push_back(k);
         }
     }
-    if (!trouble.target_name.empty()) {
+    if (!fault.target_name.empty()) {
         return from;
     }
-    base::SequentialRandom chance(script_.seed, "struck/" + std::to_string(trouble.line));
-    return drawn(std::move(from), trouble.target_fraction, trouble.target_count, chance);
+    base::SequentialRandom random(script_.seed, "struck/" + std::to_string(fault.line));
+    return sample(std::move(from), fault.target_fraction, fault.target_count, random);
 }
 
-void SimulatedFleet::trouble_worker(std::size_t k,
-                                    const std::function<void(testbed::ServerFault&)>& change) {
-    FaultAction move{.kind = FaultActionKind::SetServerFault,
-                     .target = workers_[k].settings.id,
-                     .server_fault = workers_[k].worker->fault};
-    change(move.server_fault);
-    make(move);
+void SimulatedFleet::change_server_fault(std::size_t k,
+                                         const std::function<void(testbed::ServerFault&)>& change) {
+    FaultAction action{.kind = FaultActionKind::SetServerFault,
+                       .target = servers_[k].settings.id,
+                       .server_fault = servers_[k].server->fault};
+    change(action.server_fault);
+    perform(action);
 }
 
 // Changes those struck, and back when the trouble is over (unless they died meanwhile).
-void SimulatedFleet::each_worker(const Fault& trouble,
-                                 const std::function<void(testbed::ServerFault&, bool)>& change) {
-    for (const std::size_t k : struck_workers(trouble)) {
-        trouble_worker(k, [&](testbed::ServerFault& t) { change(t, true); });
-        later(trouble.duration, [this, k, change, incarnation = workers_[k].incarnation] {
-            if (workers_[k].worker && workers_[k].incarnation == incarnation) {
-                trouble_worker(k, [&](testbed::ServerFault& t) { change(t, false); });
+void SimulatedFleet::apply_for_duration(
+    const Fault& fault, const std::function<void(testbed::ServerFault&, bool)>& change) {
+    for (const std::size_t k : select_servers(fault)) {
+        change_server_fault(k, [&](testbed::ServerFault& t) { change(t, true); });
+        schedule(fault.duration, [this, k, change, incarnation = servers_[k].incarnation] {
+            if (servers_[k].server && servers_[k].incarnation == incarnation) {
+                change_server_fault(k, [&](testbed::ServerFault& t) { change(t, false); });
             }
         });
     }
 }
 
-void SimulatedFleet::flap(const Fault& trouble, std::size_t k, Micros end,
-                          std::shared_ptr<base::SequentialRandom> chance) {
+void SimulatedFleet::flap(const Fault& fault, std::size_t k, Micros end,
+                          std::shared_ptr<base::SequentialRandom> random) {
     const Micros now = loop_.clock().now();
     if (now >= end) {
         return;
     }
-    const double turn = static_cast<double>(trouble.period.count()) * chance->between(0.7, 1.3);
-    const Micros up(std::llround(turn * (1 - trouble.magnitude)));
-    const Micros down(std::llround(turn * trouble.magnitude));
-    later(up, [this, &trouble, k, end, chance, down] {
-        if (loop_.clock().now() >= end || !workers_[k].worker) {
+    const double turn = static_cast<double>(fault.period.count()) * random->between(0.7, 1.3);
+    const Micros up(std::llround(turn * (1 - fault.magnitude)));
+    const Micros down(std::llround(turn * fault.magnitude));
+    schedule(up, [this, &fault, k, end, random, down] {
+        if (loop_.clock().now() >= end || !servers_[k].server) {
             return;
         }
-        if (trouble.mode == "hang" || trouble.mode == "errors") {
-            trouble_worker(k, [&](testbed::ServerFault& t) {
-                trouble.mode == "hang" ? void(t.hangs = true) : void(t.error_fraction = 0.95);
+        if (fault.mode == "hang" || fault.mode == "errors") {
+            change_server_fault(k, [&](testbed::ServerFault& t) {
+                fault.mode == "hang" ? void(t.hangs = true) : void(t.error_fraction = 0.95);
             });
-            later(down, [this, &trouble, k, end, chance, incarnation = workers_[k].incarnation] {
-                if (!workers_[k].worker || workers_[k].incarnation != incarnation) {
+            schedule(down, [this, &fault, k, end, random, incarnation = servers_[k].incarnation] {
+                if (!servers_[k].server || servers_[k].incarnation != incarnation) {
                     return;
                 }
-                trouble_worker(k, [](testbed::ServerFault& t) { t = {}; });
-                flap(trouble, k, end, chance);
+                change_server_fault(k, [](testbed::ServerFault& t) { t = {}; });
+                flap(fault, k, end, random);
             });
             return;
         }
-        stop_worker(k, trouble.unlisted);
-        later(down, [this, &trouble, k, end, chance] {
-            if (workers_[k].worker) {
+        stop_server(k, fault.unlisted);
+        schedule(down, [this, &fault, k, end, random] {
+            if (servers_[k].server) {
                 return;
             }
-            bring_back(k, trouble.unlisted);
-            flap(trouble, k, end, chance);
+            restart_cold(k, fault.unlisted);
+            flap(fault, k, end, random);
         });
     });
 }
 
-void SimulatedFleet::age(const Fault& trouble, std::size_t k, int incarnation, Micros began) {
-    WorkerSlot& slot = workers_[k];
-    if (!slot.worker || slot.incarnation != incarnation) {
+void SimulatedFleet::slow_down_gradually(const Fault& fault, std::size_t k, int incarnation,
+                                         Micros began) {
+    ServerSlot& slot = servers_[k];
+    if (!slot.server || slot.incarnation != incarnation) {
         return;
     }
     const double part = static_cast<double>((loop_.clock().now() - began).count()) /
-                        static_cast<double>(trouble.duration.count());
+                        static_cast<double>(fault.duration.count());
     if (part < 1) {
-        trouble_worker(k, [&](testbed::ServerFault& t) {
-            t.slowdown_factor = 1 + (trouble.magnitude - 1) * part;
+        change_server_fault(k, [&](testbed::ServerFault& t) {
+            t.slowdown_factor = 1 + (fault.magnitude - 1) * part;
+        });
+        schedule(500ms, [this, &fault, k, incarnation, began] {
+            slow_down_gradually(fault, k, incarnation, began);
         });
-        later(500ms,
-              [this, &trouble, k, incarnation, began] { age(trouble, k, incarnation, began); });
         return;
     }
-    stop_worker(k, false);
-    later(trouble.downtime > 0us ? trouble.downtime : Micros{5s}, [this, k] {
-        if (!workers_[k].worker) {
-            bring_back(k, false);
+    stop_server(k, false);
+    schedule(fault.downtime > 0us ? fault.downtime : Micros{5s}, [this, k] {
+        if (!servers_[k].server) {
+            restart_cold(k, false);
         }
     });
 }
 
-void SimulatedFleet::strike_neighbour(const Fault& trouble, std::size_t k, Micros end, bool on) {
-    if (!workers_[k].worker) {
+void SimulatedFleet::toggle_noisy_neighbour(const Fault& fault, std::size_t k, Micros end,
+                                            bool on) {
+    if (!servers_[k].server) {
         return;
     }
     const bool over = loop_.clock().now() >= end;
-    trouble_worker(k, [&](testbed::ServerFault& t) {
-        t.stolen_cpu_fraction = on && !over ? trouble.magnitude : 0;
+    change_server_fault(k, [&](testbed::ServerFault& t) {
+        t.stolen_cpu_fraction = on && !over ? fault.magnitude : 0;
     });
     if (over) {
         return;
     }
-    const Micros turn = trouble.period > 0us ? trouble.period : trouble.duration;
-    later(std::min(turn, end - loop_.clock().now()),
-          [this, &trouble, k, end, on] { strike_neighbour(trouble, k, end, !on); });
+    const Micros turn = fault.period > 0us ? fault.period : fault.duration;
+    schedule(std::min(turn, end - loop_.clock().now()),
+             [this, &fault, k, end, on] { toggle_noisy_neighbour(fault, k, end, !on); });
 }
 
-void SimulatedFleet::strike_workers(const Fault& trouble) {
+void SimulatedFleet::inject_server_fault(const Fault& fault) {
     using T = testbed::ServerFault;
-    const double by = trouble.magnitude;
-    switch (trouble.kind) {
+    const double by = fault.magnitude;
+    switch (fault.kind) {
         case FaultKind::Hang:
-            return each_worker(trouble, [](T& t, bool on) { t.hangs = on; });
+            return apply_for_duration(fault, [](T& t, bool on) { t.hangs = on; });
         case FaultKind::FastErrors:
-            return each_worker(trouble, [by](T& t, bool on) { t.error_fraction = on ? by : 0; });
+            return apply_for_duration(fault,
+                                      [by](T& t, bool on) { t.error_fraction = on ? by : 0; });
         case FaultKind::Slow:
-            return each_worker(trouble, [by](T& t, bool on) { t.slowdown_factor = on ? by : 1; });
+            return apply_for_duration(fault,
+                                      [by](T& t, bool on) { t.slowdown_factor = on ? by : 1; });
         case FaultKind::ResponsesLost:
-            return each_worker(trouble,
-                               [by](T& t, bool on) { t.lost_response_fraction = on ? by : 0; });
+            return apply_for_duration(
+                fault, [by](T& t, bool on) { t.lost_response_fraction = on ? by : 0; });
         case FaultKind::LoadUnderreported:
-            return each_worker(trouble,
-                               [by](T& t, bool on) { t.reported_load_fraction = on ? by : 1; });
+            return apply_for_duration(
+                fault, [by](T& t, bool on) { t.reported_load_fraction = on ? by : 1; });
         case FaultKind::ConnectionLimit:
-            return each_worker(trouble, [by](T& t, bool on) {
+            return apply_for_duration(fault, [by](T& t, bool on) {
                 t.max_connections = on ? static_cast<std::size_t>(by) : SIZE_MAX;
             });
         default:
             break;
     }
     const Micros now = loop_.clock().now();
-    for (const std::size_t k : struck_workers(trouble)) {
-        if (trouble.kind == FaultKind::GradualSlowdown) {
-            age(trouble, k, workers_[k].incarnation, now);
-        } else if (trouble.kind == FaultKind::NoisyNeighbour) {
-            strike_neighbour(trouble, k, now + trouble.duration, true);
-        } else if (trouble.kind == FaultKind::Flapping) {
-            flap(trouble, k, now + trouble.duration,
+    for (const std::size_t k : select_servers(fault)) {
+        if (fault.kind == FaultKind::GradualSlowdown) {
+            slow_down_gradually(fault, k, servers_[k].incarnation, now);
+        } else if (fault.kind == FaultKind::NoisyNeighbour) {
+            toggle_noisy_neighbour(fault, k, now + fault.duration, true);
+        } else if (fault.kind == FaultKind::Flapping) {
+            flap(fault, k, now + fault.duration,
                  std::make_shared<base::SequentialRandom>(
-                     script_.seed,
-                     "flap/" + std::to_string(trouble.line) + "/" + std::to_string(k)));
-        } else if (trouble.kind == FaultKind::Drain) {
-            list_worker(k, 1us, true);
-            later(trouble.duration > 0us ? trouble.duration
-                                         : 3 * script_.instance_config.settings.drain_grace,
-                  [this, k] { stop_worker(k, false); });
+                     script_.seed, "flap/" + std::to_string(fault.line) + "/" + std::to_string(k)));
+        } else if (fault.kind == FaultKind::Drain) {
+            list_after_delay(k, 1us, true);
+            schedule(fault.duration > 0us ? fault.duration
+                                          : 3 * script_.instance_config.settings.drain_grace,
+                     [this, k] { stop_server(k, false); });
         } else {  // crash, and a whole zone lost
-            stop_worker(k, trouble.unlisted);
-            if (trouble.duration <= 0us) {
+            stop_server(k, fault.unlisted);
+            if (fault.duration <= 0us) {
                 continue;
             }
-            later(trouble.duration, [this, k, unlisted = trouble.unlisted] {
-                if (!workers_[k].worker) {
-                    bring_back(k, unlisted);
+            schedule(fault.duration, [this, k, unlisted = fault.unlisted] {
+                if (!servers_[k].server) {
+                    restart_cold(k, unlisted);
                 }
             });
         }
     }
 }
 
-void SimulatedFleet::strike_forwarders(const Fault& trouble) {
-    for (const std::size_t k : struck_forwarders(trouble)) {
-        const std::string& id = forwarders_[k].plan.id;
-        if (!forwarders_[k].forwarder) {
+void SimulatedFleet::inject_proxy_fault(const Fault& fault) {
+    for (const std::size_t k : select_proxies(fault)) {
+        const std::string& id = proxies_[k].plan.id;
+        if (!proxies_[k].proxy) {
             continue;
         }
-        if (trouble.kind == FaultKind::StreamsBreak) {
-            make({.kind = FaultActionKind::BreakStream, .target = id});
-        } else if (trouble.kind == FaultKind::ProxyCrash) {
-            make({.kind = FaultActionKind::StopProxy, .target = id});
-            later(trouble.duration, [this, k] {
-                if (!forwarders_[k].forwarder) {
-                    make({.kind = FaultActionKind::StartProxy, .target = forwarders_[k].plan.id});
+        if (fault.kind == FaultKind::StreamsBreak) {
+            perform({.kind = FaultActionKind::BreakStream, .target = id});
+        } else if (fault.kind == FaultKind::ProxyCrash) {
+            perform({.kind = FaultActionKind::StopProxy, .target = id});
+            schedule(fault.duration, [this, k] {
+                if (!proxies_[k].proxy) {
+                    perform({.kind = FaultActionKind::StartProxy, .target = proxies_[k].plan.id});
                 }
             });
         } else {
-            const auto kind = trouble.kind == FaultKind::ProxyStall ? FaultActionKind::StallProxy
-                                                                    : FaultActionKind::IsolateProxy;
-            make({.kind = kind, .target = id, .enabled = true});
-            later(trouble.duration, [this, k, kind] {
-                if (forwarders_[k].forwarder) {
-                    make({.kind = kind, .target = forwarders_[k].plan.id, .enabled = false});
+            const auto kind = fault.kind == FaultKind::ProxyStall ? FaultActionKind::StallProxy
+                                                                  : FaultActionKind::IsolateProxy;
+            perform({.kind = kind, .target = id, .enabled = true});
+            schedule(fault.duration, [this, k, kind] {
+                if (proxies_[k].proxy) {
+                    perform({.kind = kind, .target = proxies_[k].plan.id, .enabled = false});
                 }
             });
         }
     }
 }
 
-void SimulatedFleet::lose_zone(const Fault& trouble) {
-    for (auto& worker : workers_) {
-        if (worker.settings.zone != trouble.target_name) {
+void SimulatedFleet::lose_zone(const Fault& fault) {
+    for (auto& server : servers_) {
+        if (server.settings.zone != fault.target_name) {
             continue;
         }
-        Fault one = trouble;
+        Fault one = fault;
         one.kind = FaultKind::Crash;
-        one.target_name = worker.settings.id;
-        strike_workers(one);
+        one.target_name = server.settings.id;
+        inject_server_fault(one);
     }
-    for (std::size_t k = 0; trouble.with_proxies && k < forwarders_.size(); ++k) {
-        if (forwarders_[k].plan.zone != trouble.target_name) {
+    for (std::size_t k = 0; fault.with_proxies && k < proxies_.size(); ++k) {
+        if (proxies_[k].plan.zone != fault.target_name) {
             continue;
         }
-        make({.kind = FaultActionKind::StopProxy, .target = forwarders_[k].plan.id});
-        later(trouble.duration, [this, k] {
-            if (!forwarders_[k].forwarder) {
-                make({.kind = FaultActionKind::StartProxy, .target = forwarders_[k].plan.id});
+        perform({.kind = FaultActionKind::StopProxy, .target = proxies_[k].plan.id});
+        schedule(fault.duration, [this, k] {
+            if (!proxies_[k].proxy) {
+                perform({.kind = FaultActionKind::StartProxy, .target = proxies_[k].plan.id});
             }
         });
     }
-    for (std::size_t k = 0; trouble.with_instances && k < governors_.size(); ++k) {
-        if (governors_[k].zone == trouble.target_name) {
-            crash_governor(k, trouble.duration);
+    for (std::size_t k = 0; fault.with_instances && k < instances_.size(); ++k) {
+        if (instances_[k].zone == fault.target_name) {
+            crash_instance(k, fault.duration);
         }
     }
 }
 
-void SimulatedFleet::crash_governor(std::size_t k, Micros lasts) {
-    make({.kind = FaultActionKind::StopInstance, .target = governors_[k].name});
-    later(lasts, [this, k] {
-        if (!governors_[k].service) {
-            make({.kind = FaultActionKind::StartInstance, .target = governors_[k].name});
+void SimulatedFleet::crash_instance(std::size_t k, Micros lasts) {
+    perform({.kind = FaultActionKind::StopInstance, .target = instances_[k].name});
+    schedule(lasts, [this, k] {
+        if (!instances_[k].xds_server) {
+            perform({.kind = FaultActionKind::StartInstance, .target = instances_[k].name});
         }
     });
 }
 
-void SimulatedFleet::strike(const Fault& trouble) {
+void SimulatedFleet::inject(const Fault& fault) {
     using enum FaultActionKind;
-    log::Logger(log_, "day").info("trouble", {{"kind", trouble.name}, {"line", trouble.line}});
+    log::Logger(log_, "day").info("trouble", {{"kind", fault.name}, {"line", fault.line}});
     if (on_fault) {
-        on_fault(loop_.clock().now(), trouble);
+        on_fault(loop_.clock().now(), fault);
     }
     // Now, and the opposite when the trouble is over.
-    const auto for_a_while = [&](FaultAction move, FaultAction back) {
-        make(move);
-        later(trouble.duration, [this, back = std::move(back)] { make(back); });
+    const auto for_a_while = [&](FaultAction action, FaultAction back) {
+        perform(action);
+        schedule(fault.duration, [this, back = std::move(back)] { perform(back); });
     };
-    switch (trouble.kind) {
+    switch (fault.kind) {
         case FaultKind::ZoneCut:
             return for_a_while(
-                {.kind = PartitionZone, .target = trouble.target_name, .enabled = true},
-                {.kind = PartitionZone, .target = trouble.target_name});
+                {.kind = PartitionZone, .target = fault.target_name, .enabled = true},
+                {.kind = PartitionZone, .target = fault.target_name});
         case FaultKind::SlowLink:
             return for_a_while({.kind = DelayZone,
-                                .target = trouble.target_name,
-                                .magnitude = trouble.magnitude,
-                                .duration = trouble.delay},
-                               {.kind = DelayZone, .target = trouble.target_name});
+                                .target = fault.target_name,
+                                .magnitude = fault.magnitude,
+                                .duration = fault.delay},
+                               {.kind = DelayZone, .target = fault.target_name});
         case FaultKind::ZoneLoss:
-            return lose_zone(trouble);
+            return lose_zone(fault);
         case FaultKind::SlowChannel:
-            return for_a_while({.kind = SlowChannels, .magnitude = trouble.magnitude},
+            return for_a_while({.kind = SlowChannels, .magnitude = fault.magnitude},
                                {.kind = SlowChannels, .magnitude = 1});
         case FaultKind::StreamsBreak:
         case FaultKind::InstancesUnreachable:
         case FaultKind::ProxyStall:
         case FaultKind::ProxyCrash:
-            return strike_forwarders(trouble);
+            return inject_proxy_fault(fault);
         case FaultKind::InstanceCrash:
-            return crash_governor(static_cast<std::size_t>(std::stoi(trouble.target_name)),
-                                  trouble.duration);
+            return crash_instance(static_cast<std::size_t>(std::stoi(fault.target_name)),
+                                  fault.duration);
         case FaultKind::StaleList:
             return for_a_while(
-                {.kind = ServeStaleList, .enabled = true, .magnitude = trouble.magnitude},
+                {.kind = ServeStaleList, .enabled = true, .magnitude = fault.magnitude},
                 {.kind = ServeStaleList});
         case FaultKind::AddServers:
-            for (int n = 0; n < std::max(1, trouble.target_count); ++n) {
-                const std::size_t k = workers_.size();
-                const auto settings = draw_worker(k);
-                make({.kind = AddServer, .target = settings.id, .server_settings = settings});
-                bring_back(k, false);
+            for (int n = 0; n < std::max(1, fault.target_count); ++n) {
+                const std::size_t k = servers_.size();
+                const auto settings = draw_server_settings(k);
+                perform({.kind = AddServer, .target = settings.id, .server_settings = settings});
+                restart_cold(k, false);
             }
             return;
         case FaultKind::RegistryHang:
             return for_a_while({.kind = HangRegistry, .enabled = true}, {.kind = HangRegistry});
         case FaultKind::RegistryRestart:
-            return make({.kind = RestartRegistry, .enabled = trouble.mode != "empty"});
+            return perform({.kind = RestartRegistry, .enabled = fault.mode != "empty"});
         case FaultKind::RegistryGarbage:
             return for_a_while({.kind = CorruptRegistry, .text = "{\"registry\": 7, "},
                                {.kind = CorruptRegistry});
         case FaultKind::ShortAttemptTimeouts:
-            return make({.kind = FaultActionKind::ShortenAttemptTimeouts,
-                         .magnitude = trouble.magnitude,
-                         .duration = trouble.duration});
+            return perform({.kind = FaultActionKind::ShortenAttemptTimeouts,
+                            .magnitude = fault.magnitude,
+                            .duration = fault.duration});
         // Drawn into the traffic beforehand.
         case FaultKind::Burst:
         case FaultKind::Shift:
             return;
         default:
-            return strike_workers(trouble);
+            return inject_server_fault(fault);
     }
 }
 
--- a/src/scenario/simulated_fleet.h
+++ b/src/scenario/simulated_fleet.h
@@ -69,9 +69,10 @@
     }
 
     void on_response(Micros t, const std::string& f, const std::string& g,
-                     const std::string& orders, std::size_t n, const std::string& why) override {
+                     const std::string& release_text, std::size_t n,
+                     const std::string& why) override {
         for (auto* o : observers) {
-            o->on_response(t, f, g, orders, n, why);
+            o->on_response(t, f, g, release_text, n, why);
         }
     }
 
@@ -134,25 +135,25 @@
     // With `given`, the fleet, the troubles and the invocations are those, and the script's are not
     // drawn.
     SimulatedFleet(net::Loop& loop, const ScenarioScript& script, log::Log& log,
-                   const std::vector<testbed::Observer*>& watchers,
-                   const RecordedScenario* given = nullptr);
+                   const std::vector<testbed::Observer*>& observers,
+                   const RecordedScenario* recorded = nullptr);
     ~SimulatedFleet();
 
     Micros begin() const { return begin_; }
 
     // Zones by forwarder.
     static std::map<std::string, std::string> proxy_zones(const ScenarioScript& script,
-                                                          const RecordedScenario* given);
+                                                          const RecordedScenario* recorded);
 
     // For tests: changes what governors decided before it is carried out, and what forwarders do.
-    std::function<void(int governor, xds_server::XdsServer&, Micros, std::vector<Command>&)>
+    std::function<void(int instance, xds_server::XdsServer&, Micros, std::vector<Command>&)>
         alter_commands_for_test;
     std::function<void(testbed::FakeProxy&)> on_proxy_created;
     // The channel's pace changed by this factor (the auditor's rules stretch with it).
-    std::function<void(double slower)> on_channels_slowed;
+    std::function<void(double slowdown_factor)> on_channels_slowed;
     // Hears of each move before it is made (`joined`: in one step with the move before), and of
     // each trouble of the script as it strikes.
-    std::function<void(Micros now, bool opening, bool joined, const FaultAction&)> on_action;
+    std::function<void(Micros now, bool initial, bool same_step, const FaultAction&)> on_action;
     std::function<void(Micros now, const Fault&)> on_fault;
     // Hears what governors are told and decide.
     xds_server::XdsServerObserver* instance_observer = nullptr;
@@ -165,93 +166,95 @@
     void start();
 
 private:
-    struct WorkerSlot {
+    struct ServerSlot {
         testbed::FakeServerSettings settings;
         std::unique_ptr<net::PortHold> port;
-        std::unique_ptr<testbed::FakeServer> worker;
+        std::unique_ptr<testbed::FakeServer> server;
         int incarnation = 0;
         Micros started{};  // 0: long ago
     };
 
-    struct ForwarderSlot {
+    struct ProxySlot {
         ProxyPlan plan;
         std::unique_ptr<net::PortHold> port;
-        std::unique_ptr<testbed::FakeProxy> forwarder;
+        std::unique_ptr<testbed::FakeProxy> proxy;
         std::unique_ptr<testbed::FakeClient> client;
         int starts = 0;
     };
 
-    struct GovernorSlot {
+    struct InstanceSlot {
         std::string name, zone;
         std::unique_ptr<net::PortHold> port;
-        std::unique_ptr<xds_server::XdsServer> service;
-        int life = 0;
-        xds_server::XdsServerMetrics past;  // of its earlier lives
+        std::unique_ptr<xds_server::XdsServer> xds_server;
+        int incarnation = 0;
+        xds_server::XdsServerMetrics previous_metrics;  // of its earlier lives
     };
 
-    void later(Micros delay, std::function<void()> what);
+    void schedule(Micros delay, std::function<void()> callback);
 
-    void open_script();
-    void open_given();
+    void start_from_script();
+    void start_from_recording();
     void add_clients(std::map<std::string, std::vector<testbed::Invocation>> traffic);
-    void add_forwarder(const ProxyPlan& plan);
-    void add_governor(std::size_t k);
-    std::vector<testbed::FakeClientSettings::AttemptTimeoutOverride> gives_up() const;
-    testbed::FakeServerSettings draw_worker(std::size_t k) const;
-
-    void make(const FaultAction& move);
-    void apply(const FaultAction& move);
-    void apply_to_worker(const FaultAction& move);
-    void apply_to_forwarder(const FaultAction& move);
-    void show_old_list(bool on, double seconds_back);
-    void pace_channels(double slower);
-    std::size_t worker_called(const std::string& id) const;
-    std::size_t forwarder_called(const std::string& id) const;
-    std::size_t governor_called(const std::string& id) const;
-
-    void add_worker(const testbed::FakeServerSettings& settings);
-    void start_worker(std::size_t k, bool cold);
-    void put_on_list(std::size_t k, bool draining);
-    void stop_worker(std::size_t k, bool unlisted);
-    void bring_back(std::size_t k, bool unlisted);
-    void list_worker(std::size_t k, Micros delay, bool draining = false);
-    void start_forwarder(std::size_t k);
-    void start_governor(std::size_t k);
-    void stop_governor(std::size_t k);
-    std::vector<xds::TableEndpoint> draw_startup(const std::string& zone,
-                                                 base::SequentialRandom& chance) const;
-
-    std::vector<std::size_t> struck_workers(const Fault& trouble);
-    std::vector<std::size_t> struck_forwarders(const Fault& trouble);
-    void strike(const Fault& trouble);
-    void strike_forwarders(const Fault& trouble);
-    void lose_zone(const Fault& trouble);
-    void crash_governor(std::size_t k, Micros lasts);
-    void trouble_worker(std::size_t k, const std::function<void(testbed::ServerFault&)>& change);
-    void strike_workers(const Fault& trouble);
-    void each_worker(const Fault& trouble,
-                     const std::function<void(testbed::ServerFault&, bool on)>& change);
-    void flap(const Fault& trouble, std::size_t k, Micros end,
-              std::shared_ptr<base::SequentialRandom> chance);
-    void age(const Fault& trouble, std::size_t k, int incarnation, Micros began);
-    void strike_neighbour(const Fault& trouble, std::size_t k, Micros end, bool on);
+    void add_proxy(const ProxyPlan& plan);
+    void add_instance(std::size_t k);
+    std::vector<testbed::FakeClientSettings::AttemptTimeoutOverride> attempt_timeout_overrides()
+        const;
+    testbed::FakeServerSettings draw_server_settings(std::size_t k) const;
+
+    void perform(const FaultAction& action);
+    void apply(const FaultAction& action);
+    void apply_to_server(const FaultAction& action);
+    void apply_to_proxy(const FaultAction& action);
+    void serve_stale_list(bool on, double seconds_back);
+    void set_channel_slowdown(double slowdown_factor);
+    std::size_t server_index(const std::string& id) const;
+    std::size_t proxy_index(const std::string& id) const;
+    std::size_t instance_index(const std::string& id) const;
+
+    void add_server(const testbed::FakeServerSettings& settings);
+    void start_server(std::size_t k, bool cold);
+    void put_in_registry(std::size_t k, bool draining);
+    void stop_server(std::size_t k, bool unlisted);
+    void restart_cold(std::size_t k, bool unlisted);
+    void list_after_delay(std::size_t k, Micros delay, bool draining = false);
+    void start_proxy(std::size_t k);
+    void start_instance(std::size_t k);
+    void stop_instance(std::size_t k);
+    std::vector<xds::TableEndpoint> draw_startup_table(const std::string& zone,
+                                                       base::SequentialRandom& random) const;
+
+    std::vector<std::size_t> select_servers(const Fault& fault);
+    std::vector<std::size_t> select_proxies(const Fault& fault);
+    void inject(const Fault& fault);
+    void inject_proxy_fault(const Fault& fault);
+    void lose_zone(const Fault& fault);
+    void crash_instance(std::size_t k, Micros lasts);
+    void change_server_fault(std::size_t k,
+                             const std::function<void(testbed::ServerFault&)>& change);
+    void inject_server_fault(const Fault& fault);
+    void apply_for_duration(const Fault& fault,
+                            const std::function<void(testbed::ServerFault&, bool on)>& change);
+    void flap(const Fault& fault, std::size_t k, Micros end,
+              std::shared_ptr<base::SequentialRandom> random);
+    void slow_down_gradually(const Fault& fault, std::size_t k, int incarnation, Micros began);
+    void toggle_noisy_neighbour(const Fault& fault, std::size_t k, Micros end, bool on);
 
     net::Loop& loop_;
     const ScenarioScript& script_;
-    const RecordedScenario* given_;
-    bool opening_ = false;
-    std::uint64_t step_ = 0, moved_step_ = 0;  // steps of the world; the one of its last move
+    const RecordedScenario* recorded_;
+    bool starting_ = false;
+    std::uint64_t step_ = 0, last_action_step_ = 0;  // steps of the world; the one of its last move
     log::Log& log_;
-    FanOutObserver watchers_;
-    NetworkConditions weather_;
+    FanOutObserver observers_;
+    NetworkConditions network_conditions_;
     Micros begin_{};
-    base::SequentialRandom chance_;
+    base::SequentialRandom random_;
     std::vector<std::string> operations_;
     std::unique_ptr<net::PortHold> registry_port_;
     std::unique_ptr<testbed::FakeRegistry> registry_;
-    std::vector<WorkerSlot> workers_;
-    std::vector<ForwarderSlot> forwarders_;
-    std::vector<GovernorSlot> governors_;
+    std::vector<ServerSlot> servers_;
+    std::vector<ProxySlot> proxies_;
+    std::vector<InstanceSlot> instances_;
     std::map<net::Address, std::string> server_names_;
     std::map<Micros, std::map<std::string, testbed::FakeRegistry::Entry>> list_history_;
     std::map<std::uint64_t, base::Timer> timers_;
--- a/src/scenario/traffic.cpp
+++ b/src/scenario/traffic.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // How far a shift has come at this time: 0 before, `by` at its end and after.
-double shifted(const Fault& t, Micros at) {
+double shifted_fraction(const Fault& t, Micros at) {
     if (at < t.begin) {
         return 0;
     }
@@ -22,36 +22,37 @@
 }
 
 // Ranks drawn by Zipf's law: key k with weight 1 / k^s.
-class Keys {
+class ZipfKeys {
 public:
-    Keys(int count, double s) {
+    ZipfKeys(int count, double s) {
         double sum = 0;
         for (int k = 1; k <= count; ++k) {
-            ends_.push_back(sum += std::pow(k, -s));
+            cumulative_weights_.push_back(sum += std::pow(k, -s));
         }
     }
 
-    std::string draw(double part) const {
-        const auto at = std::lower_bound(ends_.begin(), ends_.end(), part * ends_.back());
-        return "key-" + std::to_string(at - ends_.begin());
+    std::string draw(double position) const {
+        const auto at = std::lower_bound(cumulative_weights_.begin(), cumulative_weights_.end(),
+                                         position * cumulative_weights_.back());
+        return "key-" + std::to_string(at - cumulative_weights_.begin());
     }
 
 private:
-    std::vector<double> ends_;
+    std::vector<double> cumulative_weights_;
 };
 
 }  // namespace
 
-std::string numbered_name(const char* what, std::size_t n) {
+std::string numbered_name(const char* prefix, std::size_t n) {
     std::string digits = std::to_string(n);
     if (digits.size() < 3) {
         digits.insert(0, 3 - digits.size(), '0');
     }
-    return std::string(what) + "-" + digits;
+    return std::string(prefix) + "-" + digits;
 }
 
 std::vector<ProxyPlan> plan_proxies(const ScenarioScript& script) {
-    base::SequentialRandom chance(script.seed, "forwarders");
+    base::SequentialRandom random(script.seed, "forwarders");
     std::vector<ProxyPlan> out;
     double sum = 0;
     for (int k = 0; k < script.proxy_count; ++k) {
@@ -60,7 +61,7 @@
         plan.zone = script.instance_config
                         .zones[static_cast<std::size_t>(k) % script.instance_config.zones.size()];
         // Most carry little, some far more.
-        plan.traffic_weight = chance.lognormal(0.6);
+        plan.traffic_weight = random.lognormal(0.6);
         sum += plan.traffic_weight;
         out.push_back(std::move(plan));
     }
@@ -71,10 +72,10 @@
 }
 
 std::map<std::string, std::vector<testbed::Invocation>> generate_traffic(
-    const ScenarioScript& script, const std::vector<ProxyPlan>& forwarders, Micros begin) {
-    const Keys keys(script.key_count, script.key_zipf_exponent);
+    const ScenarioScript& script, const std::vector<ProxyPlan>& proxies, Micros begin) {
+    const ZipfKeys keys(script.key_count, script.key_zipf_exponent);
     double shares = 0;
-    double most = 1;
+    double max_factor = 1;
     std::size_t heaviest = 0;
     for (std::size_t k = 0; k < script.operations.size(); ++k) {
         shares += script.operations[k].share;
@@ -84,19 +85,20 @@
     }
     for (const Fault& t : script.faults) {
         if (t.kind == FaultKind::Burst) {
-            most *= std::max(1.0, t.magnitude);
+            max_factor *= std::max(1.0, t.magnitude);
         }
         // All of the traffic that moves may end at one zone's forwarders.
         if (t.kind == FaultKind::Shift) {
-            most *= 1 + t.magnitude * static_cast<double>(script.instance_config.zones.size());
+            max_factor *=
+                1 + t.magnitude * static_cast<double>(script.instance_config.zones.size());
         }
     }
     std::map<std::string, std::vector<testbed::Invocation>> out;
-    for (const ProxyPlan& plan : forwarders) {
-        base::SequentialRandom chance(script.seed, "traffic/" + plan.id);
+    for (const ProxyPlan& plan : proxies) {
+        base::SequentialRandom random(script.seed, "traffic/" + plan.id);
         auto& list = out[plan.id];
         double zone_rate = 0;
-        for (const auto& other : forwarders) {
+        for (const auto& other : proxies) {
             if (other.zone == plan.zone) {
                 zone_rate += other.invocations_per_second;
             }
@@ -110,7 +112,7 @@
                 if (t.kind != FaultKind::Shift || t.target_name == "mix") {
                     continue;
                 }
-                const double moved = shifted(t, at);
+                const double moved = shifted_fraction(t, at);
                 // What leaves the other zones comes to this one's forwarders by their usual parts.
                 f *= t.target_name == plan.zone && zone_rate > 0
                          ? 1 + moved * (script.invocations_per_second - zone_rate) / zone_rate
@@ -121,42 +123,43 @@
         double at = 0;
         const double length = static_cast<double>(script.length.count()) / 1e6;
         while (plan.invocations_per_second > 0) {
-            at += chance.exponential(1 / (plan.invocations_per_second * most));
+            at += random.exponential(1 / (plan.invocations_per_second * max_factor));
             if (at >= length) {
                 break;
             }
             const Micros when(std::llround(at * 1e6));
-            if (chance.part() * most >= factor(when)) {
+            if (random.part() * max_factor >= factor(when)) {
                 continue;
             }
-            testbed::Invocation one;
-            one.proxy = plan.id;
-            double draw = chance.part() * shares;
-            while (one.operation + 1 < static_cast<int>(script.operations.size()) &&
-                   (draw -= script.operations[static_cast<std::size_t>(one.operation)].share) >=
-                       0) {
-                ++one.operation;
+            testbed::Invocation invocation;
+            invocation.proxy = plan.id;
+            double draw = random.part() * shares;
+            while (invocation.operation + 1 < static_cast<int>(script.operations.size()) &&
+                   (draw -=
+                    script.operations[static_cast<std::size_t>(invocation.operation)].share) >= 0) {
+                ++invocation.operation;
             }
             for (const Fault& t : script.faults) {
                 if (t.kind == FaultKind::Shift && t.target_name == "mix" &&
-                    chance.part() < shifted(t, when)) {
-                    one.operation = static_cast<int>(heaviest);
+                    random.part() < shifted_fraction(t, when)) {
+                    invocation.operation = static_cast<int>(heaviest);
                 }
             }
-            const OperationLoad& load = script.operations[static_cast<std::size_t>(one.operation)];
-            one.work = Micros(
+            const OperationLoad& load =
+                script.operations[static_cast<std::size_t>(invocation.operation)];
+            invocation.work = Micros(
                 std::max<std::int64_t>(1, std::llround(static_cast<double>(load.mean_work.count()) *
-                                                       chance.lognormal(load.work_cv))));
-            one.key = keys.draw(chance.part());
-            one.arrived_at = begin + when;
-            list.push_back(std::move(one));
+                                                       random.lognormal(load.work_cv))));
+            invocation.key = keys.draw(random.part());
+            invocation.arrived_at = begin + when;
+            list.push_back(std::move(invocation));
         }
     }
     // Numbered in the order in which they come.
     std::vector<testbed::Invocation*> all;
-    for (auto& [forwarder, list] : out) {
-        for (auto& one : list) {
-            all.push_back(&one);
+    for (auto& [proxy, list] : out) {
+        for (auto& invocation : list) {
+            all.push_back(&invocation);
         }
     }
     std::stable_sort(all.begin(), all.end(),
--- a/src/scenario/traffic.h
+++ b/src/scenario/traffic.h
@@ -18,10 +18,10 @@
 };
 
 // "worker", 7 -> "worker-007".
-std::string numbered_name(const char* what, std::size_t n);
+std::string numbered_name(const char* prefix, std::size_t n);
 std::vector<ProxyPlan> plan_proxies(const ScenarioScript& script);
 // By forwarder, in the order of time; times count from `begin`.
 std::map<std::string, std::vector<testbed::Invocation>> generate_traffic(
-    const ScenarioScript& script, const std::vector<ProxyPlan>& forwarders, Micros begin);
+    const ScenarioScript& script, const std::vector<ProxyPlan>& proxies, Micros begin);
 
 }  // namespace badgergrade::scenario
--- a/src/testbed/fake_client.h
+++ b/src/testbed/fake_client.h
@@ -32,22 +32,22 @@
 class FakeClient {
 public:
     FakeClient(net::Loop& loop, base::ActorId actor, std::string id, FakeClientSettings settings,
-               net::Address forwarder, std::vector<Invocation> schedule, Observer* observer);
+               net::Address proxy, std::vector<Invocation> schedule, Observer* observer);
 
-    std::size_t pending_count() const { return open_.size(); }
+    std::size_t pending_count() const { return pending_.size(); }
 
 private:
-    struct Open {
-        Invocation what;
+    struct PendingInvocation {
+        Invocation invocation;
         Micros expires{};
         std::unique_ptr<base::Timer> timer;
-        net::HttpPool::TryId now = 0;
+        net::HttpPool::TryId attempt_id = 0;
     };
 
-    void next();
+    void schedule_next();
     void send(std::uint64_t id);
-    void came(std::uint64_t id, net::HttpOutcome outcome);
-    void end(std::uint64_t id, InvocationResult result);
+    void on_response(std::uint64_t id, net::HttpOutcome outcome);
+    void finish(std::uint64_t id, InvocationResult result);
 
     net::Loop& loop_;
     base::ActorId actor_;
@@ -56,9 +56,9 @@
     std::vector<Invocation> schedule_;
     Observer* observer_;
     net::HttpPool pool_;
-    std::size_t at_ = 0;
-    base::Timer next_;
-    std::map<std::uint64_t, Open> open_;
+    std::size_t next_index_ = 0;
+    base::Timer next_timer_;
+    std::map<std::uint64_t, PendingInvocation> pending_;
 };
 
 }  // namespace badgergrade::testbed
--- a/src/testbed/fake_proxy.cpp
+++ b/src/testbed/fake_proxy.cpp
@@ -10,7 +10,7 @@
 using How = net::HttpOutcome::How;
 
 namespace {
-constexpr std::uint64_t kShareLuck = 0x5348415245;  // sets this draw apart from the picks
+constexpr std::uint64_t kAdmissionSeed = 0x5348415245;  // sets this draw apart from the picks
 }
 
 FakeProxy::FakeProxy(net::Loop& loop, base::ActorId actor, FakeProxySettings settings,
@@ -21,12 +21,12 @@
       settings_(std::move(settings)),
       observer_(observer),
       server_names_(server_names),
-      chance_(seed, settings_.id),
-      luck_(base::seed_for(seed, settings_.id + "/luck")),
+      random_(seed, settings_.id),
+      attempt_seed_(base::seed_for(seed, settings_.id + "/luck")),
       ads_(node()),
-      redial_(loop.clock(), actor),
-      report_(loop.clock(), actor),
-      go_back_(loop.clock(), actor) {
+      reconnect_timer_(loop.clock(), actor),
+      report_timer_(loop.clock(), actor),
+      failback_timer_(loop.clock(), actor) {
     startup_.load_balancing_policy = settings_.load_balancing_policy;
     startup_.ejection_failures = settings_.ejection_failures;
     startup_.ejection_time = settings_.ejection_time;
@@ -34,13 +34,14 @@
     server_ = std::make_unique<net::HttpServer>(loop, actor, settings_.id, settings_.listen,
                                                 net::HttpLimits{}, 10000);
     server_->on_request = [this](net::HttpExchangePtr exchange) {
-        take(exchange);
+        on_request(exchange);
     };
     if (observer_) {
         observer_->on_proxy_started(loop.clock().now(), settings_.id);
     }
-    tell_pickable();
-    redial_.after(Micros(static_cast<std::int64_t>(chance_.between(0, 50e3))), [this] { dial(); });
+    report_endpoint_availability();
+    reconnect_timer_.after(Micros(static_cast<std::int64_t>(random_.between(0, 50e3))),
+                           [this] { connect(); });
 }
 
 FakeProxy::~FakeProxy() {
@@ -49,7 +50,7 @@
     }
     if (call_ && observer_) {
         observer_->on_proxy_disconnected(loop_.clock().now(), settings_.id,
-                                         settings_.instance_names[governor_]);
+                                         settings_.instance_names[instance_index_]);
     }
     for (const auto& call : {call_, reports_}) {
         if (call) {
@@ -61,8 +62,8 @@
         connection_->on_closed = {};
         connection_->abort("the forwarder ends");
     }
-    for (auto& [id, work] : works_) {
-        work.exchange->on_gone = {};
+    for (auto& [id, pending] : pending_) {
+        pending.exchange->on_gone = {};
     }
 }
 
@@ -73,44 +74,44 @@
     out.mutable_locality()->set_zone(settings_.zone);
     auto& fields = *out.mutable_metadata()->mutable_fields();
     fields["rate"].set_number_value(settings_.invocations_per_second);
-    fields["fresh"].set_bool_value(fresh_);
+    fields["fresh"].set_bool_value(awaiting_config_);
     return out;
 }
 
 // ---- its governor
 
-void FakeProxy::dial() {
+void FakeProxy::connect() {
     if (isolated_ || settings_.instance_addresses.empty()) {
-        return redial();
+        return schedule_reconnect();
     }
     dial_ = std::make_unique<net::Dial>(
-        loop_, actor_, settings_.id, settings_.instance_addresses[governor_],
+        loop_, actor_, settings_.id, settings_.instance_addresses[instance_index_],
         settings_.dial_timeout, [this](net::StreamPtr stream, const std::string&) {
             if (stream && !isolated_) {
-                return on_connected(std::move(stream), governor_);
+                return on_connected(std::move(stream), instance_index_);
             }
             if (stream) {
                 stream->close(true);
             }
-            governor_ = (governor_ + 1) % settings_.instance_addresses.size();
-            redial();
+            instance_index_ = (instance_index_ + 1) % settings_.instance_addresses.size();
+            schedule_reconnect();
         });
 }
 
-void FakeProxy::redial() {
-    const double wait = chance_.between(static_cast<double>(settings_.min_reconnect_delay.count()),
+void FakeProxy::schedule_reconnect() {
+    const double wait = random_.between(static_cast<double>(settings_.min_reconnect_delay.count()),
                                         static_cast<double>(settings_.max_reconnect_delay.count()));
-    redial_.after(Micros(std::llround(wait)), [this] { dial(); });
+    reconnect_timer_.after(Micros(std::llround(wait)), [this] { connect(); });
 }
 
-void FakeProxy::on_connected(net::StreamPtr stream, std::size_t governor) {
+void FakeProxy::on_connected(net::StreamPtr stream, std::size_t instance) {
     stream_ = stream;
     net::GrpcLimits limits;
     limits.keepalive = settings_.keepalive_interval;
     connection_ = std::make_shared<net::GrpcConnection>(
         loop_, actor_, net::Http2Session::Role::Client, stream, limits);
     connection_->on_closed = [this](std::string why) {
-        stream_over(why);
+        on_disconnected(why);
     };
     connection_->start();
     call_ = connection_->call(std::string(xds::kAdsMethod));
@@ -134,44 +135,45 @@
         call_->send(request.SerializeAsString());
     }
     reports_ = connection_->call(std::string(xds::kLrsMethod));
-    envoy::service::load_stats::v3::LoadStatsRequest hello;
-    *hello.mutable_node() = node();
-    reports_->send(hello.SerializeAsString());
+    envoy::service::load_stats::v3::LoadStatsRequest first_request;
+    *first_request.mutable_node() = node();
+    reports_->send(first_request.SerializeAsString());
     call_->uncork();
     reports_->on_message = [this](std::string_view bytes) {
-        envoy::service::load_stats::v3::LoadStatsResponse told;
-        if (!told.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
+        envoy::service::load_stats::v3::LoadStatsResponse response;
+        if (!response.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
             return;
         }
-        report_every_ = Micros(told.load_reporting_interval().seconds() * 1000000 +
-                               told.load_reporting_interval().nanos() / 1000);
-        if (report_every_ <= 0us || report_.set()) {
+        report_interval_ = Micros(response.load_reporting_interval().seconds() * 1000000 +
+                                  response.load_reporting_interval().nanos() / 1000);
+        if (report_interval_ <= 0us || report_timer_.set()) {
             return;
         }
-        reported_ = loop_.clock().now();
+        last_report_at_ = loop_.clock().now();
         // Forwarders report spread over the period, not all at once.
-        report_.after(
-            Micros(std::llround(chance_.part() * static_cast<double>(report_every_.count()))) + 1ms,
+        report_timer_.after(
+            Micros(std::llround(random_.part() * static_cast<double>(report_interval_.count()))) +
+                1ms,
             [this] { report(); });
     };
     if (observer_) {
         observer_->on_proxy_connected(loop_.clock().now(), settings_.id,
-                                      settings_.instance_names[governor]);
+                                      settings_.instance_names[instance]);
     }
     if (stalled_) {
         stream_->pause_reading();
     }
-    if (governor != 0 && settings_.failback_delay > 0us) {
-        go_back_.after(settings_.failback_delay, [this] {
-            governor_ = 0;
+    if (instance != 0 && settings_.failback_delay > 0us) {
+        failback_timer_.after(settings_.failback_delay, [this] {
+            instance_index_ = 0;
             break_stream();
         });
     }
 }
 
-void FakeProxy::stream_over(const std::string&) {
-    const auto governor = settings_.instance_names[governor_];
-    const bool was = call_ != nullptr;
+void FakeProxy::on_disconnected(const std::string&) {
+    const auto instance = settings_.instance_names[instance_index_];
+    const bool was_connected = call_ != nullptr;
     for (const auto& call : {call_, reports_}) {
         if (call) {
             call->on_closed = {};
@@ -182,12 +184,12 @@
     reports_.reset();
     connection_.reset();
     stream_.reset();
-    report_.stop();
-    go_back_.stop();
-    if (was && observer_) {
-        observer_->on_proxy_disconnected(loop_.clock().now(), settings_.id, governor);
+    report_timer_.stop();
+    failback_timer_.stop();
+    if (was_connected && observer_) {
+        observer_->on_proxy_disconnected(loop_.clock().now(), settings_.id, instance);
     }
-    redial();
+    schedule_reconnect();
 }
 
 void FakeProxy::break_stream() {
@@ -224,14 +226,14 @@
         return break_stream();
     }
     const auto outcome = ads_.on_response(response);
-    const auto& governor = settings_.instance_names[governor_];
+    const auto& instance = settings_.instance_names[instance_index_];
     if (observer_) {
-        observer_->on_response(now, settings_.id, governor, response.control_plane().identifier(),
+        observer_->on_response(now, settings_.id, instance, response.control_plane().identifier(),
                                bytes.size(),
                                outcome.rejected ? outcome.rejected->text : std::string{});
     }
     if (outcome.tables_changed) {
-        fresh_ = false;
+        awaiting_config_ = false;
         // Connections to servers that no table names any more are closed.
         std::set<net::Address> named;
         for (const auto& [name, table] : ads_.tables().clusters) {
@@ -248,7 +250,7 @@
                 }
             }
         }
-        tell_pickable();
+        report_endpoint_availability();
     }
     const auto call = call_;
     if (!call) {
@@ -266,20 +268,20 @@
         return;
     }
     const Micros now = loop_.clock().now();
-    xds::LoadReport sums;
-    sums.interval = now - std::exchange(reported_, now);
-    sums.endpoints = std::exchange(met_, {});
-    sums.operations = std::exchange(asked_, {});
+    xds::LoadReport load;
+    load.interval = now - std::exchange(last_report_at_, now);
+    load.endpoints = std::exchange(endpoint_loads_, {});
+    load.operations = std::exchange(operation_demands_, {});
     for (const Operation& op : settings_.operations) {
-        sums.operations[op.name];
+        load.operations[op.name];
     }
-    reports_->send(xds::to_message(sums).SerializeAsString());
-    report_.after(report_every_, [this] { report(); });
+    reports_->send(xds::to_message(load).SerializeAsString());
+    report_timer_.after(report_interval_, [this] { report(); });
 }
 
 // ---- its invocations
 
-std::string FakeProxy::name_of(const net::Address& address) const {
+std::string FakeProxy::server_name(const net::Address& address) const {
     const auto it = server_names_->find(address);
     return it == server_names_->end() ? net::to_text(address) : it->second;
 }
@@ -294,18 +296,19 @@
     return *known;
 }
 
-const xds::ProxyTable* FakeProxy::table_for(const Work& work) const {
-    if (work.cluster.empty()) {
+const xds::ProxyTable* FakeProxy::table_for(const PendingInvocation& pending) const {
+    if (pending.cluster.empty()) {
         return &startup_;
     }
-    const auto it = ads_.tables().clusters.find(work.cluster);
+    const auto it = ads_.tables().clusters.find(pending.cluster);
     return it == ads_.tables().clusters.end() ? nullptr : &it->second;
 }
 
-bool FakeProxy::let_in(const std::string& path, const xds::ProxyRoute& route,
-                       std::uint64_t invocation) {
+bool FakeProxy::admit(const std::string& path, const xds::ProxyRoute& route,
+                      std::uint64_t invocation) {
     if (route.admitted_fraction < 1 &&
-        base::CounterRandom(luck_ ^ kShareLuck, invocation).part() >= route.admitted_fraction) {
+        base::CounterRandom(attempt_seed_ ^ kAdmissionSeed, invocation).part() >=
+            route.admitted_fraction) {
         return false;
     }
     if (route.admitted_per_second <= 0) {
@@ -327,7 +330,7 @@
     return true;
 }
 
-void FakeProxy::take(const net::HttpExchangePtr& exchange) {
+void FakeProxy::on_request(const net::HttpExchangePtr& exchange) {
     const auto id = exchange->request.number("x-invocation");
     const auto timeout = exchange->request.number("x-timeout-us");
     net::HttpMessage no;
@@ -342,59 +345,59 @@
         return exchange->answer(std::move(no));
     }
     const std::string& path = exchange->request.target;
-    const std::uint64_t key = ++ids_;
-    Work& work = works_[key];
-    work.exchange = exchange;
-    work.invocation = static_cast<std::uint64_t>(*id);
-    work.operation = operation;
-    work.began = loop_.clock().now();
-    work.expires = work.began + Micros(*timeout);
-    work.again = settings_.retry_mode;
-    ++asked_[settings_.operations[static_cast<std::size_t>(operation)].name].requests;
+    const std::uint64_t key = ++last_id_;
+    PendingInvocation& pending = pending_[key];
+    pending.exchange = exchange;
+    pending.invocation = static_cast<std::uint64_t>(*id);
+    pending.operation = operation;
+    pending.received_at = loop_.clock().now();
+    pending.deadline = pending.received_at + Micros(*timeout);
+    pending.retry_mode = settings_.retry_mode;
+    ++operation_demands_[settings_.operations[static_cast<std::size_t>(operation)].name].requests;
     if (const auto route = ads_.tables().routes.find(path); route != ads_.tables().routes.end()) {
-        work.cluster = route->second.cluster;
-        work.again = route->second.retry_mode;
-        work.per_try = route->second.attempt_timeout;
-        if (!let_in(path, route->second, work.invocation)) {
+        pending.cluster = route->second.cluster;
+        pending.retry_mode = route->second.retry_mode;
+        pending.attempt_timeout = route->second.attempt_timeout;
+        if (!admit(path, route->second, pending.invocation)) {
             no.status = 429;
             no.headers.emplace_back("x-not-begun", "1");
             return finish(key, std::move(no));
         }
     }
     exchange->on_gone = [this, key] {
-        const auto it = works_.find(key);
-        if (it == works_.end()) {
+        const auto it = pending_.find(key);
+        if (it == pending_.end()) {
             return;
         }
-        if (it->second.attempt) {
-            pool(it->second.now).cancel(it->second.attempt);
-            --standings_[it->second.now].open;
-            auto& sums = met_[it->second.now];
-            ++sums.failures;  // given up by its client: no good answer came
+        if (it->second.attempt_id) {
+            pool(it->second.address).cancel(it->second.attempt_id);
+            --endpoint_states_[it->second.address].active_requests;
+            auto& load = endpoint_loads_[it->second.address];
+            ++load.failures;  // given up by its client: no good answer came
         }
-        works_.erase(it);
+        pending_.erase(it);
     };
     attempt(key);
 }
 
 const xds::TableEndpoint* FakeProxy::pick(const xds::ProxyTable& table,
-                                          const std::set<net::Address>& not_these,
-                                          base::CounterRandom luck) {
+                                          const std::set<net::Address>& excluded,
+                                          base::CounterRandom random) {
     const Micros now = loop_.clock().now();
-    std::vector<const xds::TableEndpoint*> open;
-    std::vector<const xds::TableEndpoint*> good;
+    std::vector<const xds::TableEndpoint*> candidates;
+    std::vector<const xds::TableEndpoint*> not_ejected;
     for (const auto& line : table.endpoints) {
         if (line.draining || ads_.tables().ejected.contains(line.address) ||
-            not_these.contains(line.address)) {
+            excluded.contains(line.address)) {
             continue;
         }
-        open.push_back(&line);
-        if (standings_[line.address].ejected_until <= now) {
-            good.push_back(&line);
+        candidates.push_back(&line);
+        if (endpoint_states_[line.address].ejected_until <= now) {
+            not_ejected.push_back(&line);
         }
     }
     // With all of them ejected the tables stand as they are.
-    const auto& from = good.empty() ? open : good;
+    const auto& from = not_ejected.empty() ? candidates : not_ejected;
     if (from.empty()) {
         return nullptr;
     }
@@ -403,7 +406,7 @@
         sum += line->weight;
     }
     const auto draw = [&] {
-        double at = luck.part() * sum;
+        double at = random.part() * sum;
         for (const auto* line : from) {
             at -= line->weight;
             if (at < 0) {
@@ -418,125 +421,142 @@
     if (table.load_balancing_policy == LoadBalancingPolicy::LeastRequest) {
         const auto* a = draw();
         const auto* b = draw();
-        return standings_[b->address].open < standings_[a->address].open ? b : a;
+        return endpoint_states_[b->address].active_requests <
+                       endpoint_states_[a->address].active_requests
+                   ? b
+                   : a;
     }
     const xds::TableEndpoint* best = nullptr;
     for (const auto* line : from) {
-        auto& turn = standings_[line->address].turn;
-        turn += line->weight;
-        if (!best || turn > standings_[best->address].turn) {
+        auto& round_robin_credit = endpoint_states_[line->address].round_robin_credit;
+        round_robin_credit += line->weight;
+        if (!best || round_robin_credit > endpoint_states_[best->address].round_robin_credit) {
             best = line;
         }
     }
-    standings_[best->address].turn -= sum;
+    endpoint_states_[best->address].round_robin_credit -= sum;
     return best;
 }
 
 void FakeProxy::attempt(std::uint64_t id) {
-    Work& work = works_.at(id);
+    PendingInvocation& pending = pending_.at(id);
     const Micros now = loop_.clock().now();
-    const xds::ProxyTable* table = table_for(work);
+    const xds::ProxyTable* table = table_for(pending);
     const xds::TableEndpoint* line =
-        table ? pick(*table, work.tried,
-                     base::CounterRandom(luck_ + static_cast<std::uint64_t>(work.tries),
-                                         work.invocation))
-              : nullptr;
+        table
+            ? pick(*table, pending.tried_addresses,
+                   base::CounterRandom(attempt_seed_ + static_cast<std::uint64_t>(pending.attempts),
+                                       pending.invocation))
+            : nullptr;
     if (!line) {
         net::HttpMessage none;
         none.status = 503;
         none.headers.emplace_back("x-not-begun", "1");
         return finish(id, std::move(none));
     }
-    work.now = line->address;
-    ++work.tries;
-    work.tried.insert(work.now);
-    Standing& standing = standings_[work.now];
-    ++standing.open;
-    ++met_[work.now].attempts;
-    net::HttpMessage request = work.exchange->request;
+    pending.address = line->address;
+    ++pending.attempts;
+    pending.tried_addresses.insert(pending.address);
+    EndpointState& endpoint_state = endpoint_states_[pending.address];
+    ++endpoint_state.active_requests;
+    ++endpoint_loads_[pending.address].attempts;
+    net::HttpMessage request = pending.exchange->request;
     std::erase_if(request.headers, [](const auto& h) {
         return h.first == "host" || h.first == "content-length" || h.first == "x-timeout-us" ||
                h.first == "connection";
     });
-    Micros limit = work.expires - now;
-    const int more = work.again == RetryMode::Once ? 1 : work.again == RetryMode::Twice ? 2 : 0;
-    if (more >= work.tries && work.per_try > 0us) {
-        limit = std::min(limit, work.per_try);
+    Micros limit = pending.deadline - now;
+    const int more = pending.retry_mode == RetryMode::Once    ? 1
+                     : pending.retry_mode == RetryMode::Twice ? 2
+                                                              : 0;
+    if (more >= pending.attempts && pending.attempt_timeout > 0us) {
+        limit = std::min(limit, pending.attempt_timeout);
     }
     request.headers.emplace_back("x-timeout-us", std::to_string(limit.count()));
     request.headers.emplace_back("x-forwarder", settings_.id);
     request.keep_alive = true;
     if (observer_) {
-        observer_->on_attempt_sent(now, settings_.id, name_of(work.now), work.invocation,
-                                   work.operation, work.tries, work.before);
-    }
-    work.attempt = pool(work.now).send(
-        std::move(request), limit,
-        [this, id, now](net::HttpOutcome outcome) { attempted(id, std::move(outcome), now); });
+        observer_->on_attempt_sent(now, settings_.id, server_name(pending.address),
+                                   pending.invocation, pending.operation, pending.attempts,
+                                   pending.previous_outcome);
+    }
+    pending.attempt_id =
+        pool(pending.address)
+            .send(std::move(request), limit, [this, id, now](net::HttpOutcome outcome) {
+                on_attempt_finished(id, std::move(outcome), now);
+            });
 }
 
-void FakeProxy::attempted(std::uint64_t id, net::HttpOutcome outcome, Micros sent) {
-    const auto it = works_.find(id);
-    if (it == works_.end()) {
+void FakeProxy::on_attempt_finished(std::uint64_t id, net::HttpOutcome outcome, Micros sent) {
+    const auto it = pending_.find(id);
+    if (it == pending_.end()) {
         return;
     }
-    Work& work = it->second;
-    work.attempt = 0;
+    PendingInvocation& pending = it->second;
+    pending.attempt_id = 0;
     const Micros now = loop_.clock().now();
-    Standing& standing = standings_[work.now];
-    --standing.open;
-    auto& sums = met_[work.now];
-    const auto proof = outcome.response.header("x-not-begun");
-    const bool good = outcome.how == How::Answered && outcome.response.status == 200;
-    const AttemptOutcome end = good                            ? AttemptOutcome::Answered
-                               : outcome.how == How::NeverSent ? AttemptOutcome::NeverSent
-                               : outcome.how == How::Broken    ? AttemptOutcome::Broken
-                               : outcome.how == How::TimedOut  ? AttemptOutcome::TimedOut
-                               : proof                         ? AttemptOutcome::Refused
-                                                               : AttemptOutcome::Errored;
+    EndpointState& endpoint_state = endpoint_states_[pending.address];
+    --endpoint_state.active_requests;
+    auto& load = endpoint_loads_[pending.address];
+    const auto refused = outcome.response.header("x-not-begun");
+    const bool succeeded = outcome.how == How::Answered && outcome.response.status == 200;
+    const AttemptOutcome attempt_outcome = succeeded ? AttemptOutcome::Answered
+                                           : outcome.how == How::NeverSent
+                                               ? AttemptOutcome::NeverSent
+                                           : outcome.how == How::Broken   ? AttemptOutcome::Broken
+                                           : outcome.how == How::TimedOut ? AttemptOutcome::TimedOut
+                                           : refused                      ? AttemptOutcome::Refused
+                                                                          : AttemptOutcome::Errored;
     if (observer_) {
-        observer_->on_attempt_finished(now, settings_.id, name_of(work.now), work.invocation, end);
-    }
-    if (good) {
-        ++sums.successes;
-        sums.total_latency_us += static_cast<double>((now - sent).count());
-        standing.failures = 0;
-        if (const auto load = outcome.response.header("x-load")) {
+        observer_->on_attempt_finished(now, settings_.id, server_name(pending.address),
+                                       pending.invocation, attempt_outcome);
+    }
+    if (succeeded) {
+        ++load.successes;
+        load.total_latency_us += static_cast<double>((now - sent).count());
+        endpoint_state.consecutive_failures = 0;
+        if (const auto header = outcome.response.header("x-load")) {
             std::size_t at = 0;
-            while (at < load->size()) {
-                const auto stop = std::min(load->find(',', at), load->size());
-                const auto part = load->substr(at, stop - at);
+            while (at < header->size()) {
+                const auto stop = std::min(header->find(',', at), header->size());
+                const auto part = header->substr(at, stop - at);
                 const auto equals = part.find('=');
                 double value = 0;
                 if (equals != std::string_view::npos &&
                     std::from_chars(part.data() + equals + 1, part.data() + part.size(), value)
                             .ec == std::errc{}) {
-                    sums.load_metrics[std::string(part.substr(0, equals))] = value;
+                    load.load_metrics[std::string(part.substr(0, equals))] = value;
                 }
                 at = stop + 1;
             }
         }
         return finish(id, std::move(outcome.response));
     }
-    ++sums.failures;
-    const xds::ProxyTable* table = table_for(work);
-    if (table && table->ejection_failures > 0 && ++standing.failures >= table->ejection_failures) {
-        standing.failures = 0;
-        standing.ejected_until = now + table->ejection_time;
+    ++load.failures;
+    const xds::ProxyTable* table = table_for(pending);
+    if (table && table->ejection_failures > 0 &&
+        ++endpoint_state.consecutive_failures >= table->ejection_failures) {
+        endpoint_state.consecutive_failures = 0;
+        endpoint_state.ejected_until = now + table->ejection_time;
     }
     // After proof that it never ran once more, whatever it is; after anything else only as ordered.
-    const bool proven = end == AttemptOutcome::NeverSent || end == AttemptOutcome::Refused;
-    const int after_any = work.again == RetryMode::Once    ? 1
-                          : work.again == RetryMode::Twice ? 2
-                                                           : 0;
-    const int most =
-        proven ? (work.again == RetryMode::Never ? 0 : std::max(1, after_any)) : after_any;
-    const bool may = retries_everything_for_test ? work.tries < 3 : work.tries <= most;
-    if (may && work.expires - now > 10ms) {
-        work.before = end;
+    const bool known_unprocessed =
+        attempt_outcome == AttemptOutcome::NeverSent || attempt_outcome == AttemptOutcome::Refused;
+    const int max_retries_any = pending.retry_mode == RetryMode::Once    ? 1
+                                : pending.retry_mode == RetryMode::Twice ? 2
+                                                                         : 0;
+    const int max_retries =
+        known_unprocessed
+            ? (pending.retry_mode == RetryMode::Never ? 0 : std::max(1, max_retries_any))
+            : max_retries_any;
+    const bool may_retry =
+        retries_everything_for_test ? pending.attempts < 3 : pending.attempts <= max_retries;
+    if (may_retry && pending.deadline - now > 10ms) {
+        pending.previous_outcome = attempt_outcome;
         return attempt(id);
     }
-    ++asked_[settings_.operations[static_cast<std::size_t>(work.operation)].name].failures;
+    ++operation_demands_[settings_.operations[static_cast<std::size_t>(pending.operation)].name]
+          .failures;
     net::HttpMessage response;
     if (outcome.how == How::Answered) {
         response = std::move(outcome.response);
@@ -552,12 +572,12 @@
 }
 
 void FakeProxy::finish(std::uint64_t id, net::HttpMessage response) {
-    const auto it = works_.find(id);
-    if (it == works_.end()) {
+    const auto it = pending_.find(id);
+    if (it == pending_.end()) {
         return;
     }
     const auto exchange = it->second.exchange;
-    works_.erase(it);
+    pending_.erase(it);
     exchange->on_gone = {};
     std::erase_if(response.headers, [](const auto& h) {
         return h.first == "content-length" || h.first == "connection" || h.first == "x-load";
@@ -566,7 +586,7 @@
     exchange->answer(std::move(response));
 }
 
-void FakeProxy::tell_pickable() {
+void FakeProxy::report_endpoint_availability() {
     if (!observer_) {
         return;
     }
@@ -578,18 +598,18 @@
             const auto cluster = ads_.tables().clusters.find(route->second.cluster);
             table = cluster == ads_.tables().clusters.end() ? nullptr : &cluster->second;
         }
-        const bool any =
+        const bool has_endpoint =
             table && std::any_of(table->endpoints.begin(), table->endpoints.end(),
                                  [&](const xds::TableEndpoint& line) {
                                      return !line.draining &&
                                             !ads_.tables().ejected.contains(line.address);
                                  });
-        const auto [it, first] = pickable_.try_emplace(static_cast<int>(k), any);
-        if (first || it->second != any) {
+        const auto [it, first] = has_endpoint_.try_emplace(static_cast<int>(k), has_endpoint);
+        if (first || it->second != has_endpoint) {
             observer_->on_endpoint_availability(loop_.clock().now(), settings_.id,
-                                                static_cast<int>(k), any);
+                                                static_cast<int>(k), has_endpoint);
         }
-        it->second = any;
+        it->second = has_endpoint;
     }
 }
 
--- a/src/testbed/fake_proxy.h
+++ b/src/testbed/fake_proxy.h
@@ -68,25 +68,26 @@
     bool retries_everything_for_test = false;
 
 private:
-    struct Work {
+    struct PendingInvocation {
         net::HttpExchangePtr exchange;
         std::uint64_t invocation = 0;
         int operation = 0;
-        Micros began{}, expires{};
-        std::set<net::Address> tried;
-        net::Address now;
-        net::HttpPool::TryId attempt = 0;
-        int tries = 0;
-        RetryMode again = RetryMode::OnlyUnprocessed;
-        Micros per_try{};
+        Micros received_at{}, deadline{};
+        std::set<net::Address> tried_addresses;
+        net::Address address;
+        net::HttpPool::TryId attempt_id = 0;
+        int attempts = 0;
+        RetryMode retry_mode = RetryMode::OnlyUnprocessed;
+        Micros attempt_timeout{};
         std::string cluster;
-        AttemptOutcome before = AttemptOutcome::NeverSent;  // how the try before this one ended
+        AttemptOutcome previous_outcome =
+            AttemptOutcome::NeverSent;  // how the try before this one ended
     };
 
-    struct Standing {
-        int failures = 0, open = 0;
+    struct EndpointState {
+        int consecutive_failures = 0, active_requests = 0;
         Micros ejected_until{};
-        double turn = 0;  // for picking by turns
+        double round_robin_credit = 0;  // for picking by turns
     };
 
     struct Bucket {
@@ -94,24 +95,24 @@
         Micros filled{};
     };
 
-    void dial();
-    void redial();
-    void on_connected(net::StreamPtr stream, std::size_t governor);
-    void stream_over(const std::string& why);
+    void connect();
+    void schedule_reconnect();
+    void on_connected(net::StreamPtr stream, std::size_t instance);
+    void on_disconnected(const std::string& why);
     void on_response(std::string_view bytes);
     void report();
-    void take(const net::HttpExchangePtr& exchange);
-    bool let_in(const std::string& path, const xds::ProxyRoute& route, std::uint64_t invocation);
-    const xds::ProxyTable* table_for(const Work& work) const;
+    void on_request(const net::HttpExchangePtr& exchange);
+    bool admit(const std::string& path, const xds::ProxyRoute& route, std::uint64_t invocation);
+    const xds::ProxyTable* table_for(const PendingInvocation& pending) const;
     const xds::TableEndpoint* pick(const xds::ProxyTable& table,
-                                   const std::set<net::Address>& not_these,
-                                   base::CounterRandom luck);
+                                   const std::set<net::Address>& excluded,
+                                   base::CounterRandom random);
     void attempt(std::uint64_t id);
-    void attempted(std::uint64_t id, net::HttpOutcome outcome, Micros sent);
+    void on_attempt_finished(std::uint64_t id, net::HttpOutcome outcome, Micros sent);
     void finish(std::uint64_t id, net::HttpMessage response);
-    void tell_pickable();
+    void report_endpoint_availability();
     net::HttpPool& pool(const net::Address& to);
-    std::string name_of(const net::Address& address) const;
+    std::string server_name(const net::Address& address) const;
     envoy::config::core::v3::Node node() const;
 
     net::Loop& loop_;
@@ -119,9 +120,9 @@
     FakeProxySettings settings_;
     Observer* observer_;
     const std::map<net::Address, std::string>* server_names_;
-    base::SequentialRandom chance_;
-    std::uint64_t luck_;
-    bool fresh_ = true, isolated_ = false,
+    base::SequentialRandom random_;
+    std::uint64_t attempt_seed_;
+    bool awaiting_config_ = true, isolated_ = false,
          stalled_ = false;  // before ads_, whose node tells of the first
     xds::AdsClient ads_;
     xds::ProxyTable startup_;
@@ -130,17 +131,17 @@
     net::GrpcConnectionPtr connection_;
     net::StreamPtr stream_;
     net::GrpcCallPtr call_, reports_;
-    std::size_t governor_ = 0;
-    base::Timer redial_, report_, go_back_;
-    Micros report_every_{}, reported_{};
-    std::map<net::Address, xds::EndpointLoad> met_;
-    std::map<std::string, xds::OperationDemand> asked_;
+    std::size_t instance_index_ = 0;
+    base::Timer reconnect_timer_, report_timer_, failback_timer_;
+    Micros report_interval_{}, last_report_at_{};
+    std::map<net::Address, xds::EndpointLoad> endpoint_loads_;
+    std::map<std::string, xds::OperationDemand> operation_demands_;
     std::map<net::Address, std::unique_ptr<net::HttpPool>> pools_;
-    std::map<net::Address, Standing> standings_;
+    std::map<net::Address, EndpointState> endpoint_states_;
     std::map<std::string, Bucket> buckets_;
-    std::map<std::uint64_t, Work> works_;
-    std::map<int, bool> pickable_;
-    std::uint64_t ids_ = 0;
+    std::map<std::uint64_t, PendingInvocation> pending_;
+    std::map<int, bool> has_endpoint_;
+    std::uint64_t last_id_ = 0;
 };
 
 }  // namespace badgergrade::testbed
--- a/src/testbed/fake_registry.cpp
+++ b/src/testbed/fake_registry.cpp
@@ -29,46 +29,46 @@
 void FakeRegistry::listen(const net::Address& at) {
     server_ = std::make_unique<net::HttpServer>(loop_, actor_, host_, at, net::HttpLimits{}, 10000);
     server_->on_request = [this](net::HttpExchangePtr exchange) {
-        asked(exchange);
+        on_request(exchange);
     };
 }
 
-void FakeRegistry::put(const Entry& row) {
-    rows_[row.server.id] = row;
-    changed();
+void FakeRegistry::put(const Entry& entry) {
+    entries_[entry.server.id] = entry;
+    on_entries_changed();
 }
 
 void FakeRegistry::remove(const std::string& id) {
-    if (rows_.erase(id) > 0) {
-        changed();
+    if (entries_.erase(id) > 0) {
+        on_entries_changed();
     }
 }
 
-void FakeRegistry::changed() {
+void FakeRegistry::on_entries_changed() {
     ++index_;
-    answer_waiting();
+    respond_to_waiting();
 }
 
-void FakeRegistry::set_hanging(bool on) {
-    hung_ = on;
-    if (!on) {
-        answer_waiting();
+void FakeRegistry::set_hanging(bool hanging) {
+    hanging_ = hanging;
+    if (!hanging) {
+        respond_to_waiting();
     }
 }
 
-void FakeRegistry::restart(bool keep_rows) {
+void FakeRegistry::restart(bool keep_entries) {
     waiting_.clear();
     const net::Address at = server_->address();
     server_.reset();
-    if (!keep_rows) {
-        rows_.clear();
+    if (!keep_entries) {
+        entries_.clear();
     }
-    ++lives_;
+    ++incarnation_;
     index_ = 1;
     listen(at);
 }
 
-void FakeRegistry::asked(const net::HttpExchangePtr& exchange) {
+void FakeRegistry::on_request(const net::HttpExchangePtr& exchange) {
     const net::HttpMessage& request = exchange->request;
     if (request.method != "GET" || request.target.rfind("/v1/servers", 0) != 0) {
         net::HttpMessage no;
@@ -76,26 +76,26 @@
         return exchange->answer(std::move(no));
     }
     const std::uint64_t after = parameter(request.target, "index");
-    if (!hung_ && index_ > after) {
-        return answer(exchange);
+    if (!hanging_ && index_ > after) {
+        return respond(exchange);
     }
-    if (!hung_ && after > index_) {
-        return answer(exchange);  // a client of another life: told at once
+    if (!hanging_ && after > index_) {
+        return respond(exchange);  // a client of another life: told at once
     }
     Waiting waiting{exchange, after, std::make_unique<base::Timer>(loop_.clock(), actor_)};
     const Micros wait(static_cast<std::int64_t>(parameter(request.target, "wait_ms")) * 1000);
     waiting.limit->after(wait, [this, exchange] {
-        if (hung_) {
+        if (hanging_) {
             return;
         }
-        answer(exchange);
+        respond(exchange);
         std::erase_if(waiting_, [](const Waiting& w) { return !w.exchange->open(); });
     });
     waiting_.push_back(std::move(waiting));
 }
 
-void FakeRegistry::answer_waiting() {
-    if (hung_) {
+void FakeRegistry::respond_to_waiting() {
+    if (hanging_) {
         return;
     }
     std::vector<Waiting> rest;
@@ -104,7 +104,7 @@
             continue;
         }
         if (index_ != waiting.after) {
-            answer(waiting.exchange);
+            respond(waiting.exchange);
         } else {
             rest.push_back(std::move(waiting));
         }
@@ -112,17 +112,17 @@
     waiting_ = std::move(rest);
 }
 
-void FakeRegistry::answer(const net::HttpExchangePtr& exchange) {
-    xds_server::ServerList told;
-    told.header = {host_ + "/" + std::to_string(lives_), index_, 0};
+void FakeRegistry::respond(const net::HttpExchangePtr& exchange) {
+    xds_server::ServerList list;
+    list.header = {host_ + "/" + std::to_string(incarnation_), index_, 0};
     nlohmann::json json;
-    json["registry"] = told.header.registry_incarnation;
+    json["registry"] = list.header.registry_incarnation;
     json["index"] = index_;
     json["servers"] = nlohmann::json::array();
-    for (const auto& [id, row] : instead_ ? *instead_ : rows_) {
-        xds_server::ListedServer listed = row.server;
-        listed.age = row.started_at > Micros{0}
-                         ? std::max(Micros{1000}, loop_.clock().now() - row.started_at)
+    for (const auto& [id, entry] : served_entries_ ? *served_entries_ : entries_) {
+        xds_server::ListedServer listed = entry.server;
+        listed.age = entry.started_at > Micros{0}
+                         ? std::max(Micros{1000}, loop_.clock().now() - entry.started_at)
                          : Micros{0};
         json["servers"].push_back(
             {{"id", id},
@@ -132,17 +132,17 @@
              {"weight", listed.weight},
              {"incarnation", listed.incarnation},
              {"age_ms", static_cast<double>(listed.age.count()) / 1000}});
-        told.servers.push_back(std::move(listed));
+        list.servers.push_back(std::move(listed));
     }
-    told.header.server_count = told.servers.size();
+    list.header.server_count = list.servers.size();
     net::HttpMessage response;
     response.status = 200;
     response.headers.emplace_back("content-type", "application/json");
     response.body = malformed_response.empty() ? json.dump() : malformed_response;
-    const std::string governor{exchange->request.header("x-governor").value_or("")};
+    const std::string instance{exchange->request.header("x-governor").value_or("")};
     exchange->answer(std::move(response));
     if (observer_ && malformed_response.empty()) {
-        observer_->on_server_list_sent(loop_.clock().now(), governor, told);
+        observer_->on_server_list_sent(loop_.clock().now(), instance, list);
     }
 }
 
--- a/src/testbed/fake_registry.h
+++ b/src/testbed/fake_registry.h
@@ -26,28 +26,28 @@
     };
 
     // Lists or changes a server, or removes it; seen by the next answer.
-    void put(const Entry& row);
+    void put(const Entry& entry);
     void remove(const std::string& id);
 
-    const std::map<std::string, Entry>& entries() const { return rows_; }
+    const std::map<std::string, Entry>& entries() const { return entries_; }
 
     // While hung it reads requests and answers none; restarted it is another registry that counts
     // from 1.
-    void set_hanging(bool on);
-    void restart(bool keep_rows);
+    void set_hanging(bool hanging);
+    void restart(bool keep_entries);
     // Answers with fewer servers, older indexes or garbage, as a day wants; empty: none of it.
     std::string malformed_response;
 
     void rewind_index(std::uint64_t indexes) {
         index_ = index_ > indexes ? index_ - indexes : 1;
-        answer_waiting();
+        respond_to_waiting();
     }
 
     // Shows these rows in place of its own, as a copy that fell behind would; nothing: its own
     // again.
-    void serve_instead(std::optional<std::map<std::string, Entry>> rows) {
-        instead_ = std::move(rows);
-        changed();
+    void serve_instead(std::optional<std::map<std::string, Entry>> entries) {
+        served_entries_ = std::move(entries);
+        on_entries_changed();
     }
 
 private:
@@ -58,21 +58,21 @@
     };
 
     void listen(const net::Address& at);
-    void asked(const net::HttpExchangePtr& exchange);
-    void answer(const net::HttpExchangePtr& exchange);
-    void answer_waiting();
-    void changed();
+    void on_request(const net::HttpExchangePtr& exchange);
+    void respond(const net::HttpExchangePtr& exchange);
+    void respond_to_waiting();
+    void on_entries_changed();
 
     net::Loop& loop_;
     base::ActorId actor_;
     std::string host_;
     Observer* observer_;
     std::unique_ptr<net::HttpServer> server_;
-    std::map<std::string, Entry> rows_;
-    std::optional<std::map<std::string, Entry>> instead_;
+    std::map<std::string, Entry> entries_;
+    std::optional<std::map<std::string, Entry>> served_entries_;
     std::vector<Waiting> waiting_;
-    std::uint64_t index_ = 1, lives_ = 1;
-    bool hung_ = false;
+    std::uint64_t index_ = 1, incarnation_ = 1;
+    bool hanging_ = false;
 };
 
 }  // namespace badgergrade::testbed
