--- a/src/testbed/fake_server.cpp
+++ b/src/testbed/fake_server.cpp
@@ -17,16 +17,16 @@
       settings_(std::move(settings)),
       observer_(observer),
       operations_(std::move(operations)),
-      luck_(seed),
+      seed_(seed),
       started_(loop.clock().now()),
       cold_(cold) {
     server_ = std::make_unique<net::HttpServer>(loop, actor, settings_.id, settings_.listen,
                                                 net::HttpLimits{}, SIZE_MAX);
     server_->on_request = [this](net::HttpExchangePtr exchange) {
-        asked(exchange);
+        on_request(exchange);
     };
     server_->on_connection = [this](std::size_t) {
-        debt_us_ += static_cast<double>(settings_.handshake_work.count());
+        pending_handshake_work_us_ += static_cast<double>(settings_.handshake_work.count());
         server_->limit_connections(std::min(settings_.max_connections, fault.max_connections));
     };
     if (observer_) {
@@ -54,28 +54,28 @@
         1.0, settings_.initial_capacity_fraction + (1 - settings_.initial_capacity_fraction) * age);
 }
 
-void FakeServer::asked(const net::HttpExchangePtr& exchange) {
+void FakeServer::on_request(const net::HttpExchangePtr& exchange) {
     server_->limit_connections(std::min(settings_.max_connections, fault.max_connections));
     const std::string& target = exchange->request.target;
-    if (fault.hangs || fallen_) {
+    if (fault.hangs || collapsed_) {
         return;  // read, and never answered
     }
     if (target.rfind("/invoke/", 0) == 0) {
         return invoke(exchange);
     }
     if (target == "/probe/shallow") {
-        return answer(exchange, 200, nullptr);
+        return respond(exchange, 200, nullptr);
     }
     if (target == "/probe/deep") {
-        if (probing_ >= settings_.max_concurrent_probes) {
-            return answer(exchange, 503, "1");
+        if (active_probes_ >= settings_.max_concurrent_probes) {
+            return respond(exchange, 503, "1");
         }
-        ++probing_;
+        ++active_probes_;
         Job job{exchange, 0, -1, {}, 5000, Micros::max()};
         queue_.push_back(std::move(job));
         return run_next();
     }
-    answer(exchange, 404, nullptr);
+    respond(exchange, 404, nullptr);
 }
 
 void FakeServer::invoke(const net::HttpExchangePtr& exchange) {
@@ -84,23 +84,23 @@
     const auto work = request.number("x-work-us");
     const auto limit = request.number("x-timeout-us");
     if (!id || !work || *work < 0 || *work > 3600000000LL) {
-        return answer(exchange, 400, "1");
+        return respond(exchange, 400, "1");
     }
-    const std::string forwarder{request.header("x-forwarder").value_or("")};
-    push(forwarder, static_cast<double>(*work));
-    if (fallen_) {
+    const std::string proxy{request.header("x-forwarder").value_or("")};
+    track_received_work(proxy, static_cast<double>(*work));
+    if (collapsed_) {
         return;
     }
     // Luck goes by the invocation, not by the order of events, so that two days under other
     // settings meet the same.
-    const double luck = base::SequentialRandom(luck_, "errors/" + std::to_string(*id)).part();
-    if (luck < std::max(fault.error_fraction, settings_.error_fraction)) {
-        return answer(exchange, 500, nullptr);
+    const double draw = base::SequentialRandom(seed_, "errors/" + std::to_string(*id)).part();
+    if (draw < std::max(fault.error_fraction, settings_.error_fraction)) {
+        return respond(exchange, 500, nullptr);
     }
     if (queue_.size() >=
             settings_.max_queued_per_core * static_cast<std::size_t>(settings_.cores) &&
         running_ >= settings_.cores) {
-        return answer(exchange, 503, "1");
+        return respond(exchange, 503, "1");
     }
     Job job;
     job.exchange = exchange;
@@ -115,7 +115,7 @@
     run_next();
 }
 
-void FakeServer::answer(const net::HttpExchangePtr& exchange, int status, const char* not_begun) {
+void FakeServer::respond(const net::HttpExchangePtr& exchange, int status, const char* not_begun) {
     net::HttpMessage response;
     response.status = status;
     if (not_begun) {
@@ -134,8 +134,8 @@
         queue_.pop_front();
         // Nobody waits for it any more: dropped before it begins.
         if (!job.exchange->open() || job.expires <= now) {
-            if (job.operation < 0 && probing_ > 0) {
-                --probing_;
+            if (job.operation < 0 && active_probes_ > 0) {
+                --active_probes_;
             }
             continue;
         }
@@ -148,16 +148,17 @@
     if (job.operation >= 0 && observer_) {
         observer_->on_execution_started(now, settings_.id, job.invocation, job.operation);
     }
-    const double work = job.work_us * remembered(job.key) + std::exchange(debt_us_, 0.0);
-    const double pace = settings_.speed * capacity() *
-                        std::max(0.01, 1 - fault.stolen_cpu_fraction) /
-                        std::max(0.01, fault.slowdown_factor);
-    const Micros takes(std::max<std::int64_t>(1, std::llround(work / pace)));
+    const double work =
+        job.work_us * cache_factor(job.key) + std::exchange(pending_handshake_work_us_, 0.0);
+    const double effective_speed = settings_.speed * capacity() *
+                                   std::max(0.01, 1 - fault.stolen_cpu_fraction) /
+                                   std::max(0.01, fault.slowdown_factor);
+    const Micros run_time(std::max<std::int64_t>(1, std::llround(work / effective_speed)));
     ++running_;
-    busy_us_ += static_cast<double>(takes.count());
-    const std::uint64_t id = ++ids_;
+    busy_us_ += static_cast<double>(run_time.count());
+    const std::uint64_t id = ++last_timer_id_;
     auto timer = std::make_unique<base::Timer>(loop_.clock(), actor_);
-    timer->after(takes, [this, id, job = std::move(job)] {
+    timer->after(run_time, [this, id, job = std::move(job)] {
         const auto done = running_timers_.extract(id);
         --running_;
         finish(job);
@@ -167,36 +168,36 @@
 }
 
 void FakeServer::finish(Job job) {
-    if (job.operation < 0 && job.invocation == 0 && probing_ > 0) {
-        --probing_;
+    if (job.operation < 0 && job.invocation == 0 && active_probes_ > 0) {
+        --active_probes_;
     }
-    if (fault.hangs || fallen_ || !job.exchange->open()) {
+    if (fault.hangs || collapsed_ || !job.exchange->open()) {
         return;
     }
-    const double luck =
-        base::SequentialRandom(luck_, "lost/" + std::to_string(job.invocation)).part();
-    if (luck < fault.lost_response_fraction) {
+    const double draw =
+        base::SequentialRandom(seed_, "lost/" + std::to_string(job.invocation)).part();
+    if (draw < fault.lost_response_fraction) {
         return job.exchange->break_off();
     }
-    answer(job.exchange, 200, nullptr);
+    respond(job.exchange, 200, nullptr);
 }
 
 // Part of the work left where the key was met lately.
-double FakeServer::remembered(const std::string& key) {
+double FakeServer::cache_factor(const std::string& key) {
     if (settings_.cache_saving_fraction <= 0 || key.empty()) {
         return 1;
     }
     const Micros now = loop_.clock().now();
-    const auto it = keys_.find(key);
-    const bool known = it != keys_.end() && it->second + settings_.cache_ttl >= now;
-    keys_[key] = now;
+    const auto it = cached_keys_.find(key);
+    const bool known = it != cached_keys_.end() && it->second + settings_.cache_ttl >= now;
+    cached_keys_[key] = now;
     key_order_.emplace_back(now, key);
-    while (keys_.size() > settings_.max_cached_keys ||
+    while (cached_keys_.size() > settings_.max_cached_keys ||
            (!key_order_.empty() && key_order_.front().first + settings_.cache_ttl < now)) {
         const auto [when, old] = key_order_.front();
         key_order_.pop_front();
-        if (const auto o = keys_.find(old); o != keys_.end() && o->second == when) {
-            keys_.erase(o);
+        if (const auto o = cached_keys_.find(old); o != cached_keys_.end() && o->second == when) {
+            cached_keys_.erase(o);
         }
     }
     return known ? 1 - settings_.cache_saving_fraction : 1;
@@ -204,7 +205,7 @@
 
 // A cold server that is sent more than the multiple of what it can do, over the fall time, falls
 // and stays down.
-void FakeServer::push(const std::string& forwarder, double work_us) {
+void FakeServer::track_received_work(const std::string& proxy, double work_us) {
     if (!cold_ || settings_.collapse_factor <= 0 || settings_.collapse_window <= Micros{0}) {
         return;
     }
@@ -212,45 +213,47 @@
     if (now >= started_ + settings_.warm_up_time) {
         return;
     }
-    pushes_.push_back({forwarder, now, work_us});
-    pushed_us_ += work_us;
-    while (!pushes_.empty() && pushes_.front().at + settings_.collapse_window < now) {
-        pushed_us_ -= pushes_.front().work;
-        pushes_.pop_front();
+    received_work_.push_back({proxy, now, work_us});
+    received_work_us_ += work_us;
+    while (!received_work_.empty() && received_work_.front().at + settings_.collapse_window < now) {
+        received_work_us_ -= received_work_.front().work;
+        received_work_.pop_front();
     }
-    const double can = capacity() * settings_.cores * settings_.speed *
-                       static_cast<double>(settings_.collapse_window.count());
+    const double capacity_us = capacity() * settings_.cores * settings_.speed *
+                               static_cast<double>(settings_.collapse_window.count());
     // A little slack for chance: two invocations of this size are no rush.
-    if (pushed_us_ <= settings_.collapse_factor * can + 2 * work_us) {
+    if (received_work_us_ <= settings_.collapse_factor * capacity_us + 2 * work_us) {
         return;
     }
-    fallen_ = true;
+    collapsed_ = true;
     running_timers_.clear();
     running_ = 0;
     queue_.clear();
     if (observer_) {
-        observer_->on_server_collapsed(now, settings_.id, {pushes_.begin(), pushes_.end()});
+        observer_->on_server_collapsed(now, settings_.id,
+                                       {received_work_.begin(), received_work_.end()});
     }
 }
 
 std::string FakeServer::load_report() {
     const Micros now = loop_.clock().now();
-    if (!report_.empty() && now < report_at_ + settings_.load_report_interval) {
-        return report_;
+    if (!load_report_.empty() && now < load_report_at_ + settings_.load_report_interval) {
+        return load_report_;
     }
     const double span =
-        std::max(1.0, static_cast<double>((now - busy_since_).count()) * settings_.cores);
+        std::max(1.0, static_cast<double>((now - busy_window_start_).count()) * settings_.cores);
     const double cpu = std::min(1.0, busy_us_ / span) * fault.reported_load_fraction;
-    const auto two = [](double v) {
+    const auto two_decimals = [](double v) {
         return std::to_string(static_cast<double>(std::llround(v * 100)) / 100.0).substr(0, 4);
     };
-    report_ = "cpu=" + two(cpu) + ",active=" + std::to_string(running_) + ",waiting=" +
-              std::to_string(
-                  std::llround(static_cast<double>(queue_.size()) * fault.reported_load_fraction));
-    report_at_ = now;
+    load_report_ =
+        "cpu=" + two_decimals(cpu) + ",active=" + std::to_string(running_) + ",waiting=" +
+        std::to_string(
+            std::llround(static_cast<double>(queue_.size()) * fault.reported_load_fraction));
+    load_report_at_ = now;
     busy_us_ = 0;
-    busy_since_ = now;
-    return report_;
+    busy_window_start_ = now;
+    return load_report_;
 }
 
 }  // namespace badgergrade::testbed
--- a/src/testbed/fake_server.h
+++ b/src/testbed/fake_server.h
@@ -64,7 +64,7 @@
 
     bool cold_start() const { return cold_; }
 
-    bool collapsed() const { return fallen_; }
+    bool collapsed() const { return collapsed_; }
 
     ServerFault fault;
 
@@ -78,15 +78,15 @@
         Micros expires{};
     };
 
-    void asked(const net::HttpExchangePtr& exchange);
+    void on_request(const net::HttpExchangePtr& exchange);
     void invoke(const net::HttpExchangePtr& exchange);
     void run_next();
     void run(Job job);
     void finish(Job job);
-    void answer(const net::HttpExchangePtr& exchange, int status, const char* not_begun);
-    void push(const std::string& forwarder, double work_us);
+    void respond(const net::HttpExchangePtr& exchange, int status, const char* not_begun);
+    void track_received_work(const std::string& proxy, double work_us);
     double capacity() const;
-    double remembered(const std::string& key);
+    double cache_factor(const std::string& key);
     std::string load_report();
 
     net::Loop& loop_;
@@ -94,23 +94,23 @@
     FakeServerSettings settings_;
     Observer* observer_;
     std::vector<std::string> operations_;
-    std::uint64_t luck_;
+    std::uint64_t seed_;
     Micros started_{};
-    bool cold_, fallen_ = false;
+    bool cold_, collapsed_ = false;
     int running_ = 0;
-    std::size_t probing_ = 0;
-    std::uint64_t ids_ = 0;
+    std::size_t active_probes_ = 0;
+    std::uint64_t last_timer_id_ = 0;
     std::deque<Job> queue_;
     std::map<std::uint64_t, std::unique_ptr<base::Timer>> running_timers_;
-    double debt_us_ = 0;
-    std::deque<Observer::ReceivedWork> pushes_;
-    double pushed_us_ = 0;
-    std::map<std::string, Micros> keys_;
+    double pending_handshake_work_us_ = 0;
+    std::deque<Observer::ReceivedWork> received_work_;
+    double received_work_us_ = 0;
+    std::map<std::string, Micros> cached_keys_;
     std::deque<std::pair<Micros, std::string>> key_order_;
-    Micros report_at_{};
-    std::string report_;
+    Micros load_report_at_{};
+    std::string load_report_;
     double busy_us_ = 0;
-    Micros busy_since_{};
+    Micros busy_window_start_{};
     std::unique_ptr<net::HttpServer> server_;
 };
 
