--- a/src/recording/reader.cpp
+++ b/src/recording/reader.cpp
@@ -74,8 +74,8 @@
         return false;
     }
     for (const auto& block : index.blocks()) {
-        blocks_.push_back({block.at(), Micros(block.first_us()), Micros(block.last_us()),
-                           block.records(), block.lost()});
+        blocks_.push_back({block.offset(), Micros(block.first_us()), Micros(block.last_us()),
+                           block.records(), block.lost_records()});
     }
     return true;
 }
@@ -108,7 +108,8 @@
         if (body && head.kind == FrameKind::Block && block.ParseFromString(*body)) {
             const TimeRange span = time_range_of(block);
             blocks_.push_back({at, span.first, span.last,
-                               static_cast<std::uint64_t>(block.records_size()), block.lost()});
+                               static_cast<std::uint64_t>(block.records_size()),
+                               block.lost_records()});
         } else if (body && head.kind == FrameKind::Index &&
                    read_trailer(bytes_at(next, kTrailer)) == at) {
             ended = true;
--- a/src/recording/writer.cpp
+++ b/src/recording/writer.cpp
@@ -146,7 +146,7 @@
         return;
     }
     if (lost_ > 0) {
-        block->set_lost(lost_);
+        block->set_lost_records(lost_);
         block->set_lost_from_us(lost_from_.count());
     }
     lost_ = 0;
@@ -192,11 +192,11 @@
     }
     const TimeRange span = time_range_of(block);
     auto& entry = *index_.add_blocks();
-    entry.set_at(at);
+    entry.set_offset(at);
     entry.set_first_us(span.first.count());
     entry.set_last_us(span.last.count());
     entry.set_records(count);
-    entry.set_lost(block.lost());
+    entry.set_lost_records(block.lost_records());
     const std::lock_guard lock(mutex_);
     stats_.records += count;
     ++stats_.blocks;
--- a/src/replay/merge.cpp
+++ b/src/replay/merge.cpp
@@ -147,13 +147,13 @@
         };
         recording::for_each_record(block, [&](Micros at, const pb::Record& record) {
             out.last = std::max(out.last, at);
-            if (!record.has_told()) {
+            if (!record.has_event()) {
                 return;
             }
-            const auto& told = record.told();
-            if (told.has_list()) {
+            const auto& told = record.event();
+            if (told.has_endpoint_list()) {
                 std::vector<ListedRow> rows;
-                for (const auto& row : told.list().rows()) {
+                for (const auto& row : told.endpoint_list().endpoints()) {
                     rows.push_back({name(row.server()), static_cast<int>(row.zone()) - 1,
                                     static_cast<ServerState>(std::min(row.state(), 2u)),
                                     row.weight(),
@@ -162,23 +162,27 @@
                 if (!rows.empty()) {
                     out.lists.emplace_back(at, std::move(rows));
                 }
-            } else if (told.has_heard()) {
-                out.sums.push_back({at, Micros(told.heard().span_us()), name(told.heard().server()),
-                                    told.heard().tries(), told.heard().errored(),
-                                    Micros(told.heard().mean_us())});
-            } else if (told.has_demand()) {
-                out.asked.push_back({at, Micros(told.demand().span_us()),
-                                     name(told.demand().forwarder()),
-                                     static_cast<int>(told.demand().operation()),
-                                     told.demand().count(), told.demand().errored()});
-            } else if (told.has_joined()) {
+            } else if (told.has_load_report()) {
+                out.sums.push_back({at, Micros(told.load_report().interval_us()),
+                                    name(told.load_report().server()),
+                                    told.load_report().attempts(), told.load_report().failures(),
+                                    Micros(told.load_report().mean_latency_us())});
+            } else if (told.has_demand_report()) {
+                out.asked.push_back({at, Micros(told.demand_report().interval_us()),
+                                     name(told.demand_report().proxy()),
+                                     static_cast<int>(told.demand_report().operation()),
+                                     told.demand_report().attempts(),
+                                     told.demand_report().failures()});
+            } else if (told.has_proxy_connected()) {
+                out.streams.push_back({at, name(told.proxy_connected().proxy()), true,
+                                       told.proxy_connected().fresh_start(),
+                                       static_cast<int>(told.proxy_connected().zone()) - 1,
+                                       told.proxy_connected().announced_rate()});
+            } else if (told.has_proxy_disconnected()) {
                 out.streams.push_back(
-                    {at, name(told.joined().forwarder()), true, told.joined().fresh(),
-                     static_cast<int>(told.joined().zone()) - 1, told.joined().rate()});
-            } else if (told.has_left()) {
-                out.streams.push_back({at, name(told.left().forwarder()), false, false, -1, 0});
-            } else if (told.has_applied()) {
-                out.way.emplace_back(told.applied().took_us());
+                    {at, name(told.proxy_disconnected().proxy()), false, false, -1, 0});
+            } else if (told.has_acknowledgement()) {
+                out.way.emplace_back(told.acknowledgement().delay_us());
             }
         });
     });
@@ -736,11 +740,11 @@
         };
         for (const auto& one : came) {
             write_moves(one.at);
-            auto& to = *writer.add(one.at).mutable_came();
+            auto& to = *writer.add(one.at).mutable_invocation_start();
             ++id;
-            to.set_id_more(id - writer.last_invocation_id());
+            to.set_id_delta(id - writer.last_invocation_id());
             writer.last_invocation_id() = id;
-            to.set_forwarder(writer.name(one.forwarder));
+            to.set_proxy(writer.name(one.forwarder));
             to.set_operation(static_cast<std::uint32_t>(one.operation));
             to.set_work_us(static_cast<std::uint64_t>(std::max(
                 1.0, static_cast<double>(works[static_cast<std::size_t>(one.operation)].count()) *
--- a/src/replay/recorded_run.cpp
+++ b/src/replay/recorded_run.cpp
@@ -15,68 +15,68 @@
 namespace {
 
 const char* kind_of(const pb::Record& record) {
-    switch (record.what_case()) {
-        case pb::Record::kCame:
+    switch (record.payload_case()) {
+        case pb::Record::kInvocationStart:
             return "invocations";
-        case pb::Record::kEnded:
+        case pb::Record::kInvocationEnd:
             return "results";
-        case pb::Record::kTried:
+        case pb::Record::kAttempt:
             return "tries";
-        case pb::Record::kJoined:
+        case pb::Record::kStreamOpened:
             return "joins";
-        case pb::Record::kLeft:
+        case pb::Record::kStreamClosed:
             return "breaks";
-        case pb::Record::kMove:
+        case pb::Record::kAction:
             return "moves";
-        case pb::Record::kTold:
+        case pb::Record::kEvent:
             return "events";
-        case pb::Record::kDecided:
+        case pb::Record::kCommands:
             return "decisions";
-        case pb::Record::kStarted:
-        case pb::Record::kStopped:
+        case pb::Record::kInstanceStarted:
+        case pb::Record::kInstanceStopped:
             return "lives";
-        case pb::Record::kTrouble:
+        case pb::Record::kFault:
             return "troubles";
-        case pb::Record::kRead:
+        case pb::Record::kResponseRead:
             return "responses";
-        case pb::Record::kBroken:
+        case pb::Record::kRuleViolation:
             return "broken rules";
-        case pb::Record::WHAT_NOT_SET:
+        case pb::Record::PAYLOAD_NOT_SET:
             break;
     }
     return "unknown";
 }
 
-testbed::WorkerSettings worker_of(const std::string& id, const pb::Worker& w) {
+testbed::WorkerSettings worker_of(const std::string& id, const pb::ServerSettings& w) {
     testbed::WorkerSettings s;
     s.id = id;
     s.zone = w.zone();
     s.cores = w.cores();
     s.speed = w.speed();
     s.queue_per_core = w.queue_per_core();
-    s.cold_from = w.cold_from();
-    s.cold_time = Micros(w.cold_time_us());
-    s.fall_time = Micros(w.fall_time_us());
-    s.fall_multiple = w.fall_multiple();
-    s.connections_most = w.connections_most();
+    s.cold_from = w.cold_capacity_fraction();
+    s.cold_time = Micros(w.warm_up_us());
+    s.fall_time = Micros(w.overload_collapse_us());
+    s.fall_multiple = w.overload_collapse_factor();
+    s.connections_most = w.max_connections();
     s.handshake_work = Micros(w.handshake_work_us());
-    s.key_gain = w.key_gain();
-    s.key_time = Micros(w.key_time_us());
+    s.key_gain = w.cached_key_saving();
+    s.key_time = Micros(w.key_ttl_us());
     s.reports_load = w.reports_load();
-    s.report_every = Micros(w.report_every_us());
+    s.report_every = Micros(w.report_interval_us());
     s.error_rate = w.error_rate();
     return s;
 }
 
-testbed::WorkerTrouble trouble_of(const pb::WorkerTrouble& t) {
+testbed::WorkerTrouble trouble_of(const pb::ServerFault& t) {
     testbed::WorkerTrouble out;
     out.hangs = t.hangs();
-    out.errors = t.errors();
-    out.slower = t.slower();
-    out.taken = t.taken();
-    out.answers_lost = t.answers_lost();
-    out.counters = t.counters();
-    out.connections_most = static_cast<std::size_t>(t.connections_most());
+    out.errors = t.error_fraction();
+    out.slower = t.slowdown();
+    out.taken = t.stolen_cpu_fraction();
+    out.answers_lost = t.lost_response_fraction();
+    out.counters = t.reported_load_fraction();
+    out.connections_most = static_cast<std::size_t>(t.max_connections());
     return out;
 }
 
@@ -126,43 +126,44 @@
     std::string name(std::uint32_t number) const { return recording::name_at(*block_, number); }
 
     void take(Micros at, const pb::Record& record) {
-        if (record.has_move()) {
-            return move(at, record.move());
+        if (record.has_action()) {
+            return move(at, record.action());
         }
-        if (record.has_came()) {
-            return came(at, record.came());
+        if (record.has_invocation_start()) {
+            return came(at, record.invocation_start());
         }
-        if (record.has_ended()) {
-            return ended(at, record.ended());
+        if (record.has_invocation_end()) {
+            return ended(at, record.invocation_end());
         }
-        if (record.has_trouble()) {
-            const auto& t = record.trouble();
-            day_.faults.push_back(
-                {at, Micros(t.lasts_us()), t.name() + (t.whom().empty() ? "" : " " + t.whom())});
+        if (record.has_fault()) {
+            const auto& t = record.fault();
+            day_.faults.push_back({at, Micros(t.duration_us()),
+                                   t.name() + (t.target().empty() ? "" : " " + t.target())});
         }
-        if (record.has_tried()) {
-            figures_.try_sent(at, {}, {}, 0, 0, static_cast<int>(record.tried().number()), {});
+        if (record.has_attempt()) {
+            figures_.try_sent(at, {}, {}, 0, 0, static_cast<int>(record.attempt().number()), {});
         }
     }
 
-    void move(Micros at, const pb::Move& from) {
+    void move(Micros at, const pb::FleetAction& from) {
         scenario::TimedMove out;
         out.at = at;
-        out.opening = from.opening();
+        out.opening = from.initial();
         // Only with the move before itself: where that is lost, this one stands alone.
-        out.joined = from.joined() && !day_.input.moves.empty() && day_.input.moves.back().at == at;
+        out.joined =
+            from.same_step() && !day_.input.moves.empty() && day_.input.moves.back().at == at;
         scenario::Move& m = out.what;
         m.kind = static_cast<scenario::MoveKind>(from.kind());
-        m.who = name(from.who());
-        m.on = from.on();
-        m.by = from.by();
-        m.wait = Micros(from.wait_us());
+        m.who = name(from.target());
+        m.on = from.enabled();
+        m.by = from.amount();
+        m.wait = Micros(from.delay_us());
         m.text = from.text();
-        if (from.has_trouble()) {
-            m.trouble = trouble_of(from.trouble());
+        if (from.has_server_fault()) {
+            m.trouble = trouble_of(from.server_fault());
         }
-        if (from.has_worker()) {
-            m.worker = worker_of(m.who, from.worker());
+        if (from.has_server_settings()) {
+            m.worker = worker_of(m.who, from.server_settings());
         }
         if (!makes_sense(m)) {
             return void(++senseless_);
@@ -211,8 +212,8 @@
         }
     }
 
-    void came(Micros at, const pb::Came& from) {
-        last_id_ += from.id_more();
+    void came(Micros at, const pb::InvocationStart& from) {
+        last_id_ += from.id_delta();
         testbed::Invocation one;
         one.id = static_cast<std::uint64_t>(last_id_);
         one.operation = static_cast<int>(from.operation());
@@ -221,10 +222,10 @@
                                      std::to_string(one.operation) +
                                      ", which the settings do not name");
         }
-        if (!forwarders_.contains(name(from.forwarder()))) {
+        if (!forwarders_.contains(name(from.proxy()))) {
             return void(++senseless_);
         }
-        one.forwarder = name(from.forwarder());
+        one.forwarder = name(from.proxy());
         one.key = name(from.key());
         one.work = Micros(static_cast<std::int64_t>(from.work_us()));
         one.came = at;
@@ -234,8 +235,8 @@
         day_.input.traffic[one.forwarder].push_back(std::move(one));
     }
 
-    void ended(Micros at, const pb::Ended& from) {
-        const auto id = static_cast<std::uint64_t>(last_id_ - from.id_less());
+    void ended(Micros at, const pb::InvocationEnd& from) {
+        const auto id = static_cast<std::uint64_t>(last_id_ - from.id_behind());
         const auto it = open_.find(id);
         if (it == open_.end()) {
             return;  // it came in a block that is lost
@@ -245,7 +246,7 @@
         one.operation = it->second.operation;
         one.forwarder = it->second.forwarder;
         one.came = it->second.came;
-        for (std::uint32_t n = 0; n < from.client_tries(); ++n) {
+        for (std::uint32_t n = 0; n < from.client_attempts(); ++n) {
             figures_.client_try(at, one);
         }
         figures_.invocation_ended(at, one,
@@ -309,7 +310,7 @@
     Builder builder(out, script);
     reader.for_each_block(Micros::min(), Micros::max(), [&](const pb::Block& block) {
         builder.take(block);
-        out.lost_records += block.lost();
+        out.lost_records += block.lost_records();
     });
     builder.close();
     const auto& damage = reader.damage();
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -79,66 +79,66 @@
 
 void write_action(recording::Writer& writer, Micros now, const scenario::TimedMove& timed) {
     const scenario::Move& move = timed.what;
-    auto& out = *writer.add(now).mutable_move();
+    auto& out = *writer.add(now).mutable_action();
     out.set_kind(static_cast<std::uint32_t>(move.kind));
-    out.set_who(writer.name(move.who));
-    out.set_on(move.on);
-    out.set_by(move.by);
-    out.set_wait_us(move.wait.count());
+    out.set_target(writer.name(move.who));
+    out.set_enabled(move.on);
+    out.set_amount(move.by);
+    out.set_delay_us(move.wait.count());
     out.set_text(move.text);
-    out.set_opening(timed.opening);
-    out.set_joined(timed.joined);
+    out.set_initial(timed.opening);
+    out.set_same_step(timed.joined);
     if (move.kind == scenario::MoveKind::TroubleWorker) {
-        auto& t = *out.mutable_trouble();
+        auto& t = *out.mutable_server_fault();
         t.set_hangs(move.trouble.hangs);
-        t.set_errors(move.trouble.errors);
-        t.set_slower(move.trouble.slower);
-        t.set_taken(move.trouble.taken);
-        t.set_answers_lost(move.trouble.answers_lost);
-        t.set_counters(move.trouble.counters);
-        t.set_connections_most(move.trouble.connections_most);
+        t.set_error_fraction(move.trouble.errors);
+        t.set_slowdown(move.trouble.slower);
+        t.set_stolen_cpu_fraction(move.trouble.taken);
+        t.set_lost_response_fraction(move.trouble.answers_lost);
+        t.set_reported_load_fraction(move.trouble.counters);
+        t.set_max_connections(move.trouble.connections_most);
     }
     if (move.kind == scenario::MoveKind::AddWorker) {
-        auto& w = *out.mutable_worker();
+        auto& w = *out.mutable_server_settings();
         const auto& s = move.worker;
         w.set_zone(s.zone);
         w.set_cores(s.cores);
         w.set_speed(s.speed);
         w.set_queue_per_core(s.queue_per_core);
-        w.set_cold_from(s.cold_from);
-        w.set_cold_time_us(s.cold_time.count());
-        w.set_fall_time_us(s.fall_time.count());
-        w.set_fall_multiple(s.fall_multiple);
-        w.set_connections_most(s.connections_most);
+        w.set_cold_capacity_fraction(s.cold_from);
+        w.set_warm_up_us(s.cold_time.count());
+        w.set_overload_collapse_us(s.fall_time.count());
+        w.set_overload_collapse_factor(s.fall_multiple);
+        w.set_max_connections(s.connections_most);
         w.set_handshake_work_us(s.handshake_work.count());
-        w.set_key_gain(s.key_gain);
-        w.set_key_time_us(s.key_time.count());
+        w.set_cached_key_saving(s.key_gain);
+        w.set_key_ttl_us(s.key_time.count());
         w.set_reports_load(s.reports_load);
-        w.set_report_every_us(s.report_every.count());
+        w.set_report_interval_us(s.report_every.count());
         w.set_error_rate(s.error_rate);
     }
 }
 
 void Recorder::struck(Micros now, const scenario::Trouble& trouble) {
-    auto& out = *writer_.add(now).mutable_trouble();
+    auto& out = *writer_.add(now).mutable_fault();
     out.set_name(trouble.name);
-    out.set_lasts_us(trouble.lasts.count());
-    out.set_line(static_cast<std::uint32_t>(trouble.line));
-    out.set_whom(!trouble.one.empty() ? trouble.one
-                 : trouble.count > 0  ? std::to_string(trouble.count)
-                 : trouble.part > 0   ? text_of(trouble.part * 100) + "%"
-                                      : "");
+    out.set_duration_us(trouble.lasts.count());
+    out.set_script_line(static_cast<std::uint32_t>(trouble.line));
+    out.set_target(!trouble.one.empty() ? trouble.one
+                   : trouble.count > 0  ? std::to_string(trouble.count)
+                   : trouble.part > 0   ? text_of(trouble.part * 100) + "%"
+                                        : "");
 }
 
 // ---- invocations
 
 void Recorder::invocation_came(Micros now, const testbed::Invocation& what) {
-    auto& out = *writer_.add(now).mutable_came();
+    auto& out = *writer_.add(now).mutable_invocation_start();
     auto& last = writer_.last_invocation_id();
     const auto id = static_cast<std::int64_t>(what.id);
-    out.set_id_more(id - last);
+    out.set_id_delta(id - last);
     last = id;
-    out.set_forwarder(writer_.name(what.forwarder));
+    out.set_proxy(writer_.name(what.forwarder));
     out.set_key(writer_.name(what.key));
     out.set_operation(static_cast<std::uint32_t>(what.operation));
     out.set_work_us(static_cast<std::uint64_t>(what.work.count()));
@@ -152,10 +152,10 @@
         write_try(now, it->first.second, what.id, it->second, kAttemptAbandoned);
     }
     tries_.erase(first, it);
-    auto& out = *writer_.add(now).mutable_ended();
-    out.set_id_less(writer_.last_invocation_id() - static_cast<std::int64_t>(what.id));
+    auto& out = *writer_.add(now).mutable_invocation_end();
+    out.set_id_behind(writer_.last_invocation_id() - static_cast<std::int64_t>(what.id));
     out.set_result(static_cast<std::uint32_t>(result));
-    out.set_client_tries(static_cast<std::uint32_t>(what.client_tries));
+    out.set_client_attempts(static_cast<std::uint32_t>(what.client_tries));
 }
 
 void Recorder::try_sent(Micros now, const std::string& forwarder, const std::string& server,
@@ -182,35 +182,35 @@
 
 void Recorder::write_try(Micros now, const std::string& forwarder, std::uint64_t invocation,
                          const OpenTry& one, std::uint32_t end) {
-    auto& out = *writer_.add(now).mutable_tried();
-    out.set_id_less(writer_.last_invocation_id() - static_cast<std::int64_t>(invocation));
+    auto& out = *writer_.add(now).mutable_attempt();
+    out.set_id_behind(writer_.last_invocation_id() - static_cast<std::int64_t>(invocation));
     out.set_server(writer_.name(one.server));
     out.set_number(static_cast<std::uint32_t>(one.number));
-    out.set_end(end);
-    out.set_took_us(static_cast<std::uint64_t>((now - one.sent).count()));
-    out.set_forwarder(writer_.name(forwarder));
+    out.set_outcome(end);
+    out.set_duration_us(static_cast<std::uint64_t>((now - one.sent).count()));
+    out.set_proxy(writer_.name(forwarder));
     out.set_operation(static_cast<std::uint32_t>(one.operation));
 }
 
 // ---- streams
 
 void Recorder::joined(Micros now, const std::string& forwarder, const std::string& governor) {
-    auto& out = *writer_.add(now).mutable_joined();
-    out.set_forwarder(writer_.name(forwarder));
-    out.set_governor(writer_.name(governor));
+    auto& out = *writer_.add(now).mutable_stream_opened();
+    out.set_proxy(writer_.name(forwarder));
+    out.set_instance(writer_.name(governor));
 }
 
 void Recorder::left(Micros now, const std::string& forwarder, const std::string& governor) {
-    auto& out = *writer_.add(now).mutable_left();
-    out.set_forwarder(writer_.name(forwarder));
-    out.set_governor(writer_.name(governor));
+    auto& out = *writer_.add(now).mutable_stream_closed();
+    out.set_proxy(writer_.name(forwarder));
+    out.set_instance(writer_.name(governor));
 }
 
 void Recorder::response_read(Micros now, const std::string& forwarder, const std::string& governor,
                              const std::string&, std::size_t bytes, const std::string& why) {
-    auto& out = *writer_.add(now).mutable_read();
-    out.set_forwarder(writer_.name(forwarder));
-    out.set_governor(writer_.name(governor));
+    auto& out = *writer_.add(now).mutable_response_read();
+    out.set_proxy(writer_.name(forwarder));
+    out.set_instance(writer_.name(governor));
     out.set_bytes(static_cast<std::uint32_t>(bytes));
     out.set_rejected(!why.empty());
 }
@@ -218,15 +218,15 @@
 // ---- governors
 
 void Recorder::on_started(Micros now, const xds_server::XdsServer& service) {
-    auto& out = *writer_.add(now).mutable_started();
-    out.set_governor(writer_.name(service.id()));
-    out.set_life(service.incarnation());
+    auto& out = *writer_.add(now).mutable_instance_started();
+    out.set_instance(writer_.name(service.id()));
+    out.set_incarnation(service.incarnation());
 }
 
 void Recorder::on_stopped(Micros now, const xds_server::XdsServer& service) {
-    auto& out = *writer_.add(now).mutable_stopped();
-    out.set_governor(writer_.name(service.id()));
-    out.set_life(service.incarnation());
+    auto& out = *writer_.add(now).mutable_instance_stopped();
+    out.set_instance(writer_.name(service.id()));
+    out.set_incarnation(service.incarnation());
 }
 
 void Recorder::on_event(Micros now, const xds_server::XdsServer& service, const Event& event) {
@@ -234,8 +234,8 @@
     if (std::holds_alternative<event::TimerFired>(event)) {
         return;
     }
-    auto& out = *writer_.add(now).mutable_told();
-    out.set_governor(writer_.name(service.id()));
+    auto& out = *writer_.add(now).mutable_event();
+    out.set_instance(writer_.name(service.id()));
     const auto forwarder = [&](ProxyId proxy) {
         return writer_.name(service.proxy_name(proxy));
     };
@@ -244,10 +244,10 @@
     };
     std::visit(Cases{
                    [&](const event::EndpointListUpdate& e) {
-                       auto& list = *out.mutable_list();
-                       list.set_form(static_cast<std::uint32_t>(e.kind));
+                       auto& list = *out.mutable_endpoint_list();
+                       list.set_kind(static_cast<std::uint32_t>(e.kind));
                        for (const auto& row : e.endpoints) {
-                           auto& to = *list.add_rows();
+                           auto& to = *list.add_endpoints();
                            to.set_server(server(row.server));
                            to.set_zone(zone_number(row.zone));
                            to.set_state(static_cast<std::uint32_t>(row.state));
@@ -256,46 +256,46 @@
                        }
                    },
                    [&](const event::ProxyConnected& e) {
-                       auto& to = *out.mutable_joined();
-                       to.set_forwarder(forwarder(e.proxy));
+                       auto& to = *out.mutable_proxy_connected();
+                       to.set_proxy(forwarder(e.proxy));
                        to.set_zone(zone_number(e.zone));
-                       to.set_fresh(e.fresh_start);
-                       to.set_rate(e.announced_rate);
+                       to.set_fresh_start(e.fresh_start);
+                       to.set_announced_rate(e.announced_rate);
                    },
                    [&](const event::ProxyDisconnected& e) {
-                       out.mutable_left()->set_forwarder(forwarder(e.proxy));
+                       out.mutable_proxy_disconnected()->set_proxy(forwarder(e.proxy));
                    },
                    [&](const event::ServerLoadReport& e) {
-                       auto& to = *out.mutable_heard();
+                       auto& to = *out.mutable_load_report();
                        to.set_zone(zone_number(e.zone));
                        to.set_server(server(e.server));
-                       to.set_tries(e.attempts);
-                       to.set_errored(e.failures);
-                       to.set_mean_us(e.mean_latency.count());
-                       to.set_span_us(e.interval.count());
+                       to.set_attempts(e.attempts);
+                       to.set_failures(e.failures);
+                       to.set_mean_latency_us(e.mean_latency.count());
+                       to.set_interval_us(e.interval.count());
                        for (const double load : e.load_metrics) {
-                           to.add_load(load);
+                           to.add_load_metrics(load);
                        }
                    },
                    [&](const event::ProxyDemandReport& e) {
-                       auto& to = *out.mutable_demand();
-                       to.set_forwarder(forwarder(e.proxy));
+                       auto& to = *out.mutable_demand_report();
+                       to.set_proxy(forwarder(e.proxy));
                        to.set_operation(static_cast<std::uint32_t>(e.operation.value));
-                       to.set_count(e.attempts);
-                       to.set_errored(e.failures);
-                       to.set_span_us(e.interval.count());
+                       to.set_attempts(e.attempts);
+                       to.set_failures(e.failures);
+                       to.set_interval_us(e.interval.count());
                    },
                    [&](const event::HealthCheckResult& e) {
-                       auto& to = *out.mutable_probed();
+                       auto& to = *out.mutable_health_check();
                        to.set_server(server(e.server));
                        to.set_outcome(static_cast<std::uint32_t>(e.outcome));
-                       to.set_took_us(e.duration.count());
+                       to.set_duration_us(e.duration.count());
                    },
                    [&](const event::ConfigAcknowledged& e) {
-                       auto& to = *out.mutable_applied();
-                       to.set_forwarder(forwarder(e.proxy));
-                       to.set_mark(e.version.value);
-                       to.set_took_us(e.delay.count());
+                       auto& to = *out.mutable_acknowledgement();
+                       to.set_proxy(forwarder(e.proxy));
+                       to.set_version(e.version.value);
+                       to.set_delay_us(e.delay.count());
                    },
                    [](const auto&) {},
                },
@@ -310,8 +310,8 @@
     if (std::all_of(actions.begin(), actions.end(), beat)) {
         return;
     }
-    auto& out = *writer_.add(now).mutable_decided();
-    out.set_governor(writer_.name(service.id()));
+    auto& out = *writer_.add(now).mutable_commands();
+    out.set_instance(writer_.name(service.id()));
     const auto table = [](TableId t) {
         return static_cast<std::uint32_t>(t.value);
     };
@@ -319,36 +319,37 @@
         if (beat(action)) {
             continue;
         }
-        auto& to = *out.add_actions();
+        auto& to = *out.add_commands();
         std::visit(
             Cases{
                 [&](const command::SetWeight& a) {
-                    to.mutable_line()->set_table(table(a.table));
-                    to.mutable_line()->set_weight(a.weight);
-                    to.mutable_line()->set_server(writer_.name(service.server_name(a.server)));
+                    to.mutable_weight()->set_table(table(a.table));
+                    to.mutable_weight()->set_weight(a.weight);
+                    to.mutable_weight()->set_server(writer_.name(service.server_name(a.server)));
                 },
                 [&](const command::AssignTable& a) {
-                    to.mutable_bind()->set_table(table(a.table));
-                    to.mutable_bind()->set_operations(a.operations);
-                    to.mutable_bind()->set_forwarder(writer_.name(service.proxy_name(a.proxy)));
+                    to.mutable_assignment()->set_table(table(a.table));
+                    to.mutable_assignment()->set_operations(a.operations);
+                    to.mutable_assignment()->set_proxy(writer_.name(service.proxy_name(a.proxy)));
                 },
                 [&](const command::SetAdmission& a) {
-                    to.mutable_level()->set_table(table(a.table));
-                    to.mutable_level()->set_operations(a.operations);
-                    to.mutable_level()->set_let_in(a.limit);
-                    to.mutable_level()->set_again(static_cast<std::uint32_t>(a.retry_mode));
+                    to.mutable_admission()->set_table(table(a.table));
+                    to.mutable_admission()->set_operations(a.operations);
+                    to.mutable_admission()->set_limit(a.limit);
+                    to.mutable_admission()->set_retry_mode(
+                        static_cast<std::uint32_t>(a.retry_mode));
                 },
-                [&](const command::RequestAck& a) { to.set_mark(a.version.value); },
-                [&](const command::LogMessage& a) { to.set_says(a.text); },
-                [&](const command::ClearTable& a) { to.set_clear(table(a.table)); },
+                [&](const command::RequestAck& a) { to.set_requested_ack(a.version.value); },
+                [&](const command::LogMessage& a) { to.set_log_message(a.text); },
+                [&](const command::ClearTable& a) { to.set_cleared_table(table(a.table)); },
                 [&](const command::SetEjected& a) {
-                    to.mutable_withdraw()->set_server(writer_.name(service.server_name(a.server)));
-                    to.mutable_withdraw()->set_out(a.ejected);
+                    to.mutable_ejection()->set_server(writer_.name(service.server_name(a.server)));
+                    to.mutable_ejection()->set_ejected(a.ejected);
                 },
                 [&](const command::CheckHealth& a) {
-                    to.set_probe(writer_.name(service.server_name(a.server)));
+                    to.set_checked_server(writer_.name(service.server_name(a.server)));
                 },
-                [&](const command::WatchEndpoints& a) { to.set_watch(a.enabled); },
+                [&](const command::WatchEndpoints& a) { to.set_watch_endpoints(a.enabled); },
                 [&](const auto&) { to.set_other(to_text(service, action)); },
             },
             action);
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -296,27 +296,27 @@
     explicit HandMade(const std::string& path)
         : script(short_day()),
           writer(recording::open_file_sink(path), make_header(script, 0us)) {
-        auto& move = *writer.add(0us).mutable_move();
+        auto& move = *writer.add(0us).mutable_action();
         move.set_kind(static_cast<std::uint32_t>(scenario::MoveKind::AddForwarder));
-        move.set_opening(true);
-        move.set_who(writer.name("forwarder-000"));
+        move.set_initial(true);
+        move.set_target(writer.name("forwarder-000"));
         move.set_text("north");
     }
 
     void came(std::int64_t id, int operation, Micros at) {
-        auto& to = *writer.add(at).mutable_came();
-        to.set_id_more(id - writer.last_invocation_id());
+        auto& to = *writer.add(at).mutable_invocation_start();
+        to.set_id_delta(id - writer.last_invocation_id());
         writer.last_invocation_id() = id;
-        to.set_forwarder(writer.name("forwarder-000"));
+        to.set_proxy(writer.name("forwarder-000"));
         to.set_operation(static_cast<std::uint32_t>(operation));
         to.set_work_us(1000);
     }
 
     void ended(std::int64_t id, testbed::Result result, std::uint32_t client_tries, Micros at) {
-        auto& to = *writer.add(at).mutable_ended();
-        to.set_id_less(writer.last_invocation_id() - id);
+        auto& to = *writer.add(at).mutable_invocation_end();
+        to.set_id_behind(writer.last_invocation_id() - id);
         to.set_result(static_cast<std::uint32_t>(result));
-        to.set_client_tries(client_tries);
+        to.set_client_attempts(client_tries);
     }
 
     scenario::DayScript script;
--- a/tests/record/record_test.cpp
+++ b/tests/record/record_test.cpp
@@ -252,7 +252,7 @@
     // A record of a kind that is not known yet (field 99).
     pb::Record later;
     ASSERT_TRUE(later.ParseFromString(std::string("\x08\x02\x9a\x06\x02hi", 7)));
-    EXPECT_EQ(later.what_case(), pb::Record::WHAT_NOT_SET);
+    EXPECT_EQ(later.payload_case(), pb::Record::PAYLOAD_NOT_SET);
 }
 
 // A disk that stands still until it is let go; the header passes.
@@ -289,7 +289,7 @@
         header(), options);
     constexpr int kAll = 500;
     for (int n = 0; n < kAll; ++n) {
-        writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
+        writer.add(1s + Micros(n)).mutable_invocation_start()->set_id_delta(1);
     }
     writer.flush();
     EXPECT_GT(writer.stats().lost_records, 0u);
@@ -302,7 +302,7 @@
     std::uint64_t lost = 0;
     reader.for_each_block(Micros::min(), Micros::max(), [&](const pb::Block& block) {
         read += static_cast<std::uint64_t>(block.records_size());
-        lost += block.lost();
+        lost += block.lost_records();
     });
     EXPECT_EQ(read, figures.records);
     EXPECT_EQ(lost, figures.lost_records);
@@ -321,7 +321,7 @@
         header(), options);
     auto later = std::async(std::launch::async, [&] { go.set_value(); });
     for (int n = 0; n < 500; ++n) {
-        writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
+        writer.add(1s + Micros(n)).mutable_invocation_start()->set_id_delta(1);
     }
     writer.finish();
     EXPECT_EQ(writer.stats().records, 500u);
@@ -350,7 +350,7 @@
     options.when_full = WhenFull::Wait;
     Writer writer(std::make_unique<FullSink>(), header(), options);
     for (int n = 0; n < 500; ++n) {
-        writer.add(1s + Micros(n)).mutable_came()->set_id_more(1);
+        writer.add(1s + Micros(n)).mutable_invocation_start()->set_id_delta(1);
     }
     writer.finish();
     const auto figures = writer.stats();
@@ -364,7 +364,7 @@
     const TemporaryDirectory folder;
     Writer writer(open_file_sink(folder.file("back")), header(), small_blocks());
     for (const Micros at : {10s, 11s, 5s, 6s}) {
-        writer.add(at).mutable_came()->set_id_more(1);
+        writer.add(at).mutable_invocation_start()->set_id_delta(1);
     }
     writer.finish();
     Reader reader(folder.file("back"));
