--- a/src/recording/frames.h
+++ b/src/recording/frames.h
@@ -1,14 +1,17 @@
-// A recording is a row of frames, each good by itself, so that a cut or damaged file is read as far
-// as it is whole:
-//
-//   8 bytes   "BGFRAME" and the kind: H header, B block, I index
-//   4 bytes   length of the packed body (all numbers little-endian)
-//   4 bytes   length once unpacked
-//   8 bytes   XXH3-64 over the 16 bytes before and the packed body
-//   body      zstd; a message of proto/badgergrade/recording/v1
-//
-// The header comes first, the index last; behind it 16 bytes: where the index stands, and
-// "BGINDEX\n". No I/O.
+/// @file
+/// Encoding and decoding of the frames that a recording file consists of. No I/O.
+///
+/// Each frame can be checked and decoded without the others, so that all intact frames of a
+/// truncated or damaged file can still be read:
+///
+///   8 bytes   "BGFRAME" and the kind: H header, B block, I index
+///   4 bytes   length of the compressed body (all numbers are little-endian)
+///   4 bytes   length of the decompressed body
+///   8 bytes   XXH3-64 over the 16 bytes before and the compressed body
+///   body      zstd; a message of proto/badgergrade/recording/v1
+///
+/// The header frame comes first and the index frame last. After the index follows a trailer of 16
+/// bytes: the offset of the index frame (8 bytes) and "BGINDEX\n".
 #pragma once
 
 #include <cstdint>
@@ -22,24 +25,30 @@
 
 inline constexpr std::string_view kFrameMark = "BGFRAME";
 inline constexpr std::string_view kTrailerMark = "BGINDEX\n";
-inline constexpr std::size_t kFrameHead = 24, kTrailer = 16;
-// No frame is larger, packed or not: a length beyond is damage, not a reason to ask for memory.
-inline constexpr std::size_t kFrameMost = 64u << 20;
+inline constexpr std::size_t kFrameHeadBytes = 24, kTrailerBytes = 16;
+/// Largest body, compressed or not. A larger length field is treated as damage, so that a corrupt
+/// file cannot cause a huge allocation.
+inline constexpr std::size_t kMaxBodyBytes = 64u << 20;
 
 struct FrameHead {
     FrameKind kind{};
-    std::uint32_t packed = 0, unpacked = 0;
-    std::uint64_t sum = 0;
+    /// Lengths of the body in bytes.
+    std::uint32_t compressed_bytes = 0, decompressed_bytes = 0;
+    std::uint64_t checksum = 0;
 };
 
-std::string pack_frame(FrameKind kind, std::string_view body, int level);
-// The head of a frame; `why` says what is wrong where there is none.
-std::optional<FrameHead> read_head(std::string_view bytes, std::string& why);
-// The body of the frame that `head_bytes` begins; `why` says what is wrong with it.
-std::optional<std::string> unpack_body(const FrameHead& head, std::string_view head_bytes,
-                                       std::string_view packed, std::string& why);
-
-std::string pack_trailer(std::uint64_t index_at);
-std::optional<std::uint64_t> read_trailer(std::string_view bytes);
+/// A whole frame. Throws std::length_error if `body` exceeds kMaxBodyBytes and std::runtime_error
+/// if it cannot be compressed.
+std::string encode_frame(FrameKind kind, std::string_view body, int compression_level);
+/// The head at the start of `bytes`; if there is no valid one, nothing, and `error` says why.
+std::optional<FrameHead> decode_head(std::string_view bytes, std::string& error);
+/// The decompressed body of a frame; if it is damaged, nothing, and `error` says why. `head_bytes`
+/// is the encoded form of `head`, which the checksum covers too.
+std::optional<std::string> decode_body(const FrameHead& head, std::string_view head_bytes,
+                                       std::string_view compressed, std::string& error);
+
+std::string encode_trailer(std::uint64_t index_offset);
+/// The offset of the index frame, if `bytes` end with a trailer.
+std::optional<std::uint64_t> decode_trailer(std::string_view bytes);
 
 }  // namespace badgergrade::recording
--- a/src/recording/reader.cpp
+++ b/src/recording/reader.cpp
@@ -7,69 +7,72 @@
 
 Reader::Reader(const std::string& path) : path_(path), file_(path, std::ios::binary) {
     if (!file_) {
-        throw std::runtime_error(path + ": can't be read");
+        throw std::runtime_error(path + ": the file cannot be opened or read");
     }
     file_.seekg(0, std::ios::end);
     const auto end = file_.tellg();
     if (end < 0) {
-        throw std::runtime_error(path + ": can't be read");
+        throw std::runtime_error(path + ": the file cannot be opened or read");
     }
-    size_ = static_cast<std::uint64_t>(end);
+    file_bytes_ = static_cast<std::uint64_t>(end);
     FrameHead head;
-    std::string why;
-    const auto body = frame_at(0, head, first_block_, why);
+    std::string error;
+    const auto body = read_frame(0, head, first_block_offset_, error);
     if (!body || head.kind != FrameKind::Header || !header_.ParseFromString(*body)) {
-        throw std::runtime_error(
-            path + ": no recording: " + (why.empty() ? "it does not begin with a header" : why));
+        throw std::runtime_error(path + ": not a recording: " +
+                                 (error.empty() ? "expected a header at its start" : error));
     }
     if (header_.format() == 0 || header_.format() > kFormat) {
-        throw std::runtime_error(path + ": of format " + std::to_string(header_.format()) +
-                                 "; this program reads formats 1 to " + std::to_string(kFormat));
+        throw std::runtime_error(path + ": has format " + std::to_string(header_.format()) +
+                                 ", expected a format from 1 to " + std::to_string(kFormat));
     }
-    finished_ = read_index();
-    if (!finished_) {
+    is_complete_ = read_index();
+    if (!is_complete_) {
         scan();
     }
 }
 
-std::string Reader::bytes_at(std::uint64_t at, std::size_t count) {
-    if (at >= size_) {
+std::string Reader::read_bytes(std::uint64_t offset, std::size_t count) {
+    if (offset >= file_bytes_) {
         return {};
     }
-    std::string out(static_cast<std::size_t>(std::min<std::uint64_t>(count, size_ - at)), '\0');
+    std::string out(static_cast<std::size_t>(std::min<std::uint64_t>(count, file_bytes_ - offset)),
+                    '\0');
     file_.clear();
-    file_.seekg(static_cast<std::streamoff>(at));
+    file_.seekg(static_cast<std::streamoff>(offset));
     file_.read(out.data(), static_cast<std::streamsize>(out.size()));
     out.resize(static_cast<std::size_t>(std::max<std::streamsize>(0, file_.gcount())));
     return out;
 }
 
-std::optional<std::string> Reader::frame_at(std::uint64_t at, FrameHead& head, std::uint64_t& next,
-                                            std::string& why) {
-    const std::string begin = bytes_at(at, kFrameHead);
-    const auto read = read_head(begin, why);
-    if (!read) {
-        next = at + 1;
+std::optional<std::string> Reader::read_frame(std::uint64_t offset, FrameHead& head,
+                                              std::uint64_t& next, std::string& error) {
+    const std::string head_bytes = read_bytes(offset, kFrameHeadBytes);
+    const auto decoded = decode_head(head_bytes, error);
+    if (!decoded) {
+        next = offset + 1;
         return std::nullopt;
     }
-    head = *read;
-    next = at + kFrameHead + head.packed;
-    return unpack_body(head, begin, bytes_at(at + kFrameHead, head.packed), why);
+    head = *decoded;
+    next = offset + kFrameHeadBytes + head.compressed_bytes;
+    return decode_body(head, head_bytes,
+                       read_bytes(offset + kFrameHeadBytes, head.compressed_bytes), error);
 }
 
 bool Reader::read_index() {
-    if (size_ < kTrailer) {
+    if (file_bytes_ < kTrailerBytes) {
         return false;
     }
-    const auto at = read_trailer(bytes_at(size_ - kTrailer, kTrailer));
-    if (!at || *at >= size_) {
+    const auto index_offset =
+        decode_trailer(read_bytes(file_bytes_ - kTrailerBytes, kTrailerBytes));
+    if (!index_offset || *index_offset >= file_bytes_) {
         return false;
     }
     FrameHead head;
     std::uint64_t next = 0;
-    std::string why;
+    std::string error;
     pb::Index index;
-    const auto body = frame_at(*at, head, next, why);
+    const auto body = read_frame(*index_offset, head, next, error);
     if (!body || head.kind != FrameKind::Index || !index.ParseFromString(*body)) {
         return false;
     }
@@ -80,75 +83,78 @@
     return true;
 }
 
-// Where the next frame's mark stands; the file's end where there is none.
-std::uint64_t Reader::search(std::uint64_t from) {
-    constexpr std::size_t kPiece = 64 << 10;
-    for (std::uint64_t at = from; at < size_; at += kPiece - kFrameMark.size()) {
-        const std::string piece = bytes_at(at, kPiece);
-        if (const auto found = piece.find(kFrameMark); found != std::string::npos) {
-            return at + found;
+// Offset of the next frame mark at or after `from`; the file's size if there is none.
+std::uint64_t Reader::find_frame(std::uint64_t from) {
+    constexpr std::size_t kChunkBytes = 64 << 10;
+    for (std::uint64_t offset = from; offset < file_bytes_;
+         offset += kChunkBytes - kFrameMark.size()) {
+        const std::string chunk = read_bytes(offset, kChunkBytes);
+        if (const auto found = chunk.find(kFrameMark); found != std::string::npos) {
+            return offset + found;
         }
-        if (piece.size() < kPiece) {
+        if (chunk.size() < kChunkBytes) {
             break;
         }
     }
-    return size_;
+    return file_bytes_;
 }
 
 void Reader::scan() {
     blocks_.clear();
     damage_.clear();
-    bool ended = false;
-    for (std::uint64_t at = first_block_; at < size_;) {
+    bool has_index = false;
+    for (std::uint64_t offset = first_block_offset_; offset < file_bytes_;) {
         FrameHead head;
         std::uint64_t next = 0;
-        std::string why;
-        const auto body = frame_at(at, head, next, why);
+        std::string error;
+        const auto body = read_frame(offset, head, next, error);
         pb::Block block;
         if (body && head.kind == FrameKind::Block && block.ParseFromString(*body)) {
-            const TimeRange span = time_range_of(block);
-            blocks_.push_back({at, span.first, span.last,
+            const TimeRange range = time_range_of(block);
+            blocks_.push_back({offset, range.first, range.last,
                                static_cast<std::uint64_t>(block.records_size()),
                                block.lost_records()});
         } else if (body && head.kind == FrameKind::Index &&
-                   read_trailer(bytes_at(next, kTrailer)) == at) {
-            ended = true;
-            next += kTrailer;
+                   decode_trailer(read_bytes(next, kTrailerBytes)) == offset) {
+            has_index = true;
+            next += kTrailerBytes;
         } else {
-            damage_.push_back({at, (why.empty() ? "holds no records" : why) + ", after block " +
-                                       std::to_string(blocks_.size())});
-            // A head that still makes sense tells where the next frame should be; else it is looked
-            // for.
-            const bool leads =
-                next > at + 1 && (next == size_ || bytes_at(next, kFrameMark.size()) == kFrameMark);
-            if (!leads) {
-                next = search(at + 1);
+            damage_.push_back({offset, (error.empty() ? "expected a frame with a block" : error) +
+                                           ", after block " + std::to_string(blocks_.size())});
+            // If only the body is damaged, the length in the head leads to the next frame.
+            // Otherwise the next frame mark is searched for.
+            const bool next_is_plausible =
+                next > offset + 1 &&
+                (next == file_bytes_ || read_bytes(next, kFrameMark.size()) == kFrameMark);
+            if (!next_is_plausible) {
+                next = find_frame(offset + 1);
             }
         }
-        at = next;
+        offset = next;
     }
-    if (!ended) {
+    if (!has_index) {
         damage_.push_back(
-            {size_, "ends without its index: it was cut, or its writer did not end in order"});
+            {file_bytes_,
+             "expected the index at the end: the file is truncated or its writer did not finish"});
     }
 }
 
 pb::Block Reader::read(std::size_t block) {
     FrameHead head;
     std::uint64_t next = 0;
-    std::string why;
-    const auto body = frame_at(blocks_.at(block).offset, head, next, why);
+    std::string error;
+    const auto body = read_frame(blocks_.at(block).offset, head, next, error);
     pb::Block out;
     if (!body || head.kind != FrameKind::Block || !out.ParseFromString(*body)) {
         throw std::runtime_error(path_ + ": block " + std::to_string(block + 1) + " at byte " +
                                  std::to_string(blocks_[block].offset) + ": " +
-                                 (why.empty() ? "holds no records" : why));
+                                 (error.empty() ? "expected a frame with a block" : error));
     }
     return out;
 }
 
 void Reader::for_each_block(Micros from, Micros to,
-                            const std::function<void(const pb::Block&)>& take) {
+                            const std::function<void(const pb::Block&)>& visit) {
     for (std::size_t k = 0; k < blocks_.size(); ++k) {
         if (blocks_[k].last < from || blocks_[k].first >= to) {
             continue;
@@ -156,11 +162,11 @@
         std::optional<pb::Block> block;
         try {
             block = read(k);
-        } catch (const std::runtime_error& wrong) {
-            damage_.push_back({blocks_[k].offset, wrong.what()});
+        } catch (const std::runtime_error& failure) {
+            damage_.push_back({blocks_[k].offset, failure.what()});
         }
         if (block) {
-            take(*block);
+            visit(*block);
         }
     }
 }
--- a/src/recording/reader.h
+++ b/src/recording/reader.h
@@ -1,5 +1,6 @@
-// Reads recordings block by block, by the index or, where a file was cut or damaged, by what is
-// still whole in it.
+/// @file
+/// Reads a recording file block by block. The blocks are found by the index at the end of the file;
+/// if the file is truncated or damaged, by a scan for all blocks that are still intact.
 #pragma once
 
 #include <fstream>
@@ -13,59 +14,66 @@
 
 namespace badgergrade::recording {
 
+/// Position and contents of one block.
 struct BlockInfo {
+    /// Of the block's frame in the file, in bytes.
     std::uint64_t offset = 0;
+    /// Times of the earliest and the latest record, since the recording began.
     Micros first{}, last{};
+    /// `lost_records` were not written between the previous block and this one.
     std::uint64_t records = 0, lost_records = 0;
 };
 
-// What is wrong with a file, and where.
+/// A damaged place of a file.
 struct Damage {
+    /// In bytes from the start of the file.
     std::uint64_t offset = 0;
     std::string description;
 };
 
 class Reader {
 public:
-    // Throws std::runtime_error: not to be had, no recording, or of a newer format.
+    /// Throws std::runtime_error if the file cannot be read, is not a recording or has a newer
+    /// format.
     explicit Reader(const std::string& path);
 
     const pb::Header& header() const { return header_; }
 
-    std::uint64_t file_bytes() const { return size_; }
+    /// Size of the file.
+    std::uint64_t file_bytes() const { return file_bytes_; }
 
-    // Its index was found whole: the recording was ended in order.
-    bool is_complete() const { return finished_; }
+    /// Whether the index is intact, which means that the writer finished the recording.
+    bool is_complete() const { return is_complete_; }
 
     const std::vector<BlockInfo>& blocks() const { return blocks_; }
 
-    // Found on opening; for a finished file only what its index shows.
+    /// The damage found so far. Opening a complete file reads only its index, so this is empty
+    /// until `scan` or `for_each_block`.
     const std::vector<Damage>& damage() const { return damage_; }
 
-    // Reads every frame, whatever the index says; the same list of damage for cut and damaged
-    // files.
+    /// Reads every frame of the file without the index and finds the blocks and the damage anew.
     void scan();
 
-    // Throws std::runtime_error where the block is damaged.
+    /// Reads the block with this index in `blocks`. Throws std::runtime_error if it is damaged.
     pb::Block read(std::size_t block);
-    // All whole blocks that hold something from `from` on and before `to`, in the file's order.
-    // Damaged ones go to `damage` and are left out.
-    void for_each_block(Micros from, Micros to, const std::function<void(const pb::Block&)>& take);
+    /// Calls `visit` for every intact block whose time range overlaps [from, to), in the order of
+    /// the file. Damaged blocks are skipped and added to `damage`.
+    void for_each_block(Micros from, Micros to, const std::function<void(const pb::Block&)>& visit);
 
 private:
-    std::string bytes_at(std::uint64_t at, std::size_t count);
+    std::string read_bytes(std::uint64_t offset, std::size_t count);
     bool read_index();
-    // The frame at this place; empty, and `why`, where it is not whole. `next` is where another may
-    // begin.
-    std::optional<std::string> frame_at(std::uint64_t at, FrameHead& head, std::uint64_t& next,
-                                        std::string& why);
-    std::uint64_t search(std::uint64_t from);
+    // Decodes the frame at `offset` and returns its body; if it is damaged, nothing, and `error`
+    // says why. `next` is the offset at which the next frame may begin.
+    std::optional<std::string> read_frame(std::uint64_t offset, FrameHead& head,
+                                          std::uint64_t& next, std::string& error);
+    std::uint64_t find_frame(std::uint64_t from);
 
     std::string path_;
     std::ifstream file_;
-    std::uint64_t size_ = 0, first_block_ = 0;
+    std::uint64_t file_bytes_ = 0, first_block_offset_ = 0;
     pb::Header header_;
-    bool finished_ = false;
+    bool is_complete_ = false;
     std::vector<BlockInfo> blocks_;
     std::vector<Damage> damage_;
 };
--- a/src/recording/writer.cpp
+++ b/src/recording/writer.cpp
@@ -19,17 +19,17 @@
         : path_(path),
           file_(std::fopen(path.c_str(), "wb"), &std::fclose) {
         if (!file_) {
-            throw WriteError(path + ": can't be made: " + std::strerror(errno));
+            throw WriteError(path + ": cannot be created: " + std::strerror(errno));
         }
     }
 
-    bool write(std::string_view bytes, std::string& why) override {
-        // Flushed each time: what a crash leaves behind ends at a whole block.
+    bool write(std::string_view bytes, std::string& error) override {
+        // Flushed after each block, so that the file ends with a whole block after a crash.
         if (std::fwrite(bytes.data(), 1, bytes.size(), file_.get()) == bytes.size() &&
             std::fflush(file_.get()) == 0) {
             return true;
         }
-        why = path_ + ": " + std::strerror(errno);
+        error = path_ + ": " + std::strerror(errno);
         return false;
     }
 
@@ -38,8 +38,8 @@
     std::unique_ptr<std::FILE, int (*)(std::FILE*)> file_;
 };
 
-// About what a record costs beside its names; only how soon a block closes depends on it.
-constexpr std::size_t kRecordBytes = 24;
+// Approximate size of a record without its names; it only decides when a block is closed.
+constexpr std::size_t kEstimatedRecordBytes = 24;
 
 }  // namespace
 
@@ -52,10 +52,10 @@
     return out;
 }
 
-std::string name_at(const pb::Block& block, std::uint32_t number) {
-    return number == 0 || number > static_cast<std::uint32_t>(block.names_size())
+std::string name_at(const pb::Block& block, std::uint32_t index) {
+    return index == 0 || index > static_cast<std::uint32_t>(block.names_size())
                ? std::string{}
-               : block.names(static_cast<int>(number) - 1);
+               : block.names(static_cast<int>(index) - 1);
 }
 
 std::unique_ptr<Sink> open_file_sink(const std::string& path) {
@@ -66,16 +66,16 @@
     : sink_(std::move(sink)),
       options_(options),
       begin_(header.begin_us()) {
-    pb::Header told = header;
-    told.set_format(kFormat);
+    pb::Header versioned = header;
+    versioned.set_format(kFormat);
     const std::string frame =
-        pack_frame(FrameKind::Header, told.SerializeAsString(), options_.compression_level);
-    std::string why;
-    if (!sink_->write(frame, why)) {
-        throw WriteError(why);
+        encode_frame(FrameKind::Header, versioned.SerializeAsString(), options_.compression_level);
+    std::string error;
+    if (!sink_->write(frame, error)) {
+        throw WriteError(error);
     }
-    at_ = stats_.bytes = frame.size();
-    thread_ = std::thread([this] { run(); });
+    offset_ = stats_.bytes = frame.size();
+    thread_ = std::thread([this] { run_writer_thread(); });
 }
 
 Writer::~Writer() {
@@ -84,19 +84,19 @@
 
 pb::Record& Writer::add(Micros now) {
     const Micros at = now - begin_;
-    if (open_ && (size_ > options_.target_block_bytes ||
-                  at - Micros(open_->first_us()) >= options_.max_block_duration)) {
+    if (open_block_ && (open_block_bytes_ > options_.target_block_bytes ||
+                        at - Micros(open_block_->first_us()) >= options_.max_block_duration)) {
         close_block();
     }
-    if (!open_) {
-        open_ = std::make_unique<pb::Block>();
-        open_->set_first_us(at.count());
-        last_ = at;
+    if (!open_block_) {
+        open_block_ = std::make_unique<pb::Block>();
+        open_block_->set_first_us(at.count());
+        last_record_at_ = at;
     }
-    pb::Record& record = *open_->add_records();
-    record.set_after_us((at - last_).count());
-    last_ = at;
-    size_ += kRecordBytes;
+    pb::Record& record = *open_block_->add_records();
+    record.set_after_us((at - last_record_at_).count());
+    last_record_at_ = at;
+    open_block_bytes_ += kEstimatedRecordBytes;
     return record;
 }
 
@@ -104,15 +104,15 @@
     if (text.empty()) {
         return 0;
     }
-    const auto known = names_.find(text);
-    if (known != names_.end()) {
+    const auto known = name_indices_.find(text);
+    if (known != name_indices_.end()) {
         return known->second;
     }
-    open_->add_names(std::string(text));
-    size_ += text.size() + 2;
-    const auto number = static_cast<std::uint32_t>(open_->names_size());
-    names_.emplace(text, number);
-    return number;
+    open_block_->add_names(std::string(text));
+    open_block_bytes_ += text.size() + 2;
+    const auto index = static_cast<std::uint32_t>(open_block_->names_size());
+    name_indices_.emplace(text, index);
+    return index;
 }
 
 void Writer::flush() {
@@ -120,52 +120,52 @@
 }
 
 void Writer::close_block() {
-    if (!open_) {
+    if (!open_block_) {
         return;
     }
-    names_.clear();
-    size_ = 0;
-    last_id_ = 0;
-    put(std::move(open_), options_.when_full);
+    name_indices_.clear();
+    open_block_bytes_ = 0;
+    last_invocation_id_ = 0;
+    enqueue(std::move(open_block_), options_.when_full);
 }
 
-void Writer::put(std::unique_ptr<pb::Block> block, WhenFull when_full) {
+void Writer::enqueue(std::unique_ptr<pb::Block> block, WhenFull when_full) {
     std::unique_lock lock(mutex_);
     const auto count = static_cast<std::uint64_t>(block->records_size());
     if (when_full == WhenFull::Wait) {
-        room_.wait(lock, [this] {
-            return waiting_.size() < options_.max_queued_blocks || !stats_.error.empty();
+        space_freed_.wait(lock, [this] {
+            return queue_.size() < options_.max_queued_blocks || !stats_.error.empty();
         });
     }
-    if (waiting_.size() >= options_.max_queued_blocks || !stats_.error.empty()) {
-        if (lost_ == 0) {
+    if (queue_.size() >= options_.max_queued_blocks || !stats_.error.empty()) {
+        if (unreported_lost_records_ == 0) {
             lost_from_ = Micros(block->first_us());
         }
-        lost_ += count;
+        unreported_lost_records_ += count;
         stats_.lost_records += count;
         return;
     }
-    if (lost_ > 0) {
-        block->set_lost_records(lost_);
+    if (unreported_lost_records_ > 0) {
+        block->set_lost_records(unreported_lost_records_);
         block->set_lost_from_us(lost_from_.count());
     }
-    lost_ = 0;
-    waiting_.push_back(std::move(block));
-    more_.notify_one();
+    unreported_lost_records_ = 0;
+    queue_.push_back(std::move(block));
+    block_queued_.notify_one();
 }
 
-void Writer::run() {
+void Writer::run_writer_thread() {
     while (true) {
         std::unique_ptr<pb::Block> block;
         {
             std::unique_lock lock(mutex_);
-            more_.wait(lock, [this] { return ending_ || !waiting_.empty(); });
-            if (waiting_.empty()) {
+            block_queued_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
+            if (queue_.empty()) {
                 return;
             }
-            block = std::move(waiting_.front());
-            waiting_.pop_front();
-            room_.notify_one();
+            block = std::move(queue_.front());
+            queue_.pop_front();
+            space_freed_.notify_one();
         }
         write_block(*block);
     }
@@ -173,28 +173,29 @@
 
 void Writer::write_block(const pb::Block& block) {
     const auto count = static_cast<std::uint64_t>(block.records_size());
-    const std::uint64_t at = at_;
+    const std::uint64_t offset = offset_;
     std::string frame;
-    std::string why;
+    std::string error;
     try {
-        frame = pack_frame(FrameKind::Block, block.SerializeAsString(), options_.compression_level);
-    } catch (const std::exception& wrong) {
-        why = wrong.what();
+        frame =
+            encode_frame(FrameKind::Block, block.SerializeAsString(), options_.compression_level);
+    } catch (const std::exception& failure) {
+        error = failure.what();
     }
-    if (!why.empty() || !write(frame)) {
+    if (!error.empty() || !write(frame)) {
         const std::lock_guard lock(mutex_);
-        if (!why.empty()) {
-            stats_.error = why;
+        if (!error.empty()) {
+            stats_.error = error;
         }
         stats_.lost_records += count;
-        room_.notify_all();
+        space_freed_.notify_all();
         return;
     }
-    const TimeRange span = time_range_of(block);
+    const TimeRange range = time_range_of(block);
     auto& entry = *index_.add_blocks();
-    entry.set_offset(at);
-    entry.set_first_us(span.first.count());
-    entry.set_last_us(span.last.count());
+    entry.set_offset(offset);
+    entry.set_first_us(range.first.count());
+    entry.set_last_us(range.last.count());
     entry.set_records(count);
     entry.set_lost_records(block.lost_records());
     const std::lock_guard lock(mutex_);
@@ -203,16 +204,16 @@
 }
 
 bool Writer::write(std::string_view bytes) {
-    std::string why;
-    const bool good = sink_->write(bytes, why);
+    std::string error;
+    const bool ok = sink_->write(bytes, error);
     const std::lock_guard lock(mutex_);
-    if (good) {
-        at_ += bytes.size();
+    if (ok) {
+        offset_ += bytes.size();
         stats_.bytes += bytes.size();
     } else {
-        stats_.error = why.empty() ? "can't be written" : why;
+        stats_.error = error.empty() ? "the sink reported a write error without a reason" : error;
     }
-    return good;
+    return ok;
 }
 
 void Writer::finish() {
@@ -220,24 +221,24 @@
         return;
     }
     close_block();
-    if (lost_ > 0) {
-        // Told in a block of its own: nothing comes after.
+    if (unreported_lost_records_ > 0) {
+        // No other block follows that could hold the count, so an empty one is written.
         auto last = std::make_unique<pb::Block>();
-        last->set_first_us(last_.count());
-        put(std::move(last), WhenFull::Wait);
+        last->set_first_us(last_record_at_.count());
+        enqueue(std::move(last), WhenFull::Wait);
     }
     {
         const std::lock_guard lock(mutex_);
-        ending_ = true;
-        more_.notify_one();
+        stopping_ = true;
+        block_queued_.notify_one();
     }
     thread_.join();
     if (!stats_.error.empty()) {
         return;
     }
-    const std::uint64_t at = at_;
-    write(pack_frame(FrameKind::Index, index_.SerializeAsString(), options_.compression_level) +
-          pack_trailer(at));
+    const std::uint64_t offset = offset_;
+    write(encode_frame(FrameKind::Index, index_.SerializeAsString(), options_.compression_level) +
+          encode_trailer(offset));
 }
 
 WriterStats Writer::stats() const {
--- a/tests/temporary_directory.h
+++ b/tests/temporary_directory.h
@@ -1,4 +1,4 @@
-// A place of its own for a test's files, that goes away with the test.
+// A temporary directory for the files of a test; it is removed when the test ends.
 #pragma once
 
 #include <cstdlib>
