--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -53,7 +53,7 @@
     return out;
 }
 
-pb::Header make_header(const config::GovernorConfig& config, const std::string& settings,
+pb::Header make_header(const config::InstanceConfig& config, const std::string& settings,
                        Micros begin, const std::string& wall) {
     pb::Header out;
     out.set_made_by("governor " + config.id);
