--- a/src/replay/merge.cpp
+++ b/src/replay/merge.cpp
@@ -22,177 +22,195 @@
 
 namespace {
 
-// A server crawls when its answers take so many times longer than the middle one's at the time; it
-// fails when so many of its tries did, beside others that answer.
-constexpr double kCrawls = 4, kFails = 0.9, kOthersFail = 0.3;
-constexpr std::int64_t kFewTries = 4;
-// A stream that is back within this was broken; one that stays away longer was out of reach.
-constexpr Micros kBroken = 3s;
-// Two governors hear the same list within this.
-constexpr Micros kListsDisagreeMost = 500ms;
-// Sums of one forwarder that lie further apart do not follow on one another.
-constexpr Micros kSumsApartMost = 60s;
-// No death is put further before the list's word of it.
-constexpr Micros kListLateMost = 10s;
+// A server is taken to be slow if its mean latency is this many times the fleet's median of the
+// same two seconds.
+constexpr double kSlowServerLatencyRatio = 4;
+// A server is taken to fail if at least this fraction of its attempts failed ...
+constexpr double kFailingServerFailureFraction = 0.9;
+// ... while less than this fraction of the attempts at all other servers did.
+constexpr double kHealthyFleetFailureFraction = 0.3;
+// Load reports with fewer attempts say too little and are ignored.
+constexpr std::int64_t kMinReportAttempts = 4;
+// A proxy that reconnects within this time lost its stream; one that stays away longer could not
+// reach any instance.
+constexpr Micros kMaxBrokenStreamGap = 3s;
+// Two instances receive the same endpoint list within this time.
+constexpr Micros kMaxListTimeDifference = 500ms;
+// A demand report that follows the proxy's previous one by less than this covers the time between
+// the two; otherwise it covers only its own interval.
+constexpr Micros kMaxDemandReportGap = 60s;
+// A server is taken to have stopped at most this long before the list showed it.
+constexpr Micros kMaxListDelay = 10s;
 
 template <class T>
-T middle(std::vector<T> values, T usual) {
+T median(std::vector<T> values, T fallback) {
     if (values.empty()) {
-        return usual;
+        return fallback;
     }
     const auto mid = values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
     std::nth_element(values.begin(), mid, values.end());
     return *mid;
 }
 
-struct ListedRow {
+struct ListedEndpoint {
     std::string server;
     int zone = 0;
     ServerState state = ServerState::Ready;
     double weight = 1;
-    Micros started{};  // 0: long ago
+    Micros started{};  // 0: long ago or unknown
 };
 
-struct Sums {
-    Micros at{}, span{};
+// What proxies of one zone reported about one server for the interval that ended at `at`.
+struct LoadReport {
+    Micros at{}, interval{};
     std::string server;
-    std::int64_t tries = 0, errored = 0;
-    Micros mean{};
+    std::int64_t attempts = 0, failures = 0;
+    Micros mean_latency{};
 };
 
-struct Asked {
-    Micros at{}, span{};
-    std::string forwarder;
+// How often a proxy was asked for an operation in the interval that ended at `at`.
+struct DemandReport {
+    Micros at{}, interval{};
+    std::string proxy;
     int operation = 0;
-    std::int64_t count = 0, errored = 0;
+    std::int64_t attempts = 0, failures = 0;
 };
 
+// A proxy connected to an instance or lost its connection. The fields after `connected` are set
+// only when it connected.
 struct StreamChange {
     Micros at{};
-    std::string forwarder;
-    bool joined = false, fresh = false;
+    std::string proxy;
+    bool connected = false, fresh_start = false;
     int zone = 0;
-    double rate = 0;
+    double announced_rate = 0;  // invocations per second
 };
 
-// One life of one governor, on its own clock until it is moved.
-struct Life {
+// The recording of one incarnation of one instance. Times are by the instance's clock until `shift`
+// moves them to the common one.
+struct InstanceRecording {
     pb::Header header;
     config::InstanceConfig config;
-    Micros last{};
-    std::vector<std::pair<Micros, std::vector<ListedRow>>> lists;
-    std::vector<Sums> sums;
-    std::vector<Asked> asked;
-    std::vector<StreamChange> streams;
-    std::vector<Micros> way;
-
-    void move(Micros by) {
-        last += by;
-        for (auto& [at, rows] : lists) {
-            at += by;
-            for (auto& row : rows) {
-                if (row.started != 0us) {
-                    row.started += by;
+    Micros last{};  // time of the last record
+    std::vector<std::pair<Micros, std::vector<ListedEndpoint>>> lists;
+    std::vector<LoadReport> load_reports;
+    std::vector<DemandReport> demand_reports;
+    std::vector<StreamChange> stream_changes;
+    std::vector<Micros> ack_delays;
+
+    void shift(Micros offset) {
+        last += offset;
+        for (auto& [at, endpoints] : lists) {
+            at += offset;
+            for (auto& endpoint : endpoints) {
+                if (endpoint.started != 0us) {
+                    endpoint.started += offset;
                 }
             }
         }
-        for (auto& one : sums) {
-            one.at += by;
+        for (auto& report : load_reports) {
+            report.at += offset;
         }
-        for (auto& one : asked) {
-            one.at += by;
+        for (auto& report : demand_reports) {
+            report.at += offset;
         }
-        for (auto& one : streams) {
-            one.at += by;
+        for (auto& change : stream_changes) {
+            change.at += offset;
         }
     }
 
-    std::vector<ReceivedList> heard() const {
+    std::vector<ReceivedList> received_lists() const {
         std::vector<ReceivedList> out;
-        for (const auto& [at, rows] : lists) {
-            ReceivedList one{at, {}, {}};
-            for (const auto& row : rows) {
-                one.content += row.server + (row.state == ServerState::Ready ? " " : "- ");
-                if (row.started != 0us) {
-                    one.starts.emplace_back(row.server, row.started);
+        for (const auto& [at, endpoints] : lists) {
+            ReceivedList list{at, {}, {}};
+            for (const auto& endpoint : endpoints) {
+                list.content +=
+                    endpoint.server + (endpoint.state == ServerState::Ready ? " " : "- ");
+                if (endpoint.started != 0us) {
+                    list.starts.emplace_back(endpoint.server, endpoint.started);
                 }
             }
-            // The same list told again is no exchange of its own.
-            if (out.empty() || out.back().content != one.content) {
-                out.push_back(std::move(one));
+            // A list that merely repeats the previous one says nothing about the clock.
+            if (out.empty() || out.back().content != list.content) {
+                out.push_back(std::move(list));
             }
         }
         return out;
     }
 };
 
-Life read_life(const std::string& path, std::vector<recording::Damage>& damage) {
+// Throws std::runtime_error if the file is not the recording of one instance.
+InstanceRecording read_recording(const std::string& path, std::vector<recording::Damage>& damage) {
     recording::Reader reader(path);
-    Life out;
+    InstanceRecording out;
     out.header = reader.header();
-    std::vector<config::ConfigError> mistakes;
+    std::vector<config::ConfigError> errors;
     out.config = config::read_instance_config(
-        config::IniFile::parse(path, out.header.settings(), mistakes), mistakes);
-    if (!mistakes.empty()) {
+        config::IniFile::parse(path, out.header.settings(), errors), errors);
+    if (!errors.empty()) {
         throw std::runtime_error(
-            path + ": its settings can't be read: " + config::to_text(mistakes.front()));
+            path + ": the recorded settings are invalid: " + config::to_text(errors.front()));
     }
     if (!out.header.script().empty()) {
-        throw std::runtime_error(path + ": holds a whole day already, recorded by " +
-                                 out.header.made_by());
+        throw std::runtime_error(
+            path + ": expected the recording of one instance, got a whole scenario recorded by " +
+            out.header.made_by());
     }
     reader.for_each_block(Micros::min(), Micros::max(), [&](const pb::Block& block) {
-        const auto name = [&](std::uint32_t n) {
-            return recording::name_at(block, n);
+        const auto name = [&](std::uint32_t index) {
+            return recording::name_at(block, index);
         };
         recording::for_each_record(block, [&](Micros at, const pb::Record& record) {
             out.last = std::max(out.last, at);
             if (!record.has_event()) {
                 return;
             }
-            const auto& told = record.event();
-            if (told.has_endpoint_list()) {
-                std::vector<ListedRow> rows;
-                for (const auto& row : told.endpoint_list().endpoints()) {
-                    rows.push_back({name(row.server()), static_cast<int>(row.zone()) - 1,
-                                    static_cast<ServerState>(std::min(row.state(), 2u)),
-                                    row.weight(),
-                                    row.age_us() > 0 ? at - Micros(row.age_us()) : 0us});
+            const auto& event = record.event();
+            if (event.has_endpoint_list()) {
+                std::vector<ListedEndpoint> endpoints;
+                for (const auto& endpoint : event.endpoint_list().endpoints()) {
+                    endpoints.push_back(
+                        {name(endpoint.server()), static_cast<int>(endpoint.zone()) - 1,
+                         static_cast<ServerState>(std::min(endpoint.state(), 2u)),
+                         endpoint.weight(),
+                         endpoint.age_us() > 0 ? at - Micros(endpoint.age_us()) : 0us});
                 }
-                if (!rows.empty()) {
-                    out.lists.emplace_back(at, std::move(rows));
+                if (!endpoints.empty()) {
+                    out.lists.emplace_back(at, std::move(endpoints));
                 }
-            } else if (told.has_load_report()) {
-                out.sums.push_back({at, Micros(told.load_report().interval_us()),
-                                    name(told.load_report().server()),
-                                    told.load_report().attempts(), told.load_report().failures(),
-                                    Micros(told.load_report().mean_latency_us())});
-            } else if (told.has_demand_report()) {
-                out.asked.push_back({at, Micros(told.demand_report().interval_us()),
-                                     name(told.demand_report().proxy()),
-                                     static_cast<int>(told.demand_report().operation()),
-                                     told.demand_report().attempts(),
-                                     told.demand_report().failures()});
-            } else if (told.has_proxy_connected()) {
-                out.streams.push_back({at, name(told.proxy_connected().proxy()), true,
-                                       told.proxy_connected().fresh_start(),
-                                       static_cast<int>(told.proxy_connected().zone()) - 1,
-                                       told.proxy_connected().announced_rate()});
-            } else if (told.has_proxy_disconnected()) {
-                out.streams.push_back(
-                    {at, name(told.proxy_disconnected().proxy()), false, false, -1, 0});
-            } else if (told.has_acknowledgement()) {
-                out.way.emplace_back(told.acknowledgement().delay_us());
+            } else if (event.has_load_report()) {
+                out.load_reports.push_back({at, Micros(event.load_report().interval_us()),
+                                            name(event.load_report().server()),
+                                            event.load_report().attempts(),
+                                            event.load_report().failures(),
+                                            Micros(event.load_report().mean_latency_us())});
+            } else if (event.has_demand_report()) {
+                out.demand_reports.push_back({at, Micros(event.demand_report().interval_us()),
+                                              name(event.demand_report().proxy()),
+                                              static_cast<int>(event.demand_report().operation()),
+                                              event.demand_report().attempts(),
+                                              event.demand_report().failures()});
+            } else if (event.has_proxy_connected()) {
+                out.stream_changes.push_back({at, name(event.proxy_connected().proxy()), true,
+                                              event.proxy_connected().fresh_start(),
+                                              static_cast<int>(event.proxy_connected().zone()) - 1,
+                                              event.proxy_connected().announced_rate()});
+            } else if (event.has_proxy_disconnected()) {
+                out.stream_changes.push_back(
+                    {at, name(event.proxy_disconnected().proxy()), false, false, -1, 0});
+            } else if (event.has_acknowledgement()) {
+                out.ack_delays.emplace_back(event.acknowledgement().delay_us());
             }
         });
     });
-    for (const auto& one : reader.damage()) {
-        damage.push_back({one.offset, path + ": " + one.description});
+    for (const auto& found : reader.damage()) {
+        damage.push_back({found.offset, path + ": " + found.description});
     }
     return out;
 }
 
-std::optional<Micros> wall(const pb::Header& header) {
+// The wall clock time at which the recording began, if it is known.
+std::optional<Micros> wall_clock_start(const pb::Header& header) {
     std::tm parts{};
     std::istringstream in(header.wall_begin());
     in >> std::get_time(&parts, "%Y-%m-%dT%H:%M:%S");
@@ -207,27 +225,27 @@
     return out;
 }
 
-// ---- the day put together again
-
-class Assembler {
+// Estimates the fleet, the traffic and the faults from recordings whose clocks are aligned, and
+// writes them as the recording of a scenario.
+class Reconstruction {
 public:
-    Assembler(std::vector<Life>& lives, MergeResult& merged)
-        : lives_(lives),
+    Reconstruction(std::vector<InstanceRecording>& recordings, MergeResult& merged)
+        : recordings_(recordings),
           merged_(merged),
-          config_(lives.front().config) {}
+          config_(recordings.front().config) {}
 
     void write(const std::string& path) {
-        gather_servers();
-        gather_forwarders();
-        find_calm();
-        write_all(path);
+        collect_servers();
+        collect_proxies();
+        estimate_server_speeds();
+        write_recording(path);
     }
 
 private:
-    struct ServerSight {
+    struct ServerEstimate {
         int zone = 0;
-        double weight = 1, factor = 1;
-        Micros calm{};
+        double weight = 1, speed = 1;  // speed: relative to the fleet's median
+        Micros median_latency{};       // while no attempt failed; 0: unknown
     };
 
     std::string zone_name(int zone) const {
@@ -236,407 +254,444 @@
                    : config_.zones.front();
     }
 
-    void at(Micros when, scenario::Move move, bool opening = false) {
-        moves_.push_back({std::max(0us, when), opening, false, std::move(move)});
+    void add_action(Micros when, scenario::Move action, bool opening = false) {
+        actions_.push_back({std::max(0us, when), opening, false, std::move(action)});
     }
 
-    void gather_servers() {
-        for (const Life& life : lives_) {
-            for (const auto& [when, rows] : life.lists) {
-                for (const auto& row : rows) {
-                    servers_.try_emplace(row.server, ServerSight{row.zone, row.weight, 1, 0us});
+    void collect_servers() {
+        for (const InstanceRecording& recording : recordings_) {
+            for (const auto& [when, endpoints] : recording.lists) {
+                for (const auto& endpoint : endpoints) {
+                    servers_.try_emplace(endpoint.server,
+                                         ServerEstimate{endpoint.zone, endpoint.weight, 1, 0us});
                 }
             }
         }
-        choose_lists();
-        for (const Life& life : lives_) {
-            for (const Sums& sums : life.sums) {
-                by_server_[sums.server].push_back(&sums);
+        select_lists();
+        for (const InstanceRecording& recording : recordings_) {
+            for (const LoadReport& report : recording.load_reports) {
+                load_reports_[report.server].push_back(&report);
             }
         }
-        for (auto& [server, all] : by_server_) {
-            std::stable_sort(all.begin(), all.end(),
+        for (auto& [server, reports] : load_reports_) {
+            std::stable_sort(reports.begin(), reports.end(),
                              [](const auto* a, const auto* b) { return a->at < b->at; });
         }
         if (servers_.empty()) {
-            throw std::runtime_error("no list of servers was heard in these recordings");
+            throw std::runtime_error(
+                "expected at least one endpoint list in these recordings, got none");
         }
     }
 
-    // The lists of one life at a time, the one that goes on longest: two clocks are never so well
-    // aligned that lists of both could be put in one order, and a list out of its turn reads as
-    // deaths and starts.
-    void choose_lists() {
+    // Takes the lists of one recording at a time, always of the one that lasts longest. Clocks are
+    // never aligned well enough to put the lists of two recordings into one order, and a list out
+    // of order would look like servers that stop and start.
+    void select_lists() {
         for (Micros from = Micros::min();;) {
-            const Life* next = nullptr;
-            for (const Life& life : lives_) {
-                if (life.lists.empty() || life.last <= from) {
+            const InstanceRecording* next = nullptr;
+            for (const InstanceRecording& recording : recordings_) {
+                if (recording.lists.empty() || recording.last <= from) {
                     continue;
                 }
-                const bool runs = life.lists.front().first <= from;
-                const bool best_runs = next && next->lists.front().first <= from;
-                if (!next || (runs && (!best_runs || life.last > next->last)) ||
-                    (!runs && !best_runs && life.lists.front().first < next->lists.front().first)) {
-                    next = &life;
+                const bool has_begun = recording.lists.front().first <= from;
+                const bool next_has_begun = next && next->lists.front().first <= from;
+                if (!next || (has_begun && (!next_has_begun || recording.last > next->last)) ||
+                    (!has_begun && !next_has_begun &&
+                     recording.lists.front().first < next->lists.front().first)) {
+                    next = &recording;
                 }
             }
             if (!next) {
                 break;
             }
-            for (const auto& [when, rows] : next->lists) {
+            for (const auto& [when, endpoints] : next->lists) {
                 if (when >= from) {
-                    lists_.emplace_back(when, &rows);
+                    lists_.emplace_back(when, &endpoints);
                 }
             }
             from = next->last;
         }
-        for (const auto& [when, rows] : lists_) {
-            for (const auto& row : *rows) {
-                if (row.started > 0us) {
-                    starts_[row.server].insert(row.started);
+        for (const auto& [when, endpoints] : lists_) {
+            for (const auto& endpoint : *endpoints) {
+                if (endpoint.started > 0us) {
+                    start_times_[endpoint.server].insert(endpoint.started);
                 }
             }
         }
     }
 
-    void gather_forwarders() {
-        for (const Life& life : lives_) {
-            for (const StreamChange& one : life.streams) {
-                streams_[one.forwarder].push_back(&one);
-                if (one.joined) {
-                    forwarders_.try_emplace(one.forwarder, one.zone, one.rate);
+    void collect_proxies() {
+        for (const InstanceRecording& recording : recordings_) {
+            for (const StreamChange& change : recording.stream_changes) {
+                stream_changes_[change.proxy].push_back(&change);
+                if (change.connected) {
+                    proxies_.try_emplace(change.proxy, change.zone, change.announced_rate);
                 }
             }
         }
-        for (auto& [forwarder, all] : streams_) {
-            std::stable_sort(all.begin(), all.end(),
+        for (auto& [proxy, changes] : stream_changes_) {
+            std::stable_sort(changes.begin(), changes.end(),
                              [](const auto* a, const auto* b) { return a->at < b->at; });
         }
-        if (forwarders_.empty()) {
-            throw std::runtime_error("no forwarder joined in these recordings");
+        if (proxies_.empty()) {
+            throw std::runtime_error(
+                "expected at least one proxy that connects in these recordings, got none");
         }
     }
 
-    // Answer times where nothing failed and the server was no slower than usual: its own middle,
-    // and the fleet's.
-    void find_calm() {
-        std::vector<Micros> fleet;
-        for (auto& [name, sight] : servers_) {
-            std::vector<Micros> means;
-            for (const Sums* one : by_server_[name]) {
-                if (one->tries >= kFewTries && one->errored == 0 && one->mean > 0us) {
-                    means.push_back(one->mean);
+    // The median latency of each server and of the fleet, from the load reports without failures. A
+    // server's speed follows from the ratio of the two.
+    void estimate_server_speeds() {
+        std::vector<Micros> fleet_latencies;
+        for (auto& [name, estimate] : servers_) {
+            std::vector<Micros> latencies;
+            for (const LoadReport* report : load_reports_[name]) {
+                if (report->attempts >= kMinReportAttempts && report->failures == 0 &&
+                    report->mean_latency > 0us) {
+                    latencies.push_back(report->mean_latency);
                 }
             }
-            sight.calm = middle(means, 0us);
-            if (sight.calm > 0us) {
-                fleet.push_back(sight.calm);
+            estimate.median_latency = median(latencies, 0us);
+            if (estimate.median_latency > 0us) {
+                fleet_latencies.push_back(estimate.median_latency);
             }
         }
-        calm_ = middle(fleet, 100000us);
-        for (auto& [name, sight] : servers_) {
-            if (sight.calm > 0us) {
-                sight.factor = std::clamp(
-                    static_cast<double>(calm_.count()) / static_cast<double>(sight.calm.count()),
-                    0.3, 3.0);
+        median_latency_ = median(fleet_latencies, 100000us);
+        for (auto& [name, estimate] : servers_) {
+            if (estimate.median_latency > 0us) {
+                estimate.speed =
+                    std::clamp(static_cast<double>(median_latency_.count()) /
+                                   static_cast<double>(estimate.median_latency.count()),
+                               0.3, 3.0);
             }
         }
     }
 
-    testbed::WorkerSettings worker(const std::string& id, const ServerSight& sight) const {
-        const Settings& told = config_.settings;
+    testbed::WorkerSettings server_settings(const std::string& id,
+                                            const ServerEstimate& estimate) const {
+        const Settings& settings = config_.settings;
         testbed::WorkerSettings s;
-        const bool weighed = told.listed_weights != ListedWeights::None &&
-                             told.listed_weights != ListedWeights::Live;
+        const bool has_static_weights = settings.listed_weights != ListedWeights::None &&
+                                        settings.listed_weights != ListedWeights::Live;
         s.id = id;
-        s.zone = zone_name(sight.zone);
-        s.cores = weighed ? std::clamp(static_cast<int>(std::lround(sight.weight)), 1, 256) : 2;
-        // Whole weight is cores times speed; work is reckoned for a server of the middle speed.
-        s.speed = std::max(0.05, sight.factor);
-        s.cold_from = told.initial_capacity_fraction;
-        s.cold_time = told.slow_start_window;
-        s.fall_multiple = told.overload_collapse_factor;
-        s.fall_time = told.overload_collapse_time;
+        s.zone = zone_name(estimate.zone);
+        s.cores = has_static_weights
+                      ? std::clamp(static_cast<int>(std::lround(estimate.weight)), 1, 256)
+                      : 2;
+        // The listed weight stands for cores times speed. The work of an invocation is estimated
+        // for a server of the fleet's median speed, which is 1.
+        s.speed = std::max(0.05, estimate.speed);
+        s.cold_from = settings.initial_capacity_fraction;
+        s.cold_time = settings.slow_start_window;
+        s.fall_multiple = settings.overload_collapse_factor;
+        s.fall_time = settings.overload_collapse_time;
         s.handshake_work = 10ms;
-        s.reports_load = !told.load_metric_names.empty();
+        s.reports_load = !settings.load_metric_names.empty();
         s.report_every = 500ms;
         return s;
     }
 
-    void open() {
+    void add_initial_state() {
         using enum scenario::MoveKind;
-        const auto& first = *lists_.front().second;
-        for (const auto& row : first) {
-            at(0us,
-               {.kind = AddWorker,
-                .who = row.server,
-                .worker = worker(row.server, servers_.at(row.server))},
-               true);
-            at(0us, {.kind = StartWorker, .who = row.server}, true);
-            at(0us,
-               {.kind = ListWorker, .who = row.server, .on = row.state == ServerState::Draining},
-               true);
-            runs_.insert(row.server);
-            begun_.insert(row.server);
-            listed_[row.server] = row;
+        const auto& first_list = *lists_.front().second;
+        for (const auto& endpoint : first_list) {
+            add_action(0us,
+                       {.kind = AddWorker,
+                        .who = endpoint.server,
+                        .worker = server_settings(endpoint.server, servers_.at(endpoint.server))},
+                       true);
+            add_action(0us, {.kind = StartWorker, .who = endpoint.server}, true);
+            add_action(0us,
+                       {.kind = ListWorker,
+                        .who = endpoint.server,
+                        .on = endpoint.state == ServerState::Draining},
+                       true);
+            running_.insert(endpoint.server);
+            added_.insert(endpoint.server);
+            listed_[endpoint.server] = endpoint;
         }
         std::set<int> ordinals;
-        for (const Life& life : lives_) {
-            ordinals.insert(life.config.settings.ordinal);
+        for (const InstanceRecording& recording : recordings_) {
+            ordinals.insert(recording.config.settings.ordinal);
         }
         for (const int ordinal : ordinals) {
-            at(0us, {.kind = StartGovernor, .who = "governor-" + std::to_string(ordinal)}, true);
-        }
-        for (const auto& [name, sight] : forwarders_) {
-            at(0us,
-               {.kind = AddForwarder,
-                .who = name,
-                .by = std::max(0.01, sight.second),
-                .text = zone_name(sight.first)},
-               true);
-        }
-        for (const auto& [name, sight] : forwarders_) {
-            // Those that joined late began late.
-            const auto first_join = std::find_if(streams_.at(name).begin(), streams_.at(name).end(),
-                                                 [](const auto* s) { return s->joined; });
-            const bool late = (*first_join)->at > 5s;
-            at(late ? (*first_join)->at - 50ms : 0us, {.kind = StartForwarder, .who = name}, !late);
-        }
-    }
-
-    // When it gave its last answer before this moment.
-    std::optional<Micros> last_answer(const std::string& server, Micros before) const {
+            add_action(0us, {.kind = StartGovernor, .who = "governor-" + std::to_string(ordinal)},
+                       true);
+        }
+        for (const auto& [name, zone_and_rate] : proxies_) {
+            add_action(0us,
+                       {.kind = AddForwarder,
+                        .who = name,
+                        .by = std::max(0.01, zone_and_rate.second),
+                        .text = zone_name(zone_and_rate.first)},
+                       true);
+        }
+        for (const auto& [name, zone_and_rate] : proxies_) {
+            // A proxy that first connected late was started late.
+            const auto first_connect =
+                std::find_if(stream_changes_.at(name).begin(), stream_changes_.at(name).end(),
+                             [](const auto* s) { return s->connected; });
+            const bool started_late = (*first_connect)->at > 5s;
+            add_action(started_late ? (*first_connect)->at - 50ms : 0us,
+                       {.kind = StartForwarder, .who = name}, !started_late);
+        }
+    }
+
+    // Time of the last load report before `before` that holds a successful attempt.
+    std::optional<Micros> last_success(const std::string& server, Micros before) const {
         std::optional<Micros> out;
-        const auto it = by_server_.find(server);
-        if (it != by_server_.end()) {
-            for (const Sums* one : it->second) {
-                if (one->at < before && one->tries > one->errored) {
-                    out = one->at;
+        const auto it = load_reports_.find(server);
+        if (it != load_reports_.end()) {
+            for (const LoadReport* report : it->second) {
+                if (report->at < before && report->attempts > report->failures) {
+                    out = report->at;
                 }
             }
         }
         return out;
     }
 
-    Micros death(const std::string& server, Micros noticed) const {
-        const auto answered = last_answer(server, noticed);
-        return std::clamp(answered.value_or(noticed - 1s), noticed - kListLateMost, noticed - 1ms);
+    Micros estimated_stop(const std::string& server, Micros noticed) const {
+        const auto last = last_success(server, noticed);
+        return std::clamp(last.value_or(noticed - 1s), noticed - kMaxListDelay, noticed - 1ms);
     }
 
-    void follow_lists() {
+    // Servers that start, stop or drain according to the endpoint lists.
+    void add_list_changes() {
         using enum scenario::MoveKind;
-        for (const auto& [when, rows] : lists_) {
-            std::set<std::string> here;
-            for (const auto& row : *rows) {
-                here.insert(row.server);
-                const auto was = listed_.find(row.server);
-                const bool anew = row.started > 0us && (was == listed_.end() ||
-                                                        was->second.started + 100ms < row.started);
-                if (anew) {
-                    if (runs_.contains(row.server)) {
-                        at(death(row.server, std::min(when, row.started)),
-                           {.kind = StopWorker, .who = row.server});
+        for (const auto& [when, endpoints] : lists_) {
+            std::set<std::string> listed_now;
+            for (const auto& endpoint : *endpoints) {
+                listed_now.insert(endpoint.server);
+                const auto previous = listed_.find(endpoint.server);
+                const bool restarted =
+                    endpoint.started > 0us && (previous == listed_.end() ||
+                                               previous->second.started + 100ms < endpoint.started);
+                if (restarted) {
+                    if (running_.contains(endpoint.server)) {
+                        add_action(
+                            estimated_stop(endpoint.server, std::min(when, endpoint.started)),
+                            {.kind = StopWorker, .who = endpoint.server});
                     }
-                    start(row.server, row.started, true);
-                } else if (!runs_.contains(row.server)) {
-                    start(row.server, when - 1ms, false);
+                    start_server(endpoint.server, endpoint.started, true);
+                } else if (!running_.contains(endpoint.server)) {
+                    start_server(endpoint.server, when - 1ms, false);
                 }
-                if (was == listed_.end() || anew || was->second.state != row.state) {
-                    at(when, {.kind = ListWorker,
-                              .who = row.server,
-                              .on = row.state == ServerState::Draining});
+                if (previous == listed_.end() || restarted ||
+                    previous->second.state != endpoint.state) {
+                    add_action(when, {.kind = ListWorker,
+                                      .who = endpoint.server,
+                                      .on = endpoint.state == ServerState::Draining});
                 }
-                listed_[row.server] = row;
+                listed_[endpoint.server] = endpoint;
             }
             for (auto it = listed_.begin(); it != listed_.end();) {
-                if (here.contains(it->first)) {
+                if (listed_now.contains(it->first)) {
                     ++it;
                     continue;
                 }
-                if (runs_.erase(it->first)) {
-                    at(death(it->first, when), {.kind = StopWorker, .who = it->first});
+                if (running_.erase(it->first)) {
+                    add_action(estimated_stop(it->first, when),
+                               {.kind = StopWorker, .who = it->first});
                 }
-                at(when, {.kind = UnlistWorker, .who = it->first});
+                add_action(when, {.kind = UnlistWorker, .who = it->first});
                 it = listed_.erase(it);
             }
         }
     }
 
-    void start(const std::string& server, Micros when, bool cold) {
-        if (begun_.insert(server).second) {
-            at(when, {.kind = scenario::MoveKind::AddWorker,
-                      .who = server,
-                      .worker = worker(server, servers_.at(server))});
+    void start_server(const std::string& server, Micros when, bool cold) {
+        if (added_.insert(server).second) {
+            add_action(when, {.kind = scenario::MoveKind::AddWorker,
+                              .who = server,
+                              .worker = server_settings(server, servers_.at(server))});
         }
-        at(when, {.kind = scenario::MoveKind::StartWorker, .who = server, .on = cold});
-        runs_.insert(server);
+        add_action(when, {.kind = scenario::MoveKind::StartWorker, .who = server, .on = cold});
+        running_.insert(server);
     }
 
-    // Spans of failing or crawling while the rest of the fleet does well.
-    void follow_sums() {
-        std::map<std::int64_t, std::pair<double, double>> errors;  // by second: tries, errored
-        std::map<std::int64_t, std::vector<Micros>> means;
-        for (const auto& [server, all] : by_server_) {
-            for (const Sums* one : all) {
-                auto& slot = errors[one->at.count() / 2000000];
-                slot.first += static_cast<double>(one->tries);
-                slot.second += static_cast<double>(one->errored);
-                if (one->tries > one->errored) {
-                    means[one->at.count() / 2000000].push_back(one->mean);
+    // Periods in which a server failed or was slow while the rest of the fleet was healthy.
+    void add_server_faults() {
+        std::map<std::int64_t, std::pair<double, double>>
+            attempts_and_failures;  // by slot of two seconds: attempts, failures
+        std::map<std::int64_t, std::vector<Micros>> latencies;
+        for (const auto& [server, reports] : load_reports_) {
+            for (const LoadReport* report : reports) {
+                auto& sums = attempts_and_failures[report->at.count() / 2000000];
+                sums.first += static_cast<double>(report->attempts);
+                sums.second += static_cast<double>(report->failures);
+                if (report->attempts > report->failures) {
+                    latencies[report->at.count() / 2000000].push_back(report->mean_latency);
                 }
             }
         }
-        for (const auto& [server, all] : by_server_) {
-            std::vector<TroubledSpan> spans;
-            for (const Sums* one : all) {
-                if (one->tries < kFewTries || is_cold(server, one->at)) {
+        for (const auto& [server, reports] : load_reports_) {
+            std::vector<FaultPeriod> periods;
+            for (const LoadReport* report : reports) {
+                if (report->attempts < kMinReportAttempts || is_warming_up(server, report->at)) {
                     continue;
                 }
-                const auto slot = one->at.count() / 2000000;
-                const auto& fleet = errors[slot];
-                const double others = (fleet.second - static_cast<double>(one->errored)) /
-                                      std::max(1.0, fleet.first - static_cast<double>(one->tries));
-                const double mine =
-                    static_cast<double>(one->errored) / static_cast<double>(one->tries);
-                const double slower =
-                    static_cast<double>(one->mean.count()) /
-                    static_cast<double>(std::max(1us, middle(means[slot], calm_)).count());
-                TroubledSpan span{one->at - one->span, one->at, {}};
-                if (mine >= kFails && others < kOthersFail) {
-                    span.trouble.errors = 1;
-                } else if (one->tries > one->errored && slower > kCrawls) {
-                    span.trouble.slower = slower;
+                const auto slot = report->at.count() / 2000000;
+                const auto& fleet = attempts_and_failures[slot];
+                const double others_failure_fraction =
+                    (fleet.second - static_cast<double>(report->failures)) /
+                    std::max(1.0, fleet.first - static_cast<double>(report->attempts));
+                const double failure_fraction =
+                    static_cast<double>(report->failures) / static_cast<double>(report->attempts);
+                const double latency_ratio =
+                    static_cast<double>(report->mean_latency.count()) /
+                    static_cast<double>(
+                        std::max(1us, median(latencies[slot], median_latency_)).count());
+                FaultPeriod period{report->at - report->interval, report->at, {}};
+                if (failure_fraction >= kFailingServerFailureFraction &&
+                    others_failure_fraction < kHealthyFleetFailureFraction) {
+                    period.trouble.errors = 1;
+                } else if (report->attempts > report->failures &&
+                           latency_ratio > kSlowServerLatencyRatio) {
+                    period.trouble.slower = latency_ratio;
                 } else {
                     continue;
                 }
-                // One report after the other with the same trouble is one span of it.
-                if (!spans.empty() && spans.back().to + one->span >= span.from &&
-                    (spans.back().trouble.errors > 0) == (span.trouble.errors > 0)) {
-                    spans.back().to = span.to;
+                // Consecutive reports with the same kind of fault form one period.
+                if (!periods.empty() && periods.back().to + report->interval >= period.from &&
+                    (periods.back().trouble.errors > 0) == (period.trouble.errors > 0)) {
+                    periods.back().to = period.to;
                 } else {
-                    spans.push_back(span);
+                    periods.push_back(period);
                 }
             }
-            for (const auto& span : spans) {
-                at(span.from, {.kind = scenario::MoveKind::TroubleWorker,
-                               .who = server,
-                               .trouble = span.trouble});
-                at(span.to, {.kind = scenario::MoveKind::TroubleWorker, .who = server});
+            for (const auto& period : periods) {
+                add_action(period.from, {.kind = scenario::MoveKind::TroubleWorker,
+                                         .who = server,
+                                         .trouble = period.trouble});
+                add_action(period.to, {.kind = scenario::MoveKind::TroubleWorker, .who = server});
             }
         }
     }
 
-    struct TroubledSpan {
+    struct FaultPeriod {
         Micros from{}, to{};
         testbed::WorkerTrouble trouble;
     };
 
-    // Cold servers are slow by nature.
-    bool is_cold(const std::string& server, Micros now) const {
-        const auto starts = starts_.find(server);
-        return starts != starts_.end() &&
+    // Whether the server started so recently that it is slow for that reason.
+    bool is_warming_up(const std::string& server, Micros now) const {
+        const auto starts = start_times_.find(server);
+        return starts != start_times_.end() &&
                std::any_of(starts->second.begin(), starts->second.end(), [&](Micros started) {
                    return started <= now && now < started + config_.settings.slow_start_window + 2s;
                });
     }
 
-    void follow_streams() {
+    // Proxies that restarted, lost their stream or were cut off from all instances.
+    void add_proxy_faults() {
         using enum scenario::MoveKind;
-        for (const auto& [forwarder, all] : streams_) {
-            for (std::size_t k = 0; k < all.size(); ++k) {
-                if (all[k]->joined) {
+        for (const auto& [proxy, changes] : stream_changes_) {
+            for (std::size_t k = 0; k < changes.size(); ++k) {
+                if (changes[k]->connected) {
                     continue;
                 }
-                // Not when its governor ended: that breaks the stream by itself.
-                if (std::any_of(lives_.begin(), lives_.end(), [&](const Life& l) {
-                        return l.last - all[k]->at < 50ms && l.last >= all[k]->at;
-                    })) {
+                // If the instance stopped, the replay of that closes the stream already.
+                if (std::any_of(recordings_.begin(), recordings_.end(),
+                                [&](const InstanceRecording& recording) {
+                                    return recording.last - changes[k]->at < 50ms &&
+                                           recording.last >= changes[k]->at;
+                                })) {
                     continue;
                 }
-                const auto back = std::find_if(all.begin() + static_cast<std::ptrdiff_t>(k),
-                                               all.end(), [](const auto* s) { return s->joined; });
-                const Micros until = back == all.end() ? length_ : (*back)->at;
-                if (back != all.end() && (*back)->fresh) {
-                    at(all[k]->at, {.kind = StopForwarder, .who = forwarder});
-                    at(until - 50ms, {.kind = StartForwarder, .who = forwarder});
-                } else if (until - all[k]->at < kBroken) {
-                    at(all[k]->at, {.kind = BreakStream, .who = forwarder});
+                const auto reconnect =
+                    std::find_if(changes.begin() + static_cast<std::ptrdiff_t>(k), changes.end(),
+                                 [](const auto* s) { return s->connected; });
+                const Micros until = reconnect == changes.end() ? length_ : (*reconnect)->at;
+                if (reconnect != changes.end() && (*reconnect)->fresh_start) {
+                    add_action(changes[k]->at, {.kind = StopForwarder, .who = proxy});
+                    add_action(until - 50ms, {.kind = StartForwarder, .who = proxy});
+                } else if (until - changes[k]->at < kMaxBrokenStreamGap) {
+                    add_action(changes[k]->at, {.kind = BreakStream, .who = proxy});
                 } else {
-                    at(all[k]->at, {.kind = IsolateForwarder, .who = forwarder, .on = true});
-                    at(until - 50ms, {.kind = IsolateForwarder, .who = forwarder});
+                    add_action(changes[k]->at,
+                               {.kind = IsolateForwarder, .who = proxy, .on = true});
+                    add_action(until - 50ms, {.kind = IsolateForwarder, .who = proxy});
                 }
             }
         }
     }
 
-    void follow_lives() {
+    void add_instance_restarts() {
         using enum scenario::MoveKind;
-        std::map<int, std::vector<const Life*>> by_governor;
-        for (const Life& life : lives_) {
-            by_governor[life.config.settings.ordinal].push_back(&life);
-        }
-        for (auto& [ordinal, all] : by_governor) {
-            std::stable_sort(all.begin(), all.end(),
-                             [](const Life* a, const Life* b) { return a->last < b->last; });
-            const std::string who = "governor-" + std::to_string(ordinal);
-            for (std::size_t k = 0; k + 1 < all.size(); ++k) {
-                at(all[k]->last, {.kind = StopGovernor, .who = who});
-                at(begin_of(*all[k + 1]), {.kind = StartGovernor, .who = who});
+        std::map<int, std::vector<const InstanceRecording*>> by_ordinal;
+        for (const InstanceRecording& recording : recordings_) {
+            by_ordinal[recording.config.settings.ordinal].push_back(&recording);
+        }
+        for (auto& [ordinal, incarnations] : by_ordinal) {
+            std::stable_sort(incarnations.begin(), incarnations.end(),
+                             [](const InstanceRecording* a, const InstanceRecording* b) {
+                                 return a->last < b->last;
+                             });
+            const std::string instance = "governor-" + std::to_string(ordinal);
+            for (std::size_t k = 0; k + 1 < incarnations.size(); ++k) {
+                add_action(incarnations[k]->last, {.kind = StopGovernor, .who = instance});
+                add_action(start_of(*incarnations[k + 1]),
+                           {.kind = StartGovernor, .who = instance});
             }
-            if (length_ - all.back()->last > 10s) {
-                at(all.back()->last, {.kind = StopGovernor, .who = who});
+            if (length_ - incarnations.back()->last > 10s) {
+                add_action(incarnations.back()->last, {.kind = StopGovernor, .who = instance});
             }
         }
     }
 
-    static Micros begin_of(const Life& life) {
-        return life.lists.empty() ? life.last : life.lists.front().first;
+    static Micros start_of(const InstanceRecording& recording) {
+        return recording.lists.empty() ? recording.last : recording.lists.front().first;
     }
 
-    // ---- arrivals
-
+    // One reconstructed invocation.
     struct Arrival {
         Micros at{};
-        std::string forwarder;
+        std::string proxy;
         int operation = 0;
-        double luck = 0;
+        double random = 0;  // in [0, 1), for the work
     };
 
+    // Spreads the invocations of each demand report at random over the time that it covers.
     std::vector<Arrival> arrivals() const {
         std::vector<Arrival> out;
-        std::uint64_t number = 0;
-        std::vector<const Asked*> asked;
-        for (const Life& life : lives_) {
-            for (const Asked& one : life.asked) {
-                if (one.operation < static_cast<int>(config_.settings.operations.size())) {
-                    asked.push_back(&one);
+        std::uint64_t count = 0;
+        std::vector<const DemandReport*> reports;
+        for (const InstanceRecording& recording : recordings_) {
+            for (const DemandReport& report : recording.demand_reports) {
+                if (report.operation < static_cast<int>(config_.settings.operations.size())) {
+                    reports.push_back(&report);
                 }
             }
         }
-        std::stable_sort(asked.begin(), asked.end(),
+        std::stable_sort(reports.begin(), reports.end(),
                          [](const auto* a, const auto* b) { return a->at < b->at; });
-        std::map<std::pair<std::string, int>, Micros> covered;
-        for (const Asked* one : asked) {
-            // Sums follow on one another, also over a time without a governor: what was asked for
-            // in it comes with the first sum after, whose span tells of the stream's time alone.
+        std::map<std::pair<std::string, int>, Micros> covered_until;
+        for (const DemandReport* report : reports) {
+            // Reports of one proxy and operation follow one another, also across a time without an
+            // instance: the demand of that time is in the first report after it, although the
+            // report's interval only covers the time since the stream was opened.
             auto& until =
-                covered.try_emplace({one->forwarder, one->operation}, Micros::min()).first->second;
-            const Micros from =
-                until > one->at - kSumsApartMost ? std::min(until, one->at) : one->at - one->span;
-            until = one->at;
-            // What failed came once more where clients may try again.
-            const bool again =
-                config_.settings.operations[static_cast<std::size_t>(one->operation)].effect !=
+                covered_until.try_emplace({report->proxy, report->operation}, Micros::min())
+                    .first->second;
+            const Micros from = until > report->at - kMaxDemandReportGap
+                                    ? std::min(until, report->at)
+                                    : report->at - report->interval;
+            until = report->at;
+            // Each failed attempt was retried if clients may retry the operation.
+            const bool may_be_retried =
+                config_.settings.operations[static_cast<std::size_t>(report->operation)].effect !=
                 Effect::SideEffecting;
-            const std::int64_t first =
-                std::max<std::int64_t>(0, one->count - (again ? one->errored : 0));
-            for (std::int64_t n = 0; n < first; ++n) {
-                base::CounterRandom luck(lives_.front().header.seed(), ++number);
+            const std::int64_t invocations = std::max<std::int64_t>(
+                0, report->attempts - (may_be_retried ? report->failures : 0));
+            for (std::int64_t n = 0; n < invocations; ++n) {
+                base::CounterRandom random(recordings_.front().header.seed(), ++count);
                 const Micros when =
-                    one->at - Micros(std::llround(luck.part() *
-                                                  static_cast<double>((one->at - from).count())));
-                out.push_back({std::clamp(when, 0us, length_ - 1us), one->forwarder, one->operation,
-                               luck.part()});
+                    report->at -
+                    Micros(std::llround(random.part() *
+                                        static_cast<double>((report->at - from).count())));
+                out.push_back({std::clamp(when, 0us, length_ - 1us), report->proxy,
+                               report->operation, random.part()});
             }
         }
         std::stable_sort(out.begin(), out.end(),
@@ -644,253 +699,264 @@
         return out;
     }
 
-    // Work by latency objective, so that the mean over what was asked for takes the calm answer
-    // time.
-    std::vector<Micros> work(const std::vector<Arrival>& arrivals) const {
+    // The work of an invocation of each operation. It is proportional to the operation's latency
+    // objective and scaled so that the mean over all arrivals takes the fleet's median latency.
+    std::vector<Micros> work_by_operation(const std::vector<Arrival>& arrivals) const {
         const auto& operations = config_.settings.operations;
-        double sum = 0;
-        for (const auto& one : arrivals) {
-            sum += static_cast<double>(
-                operations[static_cast<std::size_t>(one.operation)].latency_objective.count());
+        double objective_sum = 0;
+        for (const auto& arrival : arrivals) {
+            objective_sum += static_cast<double>(
+                operations[static_cast<std::size_t>(arrival.operation)].latency_objective.count());
         }
         std::vector<Micros> out;
-        for (const auto& op : operations) {
-            const double part = sum > 0 ? static_cast<double>(op.latency_objective.count()) *
-                                              static_cast<double>(arrivals.size()) / sum
-                                        : 1;
+        for (const auto& operation : operations) {
+            const double ratio = objective_sum > 0
+                                     ? static_cast<double>(operation.latency_objective.count()) *
+                                           static_cast<double>(arrivals.size()) / objective_sum
+                                     : 1;
             out.push_back(std::max(
-                1us, Micros(std::llround(part * static_cast<double>(calm_.count()) * 0.95))));
+                1us,
+                Micros(std::llround(ratio * static_cast<double>(median_latency_.count()) * 0.95))));
         }
         return out;
     }
 
-    // ---- the file
-
-    std::string script(const std::vector<Micros>& works, std::size_t count) const {
-        std::vector<Micros> way;
-        for (const Life& life : lives_) {
-            way.insert(way.end(), life.way.begin(), life.way.end());
+    // The script of the scenario for `count` invocations, which sets what no action holds.
+    std::string script(const std::vector<Micros>& work, std::size_t count) const {
+        std::vector<Micros> ack_delays;
+        for (const InstanceRecording& recording : recordings_) {
+            ack_delays.insert(ack_delays.end(), recording.ack_delays.begin(),
+                              recording.ack_delays.end());
         }
-        std::sort(way.begin(), way.end());
-        const auto quantile = [&](double part) {
-            return way.empty()
-                       ? 20000us
-                       : way[static_cast<std::size_t>(part * static_cast<double>(way.size() - 1))];
+        std::sort(ack_delays.begin(), ack_delays.end());
+        const auto quantile = [&](double fraction) {
+            return ack_delays.empty() ? 20000us
+                                      : ack_delays[static_cast<std::size_t>(
+                                            fraction * static_cast<double>(ack_delays.size() - 1))];
         };
         std::ostringstream out;
         out << "length " << length_.count() << " us\nworkers " << servers_.size() << "\nforwarders "
-            << forwarders_.size() << "\ngovernors " << config_.settings.instance_count << "\nrate "
+            << proxies_.size() << "\ngovernors " << config_.settings.instance_count << "\nrate "
             << std::max(0.001,
                         static_cast<double>(count) / (static_cast<double>(length_.count()) / 1e6))
             << "\n";
-        for (std::size_t k = 0; k < works.size(); ++k) {
+        for (std::size_t k = 0; k < work.size(); ++k) {
             out << "operation " << config_.settings.operations[k].name << " work "
-                << works[k].count() << " us\n";
+                << work[k].count() << " us\n";
         }
         out << "way orders " << quantile(0.1).count() << ".." << quantile(0.9).count() << " us\n";
         return out.str();
     }
 
-    void write_all(const std::string& path) {
-        for (const Life& life : lives_) {
-            length_ = std::max(length_, life.last);
+    void write_recording(const std::string& path) {
+        for (const InstanceRecording& recording : recordings_) {
+            length_ = std::max(length_, recording.last);
         }
-        const auto came = arrivals();
-        if (came.empty()) {
-            throw std::runtime_error("no demand was heard in these recordings");
+        const auto invocations = arrivals();
+        if (invocations.empty()) {
+            throw std::runtime_error(
+                "expected at least one demand report in these recordings, got none");
         }
-        open();
-        follow_lists();
-        follow_sums();
-        follow_streams();
-        follow_lives();
-        std::stable_sort(moves_.begin(), moves_.end(), [](const auto& a, const auto& b) {
+        add_initial_state();
+        add_list_changes();
+        add_server_faults();
+        add_proxy_faults();
+        add_instance_restarts();
+        std::stable_sort(actions_.begin(), actions_.end(), [](const auto& a, const auto& b) {
             return std::pair(!a.opening, a.at) < std::pair(!b.opening, b.at);
         });
-        const auto works = work(came);
-        pb::Header header = lives_.front().header;
-        std::string makers;
+        const auto work = work_by_operation(invocations);
+        pb::Header header = recordings_.front().header;
+        std::string instances;
         std::set<std::string> ids;
-        for (const Life& life : lives_) {
-            if (ids.insert(life.config.id).second) {
-                makers += (makers.empty() ? "" : ", ") + life.config.id;
+        for (const InstanceRecording& recording : recordings_) {
+            if (ids.insert(recording.config.id).second) {
+                instances += (instances.empty() ? "" : ", ") + recording.config.id;
             }
         }
-        header.set_made_by("merge of " + makers);
+        header.set_made_by("merge of " + instances);
         header.set_begin_us(0);
         header.set_length_us(length_.count());
-        header.set_script(script(works, came.size()));
+        header.set_script(script(work, invocations.size()));
         for (const auto& clock : merged_.clocks) {
             merged_.notes.push_back(clock_note(clock));
         }
         merged_.notes.push_back(
-            "arrivals spread over the sums' spans; work by latency objective from answers of " +
-            std::to_string(calm_.count() / 1000) + " ms in calm; keys unknown");
+            "arrivals are spread over the intervals of the demand reports; work follows from the "
+            "latency objectives and a median latency of " +
+            std::to_string(median_latency_.count() / 1000) +
+            " ms without faults; keys are unknown");
         for (const auto& note : merged_.notes) {
             header.add_notes(note);
         }
         recording::Writer writer(recording::open_file_sink(path), header,
                                  {.when_full = recording::WhenFull::Wait});
-        auto move = moves_.begin();
+        auto action = actions_.begin();
         std::int64_t id = 0;
-        const auto write_moves = [&](Micros until) {
-            for (; move != moves_.end() && move->at <= until; ++move) {
-                write_action(writer, move->at, *move);
+        const auto write_actions_until = [&](Micros until) {
+            for (; action != actions_.end() && action->at <= until; ++action) {
+                write_action(writer, action->at, *action);
             }
         };
-        for (const auto& one : came) {
-            write_moves(one.at);
-            auto& to = *writer.add(one.at).mutable_invocation_start();
+        for (const auto& arrival : invocations) {
+            write_actions_until(arrival.at);
+            auto& start = *writer.add(arrival.at).mutable_invocation_start();
             ++id;
-            to.set_id_delta(id - writer.last_invocation_id());
+            start.set_id_delta(id - writer.last_invocation_id());
             writer.last_invocation_id() = id;
-            to.set_proxy(writer.name(one.forwarder));
-            to.set_operation(static_cast<std::uint32_t>(one.operation));
-            to.set_work_us(static_cast<std::uint64_t>(std::max(
-                1.0, static_cast<double>(works[static_cast<std::size_t>(one.operation)].count()) *
-                         spread(one.luck))));
-        }
-        write_moves(Micros::max());
+            start.set_proxy(writer.name(arrival.proxy));
+            start.set_operation(static_cast<std::uint32_t>(arrival.operation));
+            start.set_work_us(static_cast<std::uint64_t>(std::max(
+                1.0,
+                static_cast<double>(work[static_cast<std::size_t>(arrival.operation)].count()) *
+                    work_factor(arrival.random))));
+        }
+        write_actions_until(Micros::max());
         writer.finish();
-        if (const auto figures = writer.stats(); !figures.error.empty()) {
-            throw std::runtime_error(figures.error);
+        if (const auto stats = writer.stats(); !stats.error.empty()) {
+            throw std::runtime_error(stats.error);
         }
-        merged_.invocations = came.size();
-        merged_.actions = moves_.size();
+        merged_.invocations = invocations.size();
+        merged_.actions = actions_.size();
     }
 
-    // Of mean 1 out of an even draw, mostly small with a tail, as work is.
-    static double spread(double luck) { return 0.4 + 1.8 * luck * luck; }
+    // A factor of mean 1 from a uniform random number: mostly small with a tail, like the work of
+    // real invocations.
+    static double work_factor(double random) { return 0.4 + 1.8 * random * random; }
 
     static std::string clock_note(const ClockAlignment& clock) {
         std::ostringstream out;
-        out << clock.governor << ": moved by " << clock.offset.count() << " us, ";
-        if (clock.exchanges > 0) {
-            out << "by " << clock.exchanges << " exchanges that both saw, which disagree by "
-                << clock.spread.count() << " us at most";
+        out << clock.governor << ": clock moved by " << clock.offset.count() << " us, ";
+        if (clock.matches > 0) {
+            out << "from " << clock.matches
+                << " lists and starts that both received, which differ by " << clock.spread.count()
+                << " us at most";
         } else {
-            out << "by the wall clock alone";
+            out << "from the wall clock alone";
         }
         return out.str();
     }
 
-    std::vector<Life>& lives_;
+    std::vector<InstanceRecording>& recordings_;
     MergeResult& merged_;
     const config::InstanceConfig& config_;
-    Micros length_{}, calm_{};
-    std::map<std::string, ServerSight> servers_;
-    std::map<std::string, std::pair<int, double>> forwarders_;  // zone, rate
-    std::vector<std::pair<Micros, const std::vector<ListedRow>*>> lists_;
-    std::map<std::string, std::set<Micros>> starts_;  // by the chosen lists
-    std::map<std::string, std::vector<const Sums*>> by_server_;
-    std::map<std::string, std::vector<const StreamChange*>> streams_;
-    std::vector<scenario::TimedMove> moves_;
-    std::set<std::string> runs_, begun_;
-    std::map<std::string, ListedRow> listed_;
+    Micros length_{}, median_latency_{};
+    std::map<std::string, ServerEstimate> servers_;
+    std::map<std::string, std::pair<int, double>> proxies_;  // zone, announced rate
+    std::vector<std::pair<Micros, const std::vector<ListedEndpoint>*>> lists_;
+    std::map<std::string, std::set<Micros>> start_times_;  // in the selected lists
+    std::map<std::string, std::vector<const LoadReport*>> load_reports_;
+    std::map<std::string, std::vector<const StreamChange*>> stream_changes_;
+    std::vector<scenario::TimedMove> actions_;
+    // State of the fleet after the actions so far: servers that run, that were ever added, and that
+    // are listed.
+    std::set<std::string> running_, added_;
+    std::map<std::string, ListedEndpoint> listed_;
 };
 
 }  // namespace
 
 ClockAlignment align_clocks(const std::vector<ReceivedList>& base,
                             const std::vector<ReceivedList>& other) {
-    // The same servers may stand on the list at several times of a day: the offset that most lists
-    // agree on is the one.
+    // The same list may appear at several times of a day, so a single match proves nothing. The
+    // offset on which most matches agree is taken.
     std::vector<Micros> offsets;
-    for (const ReceivedList& mine : other) {
-        for (const ReceivedList& b : base) {
-            if (b.content == mine.content) {
-                offsets.push_back(b.at - mine.at);
+    for (const ReceivedList& theirs : other) {
+        for (const ReceivedList& ours : base) {
+            if (ours.content == theirs.content) {
+                offsets.push_back(ours.at - theirs.at);
             }
         }
     }
-    // One start of a server is one moment, whoever heard of it and when.
-    std::set<std::pair<std::string, Micros>> here;
-    std::set<std::pair<std::string, Micros>> there;
+    // The start time of a server is the same moment for all instances, whenever they learn of it.
+    std::set<std::pair<std::string, Micros>> base_starts;
+    std::set<std::pair<std::string, Micros>> other_starts;
     for (const ReceivedList& list : base) {
-        here.insert(list.starts.begin(), list.starts.end());
+        base_starts.insert(list.starts.begin(), list.starts.end());
     }
     for (const ReceivedList& list : other) {
-        there.insert(list.starts.begin(), list.starts.end());
+        other_starts.insert(list.starts.begin(), list.starts.end());
     }
-    for (const auto& [server, started] : there) {
-        for (auto it = here.lower_bound({server, Micros::min()});
-             it != here.end() && it->first == server; ++it) {
+    for (const auto& [server, started] : other_starts) {
+        for (auto it = base_starts.lower_bound({server, Micros::min()});
+             it != base_starts.end() && it->first == server; ++it) {
             offsets.push_back(it->second - started);
         }
     }
     std::sort(offsets.begin(), offsets.end());
-    std::size_t best = 0;
-    std::size_t most = 0;
+    std::size_t best_begin = 0;
+    std::size_t best_count = 0;
     for (std::size_t k = 0, end = 0; k < offsets.size(); ++k) {
-        while (end < offsets.size() && offsets[end] - offsets[k] <= kListsDisagreeMost) {
+        while (end < offsets.size() && offsets[end] - offsets[k] <= kMaxListTimeDifference) {
             ++end;
         }
-        if (end - k > most) {
-            best = k;
-            most = end - k;
+        if (end - k > best_count) {
+            best_begin = k;
+            best_count = end - k;
         }
     }
     ClockAlignment out;
-    out.exchanges = static_cast<int>(most);
-    if (most == 0) {
+    out.matches = static_cast<int>(best_count);
+    if (best_count == 0) {
         return out;
     }
-    const std::vector<Micros> agreed(offsets.begin() + static_cast<std::ptrdiff_t>(best),
-                                     offsets.begin() + static_cast<std::ptrdiff_t>(best + most));
-    out.offset = middle(agreed, 0us);
+    const std::vector<Micros> agreed(
+        offsets.begin() + static_cast<std::ptrdiff_t>(best_begin),
+        offsets.begin() + static_cast<std::ptrdiff_t>(best_begin + best_count));
+    out.offset = median(agreed, 0us);
     out.spread = agreed.back() - agreed.front();
     return out;
 }
 
 MergeResult merge_recordings(const std::vector<std::string>& paths, const std::string& out) {
     MergeResult merged;
-    std::vector<Life> lives;
-    lives.reserve(paths.size());
+    std::vector<InstanceRecording> files;
+    files.reserve(paths.size());
     for (const auto& path : paths) {
-        lives.push_back(read_life(path, merged.damage));
+        files.push_back(read_recording(path, merged.damage));
     }
-    const auto& first = lives.front();
-    for (std::size_t k = 1; k < lives.size(); ++k) {
-        if (lives[k].config.zones != first.config.zones ||
-            lives[k].config.settings.operations.size() != first.config.settings.operations.size()) {
-            throw std::runtime_error(paths[k] + ": tells of other zones or operations than " +
+    const auto& first = files.front();
+    for (std::size_t k = 1; k < files.size(); ++k) {
+        if (files[k].config.zones != first.config.zones ||
+            files[k].config.settings.operations.size() != first.config.settings.operations.size()) {
+            throw std::runtime_error(paths[k] + ": expected the same zones and operations as in " +
                                      paths.front());
         }
     }
-    const auto base = first.heard();
-    const auto base_wall = wall(first.header);
-    for (std::size_t k = 1; k < lives.size(); ++k) {
-        ClockAlignment clock = align_clocks(base, lives[k].heard());
-        const bool own =
-            lives[k].config.id == first.config.id && base_wall && wall(lives[k].header);
-        if (own) {
+    const auto base = first.received_lists();
+    const auto base_start = wall_clock_start(first.header);
+    for (std::size_t k = 1; k < files.size(); ++k) {
+        ClockAlignment clock = align_clocks(base, files[k].received_lists());
+        const bool same_instance = files[k].config.id == first.config.id && base_start &&
+                                   wall_clock_start(files[k].header);
+        if (same_instance) {
             clock = {};
         }
-        if (clock.exchanges == 0) {
-            const auto mine = wall(lives[k].header);
-            if (!mine || !base_wall) {
-                throw std::runtime_error(paths[k] + ": shares no list with " + paths.front() +
-                                         " and has no wall clock to go by");
+        if (clock.matches == 0) {
+            const auto start = wall_clock_start(files[k].header);
+            if (!start || !base_start) {
+                throw std::runtime_error(paths[k] + ": no common endpoint list with " +
+                                         paths.front() + " and no wall clock time to align by");
             }
-            clock.offset = *mine - *base_wall;
+            clock.offset = *start - *base_start;
         }
-        clock.governor = lives[k].config.id;
-        lives[k].move(clock.offset);
+        clock.governor = files[k].config.id;
+        files[k].shift(clock.offset);
         merged.clocks.push_back(clock);
     }
-    // The day begins with the first list heard.
+    // The scenario begins with the first endpoint list.
     Micros begin = Micros::max();
-    for (const Life& life : lives) {
-        if (!life.lists.empty()) {
-            begin = std::min(begin, life.lists.front().first);
+    for (const InstanceRecording& recording : files) {
+        if (!recording.lists.empty()) {
+            begin = std::min(begin, recording.lists.front().first);
         }
     }
     if (begin != Micros::max()) {
-        for (Life& life : lives) {
-            life.move(-begin);
+        for (InstanceRecording& recording : files) {
+            recording.shift(-begin);
         }
     }
-    Assembler(lives, merged).write(out);
+    Reconstruction(files, merged).write(out);
     return merged;
 }
 
--- a/src/replay/merge.h
+++ b/src/replay/merge.h
@@ -1,17 +1,25 @@
-// Makes one day out of what governors recorded of it. A governor sees no invocation: it hears
-// lists, joins and sums. From these the day is put together again, and what had to be assumed is
-// written into the recording's notes:
-//
-//   clocks        aligned by the lists and the starts of servers that two governors both heard;
-//   lives of one governor,
-//                 and where nothing is shared, by the wall clock at their begin
-//   arrivals      each sum of demand is spread over its span by luck; retries are taken out where
-//   an operation may be
-//                 tried again and errors were told
-//   workers       cores and speed by listed weight; faster or slower by the answer times that were
-//   met in calm deaths        after the last answer that a server gave, when it leaves the list or
-//   starts anew troubles      spans in which nearly all tries at one server failed, or it crawled
-//   beside the others governors     each file is one life of one governor
+/// @file
+/// Reconstructs one scenario from the recordings of several control plane instances, so that it can
+/// be replayed.
+///
+/// An instance sees no single invocation. It receives endpoint lists, connections of proxies, and
+/// load and demand reports that are sums over an interval. The fleet, its traffic and its faults
+/// are estimated from these; what had to be assumed is written into the notes of the merged
+/// recording:
+///
+/// - Clocks are aligned by the endpoint lists and server starts that two instances both received.
+///   Incarnations of one instance, and recordings that share nothing, are aligned by the wall clock
+///   time at which they began.
+/// - Arrivals: the invocations of each demand report are spread at random over the interval of the
+///   report. Retries are subtracted where the operation may be retried and failures were reported.
+/// - Servers: cores follow from the listed weight, speed from the mean latency while there was no
+///   fault.
+/// - A server stops after its last successful answer, when it leaves the list or is listed with a
+///   new start time.
+/// - Faults: spans in which nearly all attempts at one server failed, or in which it was much
+/// slower
+///   than the rest of the fleet.
+/// - Control plane instances: each file is one incarnation of one instance.
 #pragma once
 
 #include <string>
@@ -24,11 +32,15 @@
 
 using base::Micros;
 
+/// How the clock of one recording was moved to match that of the first one.
 struct ClockAlignment {
     std::string governor;
-    Micros offset{};    // added to its times
-    Micros spread{};    // how far the exchanges seen disagree
-    int exchanges = 0;  // 0: by the wall clock alone
+    /// Added to every time of the recording.
+    Micros offset{};
+    /// Difference between the smallest and the largest offset that the matches agree on.
+    Micros spread{};
+    /// Lists and server starts that both recordings contain. 0: aligned by the wall clock alone.
+    int matches = 0;
 };
 
 struct MergeResult {
@@ -38,19 +50,22 @@
     std::vector<recording::Damage> damage;
 };
 
-// Reads governors' recordings and writes the day to `out`. Throws std::runtime_error where they
-// tell of different fleets, or hold too little.
+/// Merges the instances' recordings at `paths` and writes the scenario to `out`. Throws
+/// std::runtime_error if the recordings come from different fleets or hold too little to
+/// reconstruct a scenario.
 MergeResult merge_recordings(const std::vector<std::string>& paths, const std::string& out);
 
-// One list as two governors heard it: when, and what stood on it.
+/// An endpoint list as one instance received it. Two instances received the same list if `content`
+/// is equal.
 struct ReceivedList {
     Micros at{};
     std::string content;
-    std::vector<std::pair<std::string, Micros>>
-        starts;  // servers that had started anew, by the same clock
+    /// Servers on the list with their start times, by the same clock as `at`.
+    std::vector<std::pair<std::string, Micros>> starts;
 };
 
-// By how much `other` must be moved to lie on `base`; exchanges 0 where they share no list.
+/// The offset that moves `other` to the clock of `base`; `matches` is 0 if they share no list and
+/// no server start.
 ClockAlignment align_clocks(const std::vector<ReceivedList>& base,
                             const std::vector<ReceivedList>& other);
 
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -453,7 +453,7 @@
     for (const auto& clock : merged.clocks) {
         // A governor's own second life goes by its own wall clock.
         if (clock.governor == "governor-1") {
-            EXPECT_GT(clock.exchanges, 0);
+            EXPECT_GT(clock.matches, 0);
             EXPECT_NEAR(static_cast<double>(clock.offset.count()), -3700e3, 50e3);
         }
     }
@@ -486,12 +486,12 @@
     std::vector<ReceivedList> other{
         {11s, "a", {}}, {12s + 40ms, "ab", {}}, {13s, "a", {}}, {19s, "abc", {}}};
     auto clock = align_clocks(base, other);
-    EXPECT_EQ(clock.exchanges, 4);
+    EXPECT_EQ(clock.matches, 4);
     EXPECT_EQ(clock.offset, -10s);
     EXPECT_EQ(clock.spread, 40ms);
     other.erase(other.begin() + 1);
-    EXPECT_EQ(align_clocks(base, other).exchanges, 3);
-    EXPECT_EQ(align_clocks(base, {{5s, "x", {}}}).exchanges, 0);
+    EXPECT_EQ(align_clocks(base, other).matches, 3);
+    EXPECT_EQ(align_clocks(base, {{5s, "x", {}}}).matches, 0);
     // A life that began late hears the list of the beginning again: that one alone would put it 8 s
     // off.
     const std::vector<ReceivedList> late{{0s, "a", {}}, {6s, "abc", {}}, {7s, "abcd", {}}};
