--- a/src/replay/report.cpp
+++ b/src/replay/report.cpp
@@ -54,7 +54,8 @@
         double count = 0;
         for (std::size_t j = k >= 2 ? k - 2 : 0; j <= k + 2 && j < by_second.size(); ++j) {
             const std::size_t at = from + j;
-            const double weight = at < seconds.size() ? static_cast<double>(seconds[at].came) : 0;
+            const double weight =
+                at < seconds.size() ? static_cast<double>(seconds[at].invocations) : 0;
             sum += weight * by_second[j].get<double>();
             count += weight;
         }
@@ -68,7 +69,7 @@
         } else {
             out << "NaN";
         }
-        out << " " << seconds[at].lines << " " << seconds[at].waiting << "\n";
+        out << " " << seconds[at].applied_lines << " " << seconds[at].queued_lines << "\n";
     }
     out << "EOD\n";
 }
--- a/src/replay/runner.cpp
+++ b/src/replay/runner.cpp
@@ -11,13 +11,11 @@
 
 using namespace std::chrono_literals;
 
-// ---- the trace
-
 void Trace::add(Micros now, const xds_server::XdsServer& service, bool decision, std::string text) {
-    if (text_ > kTextMost) {
+    if (text_bytes_ > kMaxTextBytes) {
         text.clear();
     }
-    text_ += text.size();
+    text_bytes_ += text.size();
     entries_.push_back({now - begin_, service.id(), decision, std::move(text)});
 }
 
@@ -28,11 +26,11 @@
 }
 
 void Trace::on_commands(Micros now, const xds_server::XdsServer& service,
-                        const std::vector<Command>& actions) {
+                        const std::vector<Command>& commands) {
     std::string text;
-    for (const Command& action : actions) {
-        if (!std::holds_alternative<command::SetTimer>(action)) {
-            text += (text.empty() ? "" : "; ") + to_text(service, action);
+    for (const Command& command : commands) {
+        if (!std::holds_alternative<command::SetTimer>(command)) {
+            text += (text.empty() ? "" : "; ") + to_text(service, command);
         }
     }
     if (!text.empty()) {
@@ -40,9 +38,7 @@
     }
 }
 
-// ---- the series
-
-TimeSeries::Second& TimeSeries::at(Micros now) {
+TimeSeries::Second& TimeSeries::second_at(Micros now) {
     const auto k =
         static_cast<std::size_t>(std::max<std::int64_t>(0, (now - begin_).count() / 1000000));
     if (seconds_.size() <= k) {
@@ -52,108 +48,108 @@
 }
 
 void TimeSeries::invocation_came(Micros now, const testbed::Invocation&) {
-    ++at(now).came;
+    ++second_at(now).invocations;
 }
 
 void TimeSeries::try_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int,
                           int number, testbed::TryEnd) {
-    Second& second = at(now);
-    ++second.tries;
-    second.further += number > 1;
+    Second& second = second_at(now);
+    ++second.attempts;
+    second.retries += number > 1;
 }
 
 void TimeSeries::joined(Micros now, const std::string&, const std::string&) {
-    ++at(now).joins;
+    ++second_at(now).connects;
 }
 
 void TimeSeries::server_fell(Micros now, const std::string&, const std::vector<Push>&) {
-    ++at(now).pushed_over;
+    ++second_at(now).overload_collapses;
 }
 
 void TimeSeries::response_read(Micros now, const std::string&, const std::string&,
-                               const std::string& orders, std::size_t, const std::string& why) {
-    const auto read = xds::parse_release_text(orders);
-    for (const auto& order : read.updates) {
-        if (why.empty()) {
-            at(now).lines += order.lines;
+                               const std::string& release_text, std::size_t,
+                               const std::string& rejection) {
+    const auto releases = xds::parse_release_text(release_text);
+    for (const auto& update : releases.updates) {
+        if (rejection.empty()) {
+            second_at(now).applied_lines += update.lines;
         }
-        auto& moves = moves_[read.origin];
-        moves[order.decided_at] += order.lines;
-        moves[order.released_at] -= order.lines;
+        auto& changes = queue_changes_[releases.origin];
+        changes[update.decided_at] += update.lines;
+        changes[update.released_at] -= update.lines;
     }
 }
 
 std::vector<TimeSeries::Second> TimeSeries::seconds(Micros length) const {
     auto out = seconds_;
     out.resize(static_cast<std::size_t>(length.count() / 1000000 + 1));
-    for (const auto& [governor, moves] : moves_) {
-        double waiting = 0;
-        for (auto it = moves.begin(); it != moves.end(); ++it) {
-            waiting += it->second;
+    for (const auto& [governor, changes] : queue_changes_) {
+        double queued_lines = 0;
+        for (auto it = changes.begin(); it != changes.end(); ++it) {
+            queued_lines += it->second;
             const auto next = std::next(it);
             const auto first = static_cast<std::size_t>(
                 std::max<std::int64_t>(0, (it->first - begin_).count() / 1000000));
-            const auto last = next == moves.end()
+            const auto last = next == changes.end()
                                   ? first
                                   : static_cast<std::size_t>(std::max<std::int64_t>(
                                         0, (next->first - begin_).count() / 1000000));
             for (std::size_t k = first; k <= last && k < out.size(); ++k) {
-                out[k].waiting = std::max(out[k].waiting, waiting);
+                out[k].queued_lines = std::max(out[k].queued_lines, queued_lines);
             }
         }
     }
     return out;
 }
 
-// ---- a run
-
 ReplayResult run_replay(const RecordedRun& day, const Variant& variant,
                         const ReplayOptions& options) {
-    std::vector<config::ConfigError> mistakes;
-    ReplayInput playable = make_replay_input(day, variant, mistakes);
-    if (!mistakes.empty()) {
-        throw std::runtime_error(config::to_text(mistakes.front()));
+    std::vector<config::ConfigError> errors;
+    ReplayInput replay_input = make_replay_input(day, variant, errors);
+    if (!errors.empty()) {
+        throw std::runtime_error(config::to_text(errors.front()));
     }
     ReplayResult out;
     out.from = options.from;
     out.to = options.to > 0us ? options.to : day.length;
     if (out.from < 0us || out.from >= out.to || out.to > day.length) {
-        throw std::runtime_error("the day lasts from 0 to " +
+        throw std::runtime_error("expected a span within the recording, from 0 to " +
                                  std::to_string(static_cast<double>(day.length.count()) / 1e6) +
-                                 " s; from must lie before to, and both within it");
+                                 " s, that ends after it starts");
     }
     if (options.seed) {
-        playable.script.seed = *options.seed;
+        replay_input.script.seed = *options.seed;
     }
-    playable.script.length = out.to;
-    for (auto& [forwarder, list] : playable.input.traffic) {
-        std::erase_if(list, [&](const auto& one) {
-            return one.came < out.from - options.warm_up || one.came >= out.to;
+    replay_input.script.length = out.to;
+    for (auto& [forwarder, list] : replay_input.input.traffic) {
+        std::erase_if(list, [&](const auto& invocation) {
+            return invocation.came < out.from - options.warm_up || invocation.came >= out.to;
         });
     }
-    // A virtual and a real clock both begin here (day/runner.cpp).
+    // The times of the trace and the series count from the clock's time at the start of the run,
+    // which scenario::run_day passes to `prepare`.
     std::optional<Trace> trace;
     std::optional<TimeSeries> series;
-    scenario::DayOptions how;
-    how.clock = options.clock;
-    how.speed = options.speed;
-    how.log = options.log;
-    how.given = &playable.input;
-    how.count_from = out.from;
-    how.watchers = options.watchers;
-    how.prepare = [&](Micros begin) {
+    scenario::DayOptions run_options;
+    run_options.clock = options.clock;
+    run_options.speed = options.speed;
+    run_options.log = options.log;
+    run_options.given = &replay_input.input;
+    run_options.count_from = out.from;
+    run_options.watchers = options.observers;
+    run_options.prepare = [&](Micros begin) {
         trace.emplace(begin);
         series.emplace(begin);
         return std::vector<testbed::Observer*>{&*series};
     };
-    how.before = [&](scenario::World& world) {
+    run_options.before = [&](scenario::World& world) {
         world.governor_watcher = &*trace;
         if (options.before) {
             options.before(world);
         }
     };
-    out.run = scenario::run_day(playable.script, how);
-    out.script = std::move(playable.script);
+    out.run = scenario::run_day(replay_input.script, run_options);
+    out.script = std::move(replay_input.script);
     out.trace = trace->entries();
     out.seconds = series->seconds(out.to);
     return out;
--- a/src/replay/runner.h
+++ b/src/replay/runner.h
@@ -1,5 +1,7 @@
-// Plays a recorded day again through governors on loopback sockets, and keeps what is needed to
-// compare runs.
+/// @file
+/// Replays a recorded scenario: its fleet, traffic and faults are repeated on loopback sockets, and
+/// the control plane instances are run anew, under the recorded or other settings. Besides the
+/// figures of the run, it collects what is needed to compare two replays.
 #pragma once
 
 #include <optional>
@@ -12,13 +14,16 @@
 
 namespace badgergrade::replay {
 
-// What the governors heard and decided, in order. Beats of the module are left out.
+/// The events that the instances received and the commands that they decided on, in order. Timers
+/// are left out.
 class Trace final : public xds_server::XdsServerObserver {
 public:
     struct Entry {
+        /// Since the scenario began.
         Micros at{};
         std::string governor;
-        bool decision = false;  // else something heard
+        /// A decision; otherwise an event.
+        bool decision = false;
         std::string text;
         friend bool operator==(const Entry&, const Entry&) = default;
     };
@@ -30,23 +35,30 @@
 
     const std::vector<Entry>& entries() const { return entries_; }
 
-    // Past this many bytes of text only times are kept, so that an hour stays in memory.
-    static constexpr std::size_t kTextMost = 256u << 20;
+    /// Once the texts exceed this size, later entries are kept without their text, so that a
+    /// scenario of an hour fits into memory.
+    static constexpr std::size_t kMaxTextBytes = 256u << 20;
 
 private:
     void add(Micros now, const xds_server::XdsServer& service, bool decision, std::string text);
 
     Micros begin_;
     std::vector<Entry> entries_;
-    std::size_t text_ = 0;
+    std::size_t text_bytes_ = 0;
 };
 
-// By seconds of the day: for plots.
+/// Counts per second of the scenario, for plots.
 class TimeSeries final : public testbed::Observer {
 public:
     struct Second {
-        std::int64_t came = 0, tries = 0, further = 0, pushed_over = 0, joins = 0;
-        double lines = 0, waiting = 0;  // lines applied; most lines that waited in the channels
+        /// `retries`: attempts of a proxy after its first one for the invocation.
+        /// `overload_collapses`: servers that collapsed under load while they were warming up.
+        std::int64_t invocations = 0, attempts = 0, retries = 0, overload_collapses = 0,
+                     connects = 0;
+        /// Configuration lines that proxies applied.
+        double applied_lines = 0;
+        /// The most lines that were in the send queues at once.
+        double queued_lines = 0;
     };
 
     explicit TimeSeries(Micros begin) : begin_(begin) {}
@@ -55,44 +67,50 @@
     void try_sent(Micros, const std::string&, const std::string&, std::uint64_t, int, int number,
                   testbed::TryEnd) override;
     void joined(Micros, const std::string&, const std::string&) override;
-    void response_read(Micros, const std::string&, const std::string&, const std::string& orders,
-                       std::size_t, const std::string&) override;
+    void response_read(Micros, const std::string&, const std::string&,
+                       const std::string& release_text, std::size_t, const std::string&) override;
     void server_fell(Micros, const std::string&, const std::vector<Push>&) override;
 
-    // With the waiting lines reckoned from when orders were given and when they left.
+    /// The seconds up to `length`. Queued lines follow from the times at which each update was
+    /// decided and released, which the responses state.
     std::vector<Second> seconds(Micros length) const;
 
 private:
-    Second& at(Micros now);
+    Second& second_at(Micros now);
     Micros begin_;
     std::vector<Second> seconds_;
-    std::map<std::string, std::map<Micros, double>>
-        moves_;  // by governor: lines that began to wait or left
+    // By instance: by how many lines its send queue grew or shrank at each time.
+    std::map<std::string, std::map<Micros, double>> queue_changes_;
 };
 
 struct ReplayOptions {
     scenario::ClockKind clock = scenario::ClockKind::Virtual;
+    /// The real clock runs this many times faster.
     double speed = 1;
+    /// Replaces the recorded seed of all random draws of the fakes and the instances.
     std::optional<std::uint64_t> seed;
-    Micros from{}, to{};  // to 0: to its end
-    // Traffic sets in so long before `from`, uncounted: tables, queues and what the module has seen
-    // must be as at work.
+    /// The figures count only invocations in [from, to). A `to` of 0 is the end of the recording.
+    Micros from{}, to{};
+    /// Traffic starts this long before `from` without being counted, so that tables, queues and the
+    /// instances' statistics have reached their usual state when counting begins.
     Micros warm_up = std::chrono::seconds(60);
     log::Level log = log::Level::Off;
-    // Taken beside, as by a recorder.
+    /// Called with the fleet before it starts, for example to record the replay.
     std::function<void(scenario::World&)> before;
-    std::vector<testbed::Observer*> watchers;
+    std::vector<testbed::Observer*> observers;
 };
 
 struct ReplayResult {
-    scenario::DayScript script;  // as played
+    /// The script that was run, with the variant's changes.
+    scenario::DayScript script;
     scenario::DayRun run;
     std::vector<Trace::Entry> trace;
     std::vector<TimeSeries::Second> seconds;
     Micros from{}, to{};
 };
 
-// Throws std::runtime_error for a span that the day does not have.
+/// Runs one replay. Throws std::runtime_error if the variant contradicts the recording or [from,
+/// to) is not within it.
 ReplayResult run_replay(const RecordedRun& day, const Variant& variant,
                         const ReplayOptions& options);
 
--- a/src/replay/variant.cpp
+++ b/src/replay/variant.cpp
@@ -14,23 +14,26 @@
 
 namespace {
 
-enum class Whose { User, Place, Day };
+// How a replay treats a setting.
+enum class SettingKind { Changeable, Ignored, Fixed };
 
-// A place's own (where it listens, how it logs) says nothing in a replay and is passed over; a fact
-// of the day can't be changed after it.
-Whose whose(const std::string& section, const std::string& key) {
-    static const std::set<std::string> kPlaces{
+// Settings of the instance's own host (where it listens, how it logs) mean nothing in a replay and
+// are ignored, so that a deployment's file can be used as it is. Facts of the recorded scenario are
+// fixed.
+SettingKind kind_of(const std::string& section, const std::string& key) {
+    static const std::set<std::string> kIgnored{
         "governor.id",      "governor.zone", "governor.ordinal", "xds.listen",
         "registry.address", "log.level",     "log.form",         "forwarders.count"};
-    static const std::set<std::string> kFacts{"governor.zones", "governor.governors"};
+    static const std::set<std::string> kFixed{"governor.zones", "governor.governors"};
     const std::string name = section + "." + key;
-    if (kPlaces.contains(name)) {
-        return Whose::Place;
+    if (kIgnored.contains(name)) {
+        return SettingKind::Ignored;
     }
-    return kFacts.contains(name) || section.rfind("operation.", 0) == 0 ? Whose::Day : Whose::User;
+    return kFixed.contains(name) || section.rfind("operation.", 0) == 0 ? SettingKind::Fixed
+                                                                        : SettingKind::Changeable;
 }
 
-std::string squeezed(const std::string& text) {
+std::string without_spaces(const std::string& text) {
     std::string out;
     for (const char c : text) {
         if (c != ' ' && c != '\t') {
@@ -49,17 +52,17 @@
     return it == all.end() ? nullptr : &*it;
 }
 
-std::optional<double> number(const std::string& text) {
+std::optional<double> parse_number(const std::string& text) {
     double out = 0;
     const char* from = text.data() + (!text.empty() && text.front() == '+' ? 1 : 0);
-    const auto [end, bad] = std::from_chars(from, text.data() + text.size(), out);
-    if (bad != std::errc{} || end != text.data() + text.size() || !std::isfinite(out)) {
+    const auto [end, error] = std::from_chars(from, text.data() + text.size(), out);
+    if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(out)) {
         return std::nullopt;
     }
     return out;
 }
 
-std::size_t workers_of(const RecordedRun& day) {
+std::size_t initial_server_count(const RecordedRun& day) {
     return static_cast<std::size_t>(std::count_if(
         day.input.moves.begin(), day.input.moves.end(), [](const scenario::TimedMove& m) {
             return m.opening && m.what.kind == scenario::MoveKind::AddWorker;
@@ -68,164 +71,171 @@
 
 class VariantReader {
 public:
-    VariantReader(const RecordedRun& day, Variant& variant, std::vector<ConfigError>& mistakes)
+    VariantReader(const RecordedRun& day, Variant& variant, std::vector<ConfigError>& errors)
         : day_(day),
           variant_(variant),
-          mistakes_(mistakes) {}
+          errors_(errors) {}
 
+    // Applies one change; `file` and `line` say where it was given.
     void set(const std::string& file, int line, const std::string& section, const std::string& key,
              const std::string& value) {
-        const auto wrong = [&](const std::string& text) {
-            mistakes_.push_back({file, line, "[" + section + "] " + key, text});
+        const auto report = [&](const std::string& text) {
+            errors_.push_back({file, line, "[" + section + "] " + key, text});
         };
         if (section == "replay") {
-            return ready_made(key, value, wrong);
+            return replay_setting(key, value, report);
         }
-        const config::IniEntry* now = find(day_.settings, section, key);
-        switch (whose(section, key)) {
-            case Whose::Place:
+        const config::IniEntry* recorded = find(day_.settings, section, key);
+        switch (kind_of(section, key)) {
+            case SettingKind::Ignored:
                 return;
-            case Whose::Day:
-                if (!now || squeezed(now->value) != squeezed(value)) {
-                    wrong("is a fact of the recorded day" +
-                          (now ? " (" + now->value + ")" : std::string()) +
-                          " and can't be tried after it");
+            case SettingKind::Fixed:
+                if (!recorded || without_spaces(recorded->value) != without_spaces(value)) {
+                    report("expected no change of what the recording fixes" +
+                           (recorded ? " (" + recorded->value + ")" : std::string()) +
+                           ", got another value");
                 }
                 return;
-            case Whose::User:
+            case SettingKind::Changeable:
                 variant_.settings.set(section, key, value);
         }
     }
 
 private:
-    template <class Wrong>
-    void ready_made(const std::string& key, const std::string& value, const Wrong& wrong) {
-        const std::string text = squeezed(value);
+    template <class Report>
+    void replay_setting(const std::string& key, const std::string& value, const Report& report) {
+        const std::string text = without_spaces(value);
         if (key == "workers") {
-            return workers(text, wrong);
+            return read_server_change(text, report);
         }
-        const auto n = number(text);
+        const auto n = parse_number(text);
         if (key == "traffic") {
             if (!n || *n < 0.01 || *n > 10) {
-                return wrong("is a factor from 0.01 to 10; for example: traffic = 1.2");
+                return report("expected a factor from 0.01 to 10, for example: traffic = 1.2");
             }
             variant_.traffic_factor = *n;
         } else if (key == "startup") {
             if (!n || *n < 1 || *n > 1000 || *n != std::floor(*n)) {
-                return wrong("is a whole number from 1 to 1000; for example: startup = 5");
+                return report("expected an integer from 1 to 1000, for example: startup = 5");
             }
             variant_.startup_servers = static_cast<int>(*n);
         } else {
-            wrong("is none of: workers, traffic, startup");
+            report("unknown key: expected workers, traffic or startup");
         }
     }
 
-    template <class Wrong>
-    void workers(std::string text, const Wrong& wrong) {
-        const bool percent = !text.empty() && text.back() == '%';
+    template <class Report>
+    void read_server_change(std::string value, const Report& report) {
+        const bool percent = !value.empty() && value.back() == '%';
         if (percent) {
-            text.pop_back();
+            value.pop_back();
         }
-        const auto n = number(text);
-        const auto now = static_cast<double>(workers_of(day_));
-        if (!n || text.empty() || (text.front() != '+' && text.front() != '-')) {
-            return wrong("is a change; for example: workers = +10% or workers = -2");
+        const auto number = parse_number(value);
+        const auto recorded = static_cast<double>(initial_server_count(day_));
+        if (!number || value.empty() || (value.front() != '+' && value.front() != '-')) {
+            return report("expected a signed change, for example: workers = +10% or workers = -2");
         }
-        const double more =
-            percent ? std::copysign(std::ceil(std::abs(*n) / 100 * now - 1e-9), *n) : *n;
-        if (more != std::floor(more)) {
-            return wrong("is a whole number of workers or a part in %");
+        const double change =
+            percent ? std::copysign(std::ceil(std::abs(*number) / 100 * recorded - 1e-9), *number)
+                    : *number;
+        if (change != std::floor(change)) {
+            return report("expected an integer or a percentage");
         }
-        if (now + more < 1) {
-            return wrong("leaves no worker of " + std::to_string(std::llround(now)));
+        if (recorded + change < 1) {
+            return report("expected at least one server to remain of " +
+                          std::to_string(std::llround(recorded)));
         }
-        if (now + more > 10 * now) {
-            return wrong("is more than ten times the recorded " +
-                         std::to_string(std::llround(now)));
+        if (recorded + change > 10 * recorded) {
+            return report("expected at most ten times the recorded number of servers, which is " +
+                          std::to_string(std::llround(recorded)));
         }
-        variant_.added_servers = static_cast<int>(more);
+        variant_.added_servers = static_cast<int>(change);
     }
 
     const RecordedRun& day_;
     Variant& variant_;
-    std::vector<ConfigError>& mistakes_;
+    std::vector<ConfigError>& errors_;
 };
 
-// ---- ready-made changes
-
-// The opening's moves that add one worker like this one, under another name.
-void add_like(scenario::GivenWorld& world, const testbed::WorkerSettings& like,
-              const std::string& id) {
+// Adds actions to the initial state that add, start and list a server with the settings of `like`.
+void add_server_like(scenario::GivenWorld& input, const testbed::WorkerSettings& like,
+                     const std::string& id) {
     using enum scenario::MoveKind;
     scenario::Move add{.kind = AddWorker, .who = id, .worker = like};
     add.worker.id = id;
-    std::vector<scenario::TimedMove> moves;
+    std::vector<scenario::TimedMove> actions;
     for (const auto kind : {StartWorker, ListWorker}) {
-        moves.push_back({0us, true, true, {.kind = kind, .who = id}});
+        actions.push_back({0us, true, true, {.kind = kind, .who = id}});
     }
-    moves.insert(moves.begin(), {0us, true, true, std::move(add)});
-    // Among the workers, before governors and forwarders start.
-    const auto at =
-        std::find_if(world.moves.begin(), world.moves.end(), [](const scenario::TimedMove& m) {
+    actions.insert(actions.begin(), {0us, true, true, std::move(add)});
+    // Among the servers, before the instances and proxies start.
+    const auto position =
+        std::find_if(input.moves.begin(), input.moves.end(), [](const scenario::TimedMove& m) {
             return !m.opening || m.what.kind == StartGovernor || m.what.kind == AddForwarder;
         });
-    world.moves.insert(at, moves.begin(), moves.end());
+    input.moves.insert(position, actions.begin(), actions.end());
 }
 
-void change_workers(scenario::GivenWorld& world, int more, std::uint64_t seed) {
-    std::vector<testbed::WorkerSettings> opening;
-    std::size_t all = 0;
-    for (const auto& move : world.moves) {
-        if (move.what.kind != scenario::MoveKind::AddWorker) {
+// Adds servers, each like a random one of the initial servers, or removes the last initial ones.
+void change_server_count(scenario::GivenWorld& input, int added, std::uint64_t seed) {
+    std::vector<testbed::WorkerSettings> initial;
+    std::size_t server_count = 0;
+    for (const auto& action : input.moves) {
+        if (action.what.kind != scenario::MoveKind::AddWorker) {
             continue;
         }
-        ++all;
-        if (move.opening) {
-            opening.push_back(move.what.worker);
+        ++server_count;
+        if (action.opening) {
+            initial.push_back(action.what.worker);
         }
     }
-    for (int n = 0; n < more; ++n) {
-        base::CounterRandom luck(base::seed_for(seed, "more workers"),
-                                 static_cast<std::uint64_t>(n));
-        const auto k = static_cast<std::size_t>(luck.part() * static_cast<double>(opening.size()));
-        // Zones in turn, so that the fleet stays as even as it was.
-        testbed::WorkerSettings like = opening[k];
-        like.zone = opening[static_cast<std::size_t>(n) % opening.size()].zone;
-        add_like(world, like, scenario::numbered("worker", all + static_cast<std::size_t>(n)));
+    for (int n = 0; n < added; ++n) {
+        base::CounterRandom random(base::seed_for(seed, "more workers"),
+                                   static_cast<std::uint64_t>(n));
+        const auto k =
+            static_cast<std::size_t>(random.part() * static_cast<double>(initial.size()));
+        // The zones of the initial servers in turn, so that the distribution over zones stays as it
+        // was.
+        testbed::WorkerSettings like = initial[k];
+        like.zone = initial[static_cast<std::size_t>(n) % initial.size()].zone;
+        add_server_like(input, like,
+                        scenario::numbered("worker", server_count + static_cast<std::size_t>(n)));
     }
     std::set<std::string> dropped;
-    for (int n = 0; n < -more; ++n) {
-        dropped.insert(opening[opening.size() - 1 - static_cast<std::size_t>(n)].id);
+    for (int n = 0; n < -added; ++n) {
+        dropped.insert(initial[initial.size() - 1 - static_cast<std::size_t>(n)].id);
     }
-    std::erase_if(world.moves,
+    std::erase_if(input.moves,
                   [&](const scenario::TimedMove& m) { return dropped.contains(m.what.who); });
 }
 
-// Whole times are copies, the rest is drawn by id; copies come within half a second of their first.
-void change_traffic(scenario::GivenWorld& world, double times, std::uint64_t seed, Micros length) {
-    const std::uint64_t drawn = base::seed_for(seed, "traffic");
-    std::uint64_t next = 1;
-    for (const auto& [forwarder, list] : world.traffic) {
-        for (const auto& one : list) {
-            next = std::max(next, one.id + 1);
+// Repeats each invocation `factor` times. The fractional part is decided by a random number that
+// only depends on the invocation's id. Copies arrive within half a second of the original.
+void change_traffic(scenario::GivenWorld& input, double factor, std::uint64_t seed, Micros length) {
+    const std::uint64_t traffic_seed = base::seed_for(seed, "traffic");
+    std::uint64_t first_free_id = 1;
+    for (const auto& [forwarder, list] : input.traffic) {
+        for (const auto& invocation : list) {
+            first_free_id = std::max(first_free_id, invocation.id + 1);
         }
     }
-    for (auto& [forwarder, list] : world.traffic) {
+    for (auto& [forwarder, list] : input.traffic) {
         std::vector<testbed::Invocation> out;
-        for (const auto& one : list) {
-            base::CounterRandom luck(drawn, one.id);
-            const double whole = std::floor(times);
-            const int copies = static_cast<int>(whole) + (luck.part() < times - whole);
+        for (const auto& invocation : list) {
+            base::CounterRandom random(traffic_seed, invocation.id);
+            const double whole = std::floor(factor);
+            const int copies = static_cast<int>(whole) + (random.part() < factor - whole);
             for (int n = 0; n < copies; ++n) {
-                out.push_back(one);
+                out.push_back(invocation);
                 if (n == 0) {
                     continue;
                 }
-                // Ids of copies follow from the first one's, so that the same luck falls to them
-                // every time.
-                out.back().id = next * static_cast<std::uint64_t>(n) + one.id;
-                out.back().came = std::clamp(
-                    one.came + Micros(std::llround(luck.between(-5e5, 5e5))), 0us, length - 1us);
+                // The id of a copy follows from the original's, so that its random draws are the
+                // same in every replay.
+                out.back().id = first_free_id * static_cast<std::uint64_t>(n) + invocation.id;
+                out.back().came =
+                    std::clamp(invocation.came + Micros(std::llround(random.between(-5e5, 5e5))),
+                               0us, length - 1us);
             }
         }
         std::stable_sort(out.begin(), out.end(),
@@ -241,7 +251,7 @@
     if (equals == std::string::npos) {
         return std::nullopt;
     }
-    const std::string name = squeezed(text.substr(0, equals));
+    const std::string name = without_spaces(text.substr(0, equals));
     const auto dot = name.rfind('.');
     std::string value = text.substr(equals + 1);
     value.erase(0, value.find_first_not_of(' '));
@@ -252,17 +262,17 @@
 }
 
 Variant read_variant(const RecordedRun& day, const std::optional<config::IniFile>& file,
-                     const SettingOverrides& sets, std::vector<ConfigError>& mistakes) {
+                     const SettingOverrides& overrides, std::vector<ConfigError>& errors) {
     Variant out;
     out.settings = day.settings;
-    VariantReader reader(day, out, mistakes);
+    VariantReader reader(day, out, errors);
     if (file) {
         out.name = file->name();
         for (const auto& entry : file->entries()) {
             reader.set(file->name(), entry.line, entry.section, entry.key, entry.value);
         }
     }
-    for (const auto& [name, value] : sets) {
+    for (const auto& [name, value] : overrides) {
         const auto dot = name.rfind('.');
         reader.set("--set", 0, name.substr(0, dot), name.substr(dot + 1), value);
         out.name.append(out.name.empty() ? "" : ", ").append(name).append(" = ").append(value);
@@ -270,17 +280,17 @@
     if (out.name.empty()) {
         out.name = "as recorded";
     }
-    // The settings as a whole, before the run.
-    if (mistakes.empty()) {
-        make_script(day, out, mistakes);
+    // Checks the settings as a whole, so that errors are found before the replay.
+    if (errors.empty()) {
+        make_script(day, out, errors);
     }
     return out;
 }
 
 scenario::DayScript make_script(const RecordedRun& day, const Variant& variant,
-                                std::vector<ConfigError>& mistakes) {
-    auto out = scenario::parse_script(day.header.made_by(), day.script, variant.settings, mistakes);
-    if (!mistakes.empty()) {
+                                std::vector<ConfigError>& errors) {
+    auto out = scenario::parse_script(day.header.made_by(), day.script, variant.settings, errors);
+    if (!errors.empty()) {
         return out;
     }
     out.name = day.header.made_by();
@@ -290,24 +300,25 @@
     out.workers += variant.added_servers;
     out.rate *= variant.traffic_factor;
     const auto& columns = out.governor.settings.load_metric_names;
-    const bool told = std::any_of(day.input.moves.begin(), day.input.moves.end(),
-                                  [](const auto& m) { return m.what.worker.reports_load; });
-    if (!columns.empty() && !told) {
-        mistakes.push_back({variant.name, 0, "[reports] load_columns",
-                            "asks for what no worker of the recorded day reported"});
+    const bool reported = std::any_of(day.input.moves.begin(), day.input.moves.end(),
+                                      [](const auto& m) { return m.what.worker.reports_load; });
+    if (!columns.empty() && !reported) {
+        errors.push_back(
+            {variant.name, 0, "[reports] load_columns",
+             "expected load metrics in the recording, but no recorded server reports any"});
     }
     return out;
 }
 
 ReplayInput make_replay_input(const RecordedRun& day, const Variant& variant,
-                              std::vector<ConfigError>& mistakes) {
-    ReplayInput out{make_script(day, variant, mistakes), {}};
-    if (!mistakes.empty()) {
+                              std::vector<ConfigError>& errors) {
+    ReplayInput out{make_script(day, variant, errors), {}};
+    if (!errors.empty()) {
         return out;
     }
     out.input = day.input;
     if (variant.added_servers != 0) {
-        change_workers(out.input, variant.added_servers, out.script.seed);
+        change_server_count(out.input, variant.added_servers, out.script.seed);
     }
     if (variant.traffic_factor != 1) {
         change_traffic(out.input, variant.traffic_factor, out.script.seed, day.length);
--- a/src/replay/variant.h
+++ b/src/replay/variant.h
@@ -1,12 +1,21 @@
-// What is changed for a replay: settings that are a user's to choose, and ready-made changes of the
-// recorded fleet and traffic. What is a fact of the recorded day can't be tried and is refused
-// before the run.
-//
-//   key=value of the INI:   reports.period=1 s    channel.lines_per_second=7000
-//   forwarders.levels=share [replay] of a file, or replay.KEY:
-//     workers = +10% | -2     more or fewer of them (more: like the recorded ones, warm from the
-//     beginning) traffic = 1.2           so many times the invocations, each drawn by its id
-//     startup = 5             servers in a start-up table
+/// @file
+/// A variant of a recorded scenario: what a replay changes of it. These are settings that the user
+/// can choose, and a few changes of the recorded fleet and traffic. Facts of the recorded scenario,
+/// such as its zones and operations, cannot be changed; a variant that tries to is refused before
+/// the replay.
+///
+/// Changes are given in an INI file or as section.key=value:
+///
+///   reports.period=1 s              any setting of the control plane instances
+///   channel.lines_per_second=7000
+///   forwarders.levels=share
+///
+/// and, in the section `replay`:
+///
+///   workers = +10% | -2   more or fewer servers; added ones resemble recorded ones and are warm
+///                         from the start
+///   traffic = 1.2         this many times the invocations, each one selected by its id
+///   startup = 5           servers in a proxy's start-up table
 #pragma once
 
 #include <optional>
@@ -21,32 +30,39 @@
 namespace badgergrade::replay {
 
 struct Variant {
-    std::string name;          // of its file, or of what was set
-    config::IniFile settings;  // the recorded ones with the changes
-    int added_servers = 0;     // below 0: fewer
+    /// For reports: the name of the file, or the changes.
+    std::string name;
+    /// The recorded settings with the changes.
+    config::IniFile settings;
+    /// Negative: this many servers fewer.
+    int added_servers = 0;
     double traffic_factor = 1;
     std::optional<int> startup_servers;
 };
 
-using SettingOverrides = std::vector<std::pair<std::string, std::string>>;  // "section.key", value
+/// Pairs of "section.key" and value.
+using SettingOverrides = std::vector<std::pair<std::string, std::string>>;
 
-// Every mistake is told; the trial is good only where there is none.
+/// Reads the changes in `file` and then in `overrides`. All errors are added to `errors`; the
+/// variant is valid only if there are none.
 Variant read_variant(const RecordedRun& day, const std::optional<config::IniFile>& file,
-                     const SettingOverrides& sets, std::vector<config::ConfigError>& mistakes);
-// "section.key=value"; nothing where it is not of that form.
+                     const SettingOverrides& overrides, std::vector<config::ConfigError>& errors);
+/// Splits "section.key=value"; nothing if `text` does not have that form.
 std::optional<std::pair<std::string, std::string>> parse_override(const std::string& text);
 
-// The day's script under the trial's settings, checked against the day once more.
+/// The recorded script under the variant's settings. Settings that contradict the recording are
+/// added to `errors`.
 scenario::DayScript make_script(const RecordedRun& day, const Variant& variant,
-                                std::vector<config::ConfigError>& mistakes);
+                                std::vector<config::ConfigError>& errors);
 
 struct ReplayInput {
     scenario::DayScript script;
     scenario::GivenWorld input;
 };
 
-// That script, and the recorded world with the ready-made changes.
+/// That script, and the recorded actions and invocations with the variant's changes of fleet and
+/// traffic.
 ReplayInput make_replay_input(const RecordedRun& day, const Variant& variant,
-                              std::vector<config::ConfigError>& mistakes);
+                              std::vector<config::ConfigError>& errors);
 
 }  // namespace badgergrade::replay
