--- a/src/replay/compare.cpp
+++ b/src/replay/compare.cpp
@@ -13,14 +13,14 @@
 
 constexpr std::size_t kTextShown = 300;
 
-VariantResult play_often(const RecordedRun& day, const Variant& variant, int runs,
+VariantResult play_often(const RecordedRun& recorded, const Variant& variant, int runs,
                          const ReplayOptions& options) {
     VariantResult out;
     out.variant = variant;
     out.runs = runs;
     std::string text;
     for (int n = 0; n < runs; ++n) {
-        ReplayResult played = run_replay(day, variant, options);
+        ReplayResult played = run_replay(recorded, variant, options);
         out.service.push_back(played.run.result["figures"]["whole_day"]["service"].get<double>());
         if (n == 0) {
             text = played.run.result.dump();
@@ -108,9 +108,10 @@
     return out;
 }
 
-Comparison compare(const RecordedRun& day, const Variant& a, const Variant& b, int runs,
+Comparison compare(const RecordedRun& recorded, const Variant& a, const Variant& b, int runs,
                    const ReplayOptions& options) {
-    Comparison out{play_often(day, a, runs, options), play_often(day, b, runs, options), {}, {}};
+    Comparison out{
+        play_often(recorded, a, runs, options), play_often(recorded, b, runs, options), {}, {}};
     out.event_divergence =
         first_divergence(out.a.first_replay.trace, out.b.first_replay.trace, false);
     out.decision_divergence =
@@ -243,11 +244,11 @@
     return out;
 }
 
-ordered_json to_json(const RecordedRun& day, const Comparison& comparison) {
+ordered_json to_json(const RecordedRun& recorded, const Comparison& comparison) {
     ordered_json out;
-    out["recording"] = day.header.made_by();
-    out["recorded"] = {{"service", day.figures["whole_day"]["service"]},
-                       {"worst_10_s", day.figures["worst_10_s"]}};
+    out["recording"] = recorded.header.made_by();
+    out["recorded"] = {{"service", recorded.figures["whole_day"]["service"]},
+                       {"worst_10_s", recorded.figures["worst_10_s"]}};
     out["changed"] = changed_settings(comparison);
     for (const auto& one : compare_figures(comparison)) {
         out["differences"].push_back(
@@ -260,13 +261,13 @@
     return out;
 }
 
-std::string to_text(const RecordedRun& day, const Comparison& comparison) {
+std::string to_text(const RecordedRun& recorded, const Comparison& comparison) {
     std::ostringstream out;
     out << std::fixed;
-    out << day.header.made_by() << ", " << day.invocations << " invocations";
+    out << recorded.header.made_by() << ", " << recorded.invocations << " invocations";
     out.precision(4);
-    if (day.record_counts.contains("results")) {
-        out << "; as recorded: service " << day.figures["whole_day"]["service"].get<double>();
+    if (recorded.record_counts.contains("results")) {
+        out << "; as recorded: service " << recorded.figures["whole_day"]["service"].get<double>();
     }
     out << "\n";
     const auto setting = [&](const char* which, const VariantResult& s) {
--- a/src/replay/compare.h
+++ b/src/replay/compare.h
@@ -35,7 +35,7 @@
     std::optional<Divergence> event_divergence, decision_divergence;
 };
 
-Comparison compare(const RecordedRun& day, const Variant& a, const Variant& b, int runs,
+Comparison compare(const RecordedRun& recorded, const Variant& a, const Variant& b, int runs,
                    const ReplayOptions& options);
 
 // A named figure under both settings.
@@ -47,8 +47,8 @@
 
 std::vector<FigurePair> compare_figures(const Comparison& comparison);
 
-nlohmann::ordered_json to_json(const RecordedRun& day, const Comparison& comparison);
-std::string to_text(const RecordedRun& day, const Comparison& comparison);
+nlohmann::ordered_json to_json(const RecordedRun& recorded, const Comparison& comparison);
+std::string to_text(const RecordedRun& recorded, const Comparison& comparison);
 // What changed between the two, key by key, in words.
 std::vector<std::string> changed_settings(const Comparison& comparison);
 // "at 24.204 s governor-0 heard: ... under A, ... under B".
--- a/src/replay/recorded_run.cpp
+++ b/src/replay/recorded_run.cpp
@@ -47,230 +47,235 @@
     return "unknown";
 }
 
-testbed::WorkerSettings worker_of(const std::string& id, const pb::ServerSettings& w) {
+testbed::WorkerSettings server_settings_of(const std::string& id,
+                                           const pb::ServerSettings& recorded) {
     testbed::WorkerSettings s;
     s.id = id;
-    s.zone = w.zone();
-    s.cores = w.cores();
-    s.speed = w.speed();
-    s.queue_per_core = w.queue_per_core();
-    s.cold_from = w.cold_capacity_fraction();
-    s.cold_time = Micros(w.warm_up_us());
-    s.fall_time = Micros(w.overload_collapse_us());
-    s.fall_multiple = w.overload_collapse_factor();
-    s.connections_most = w.max_connections();
-    s.handshake_work = Micros(w.handshake_work_us());
-    s.key_gain = w.cached_key_saving();
-    s.key_time = Micros(w.key_ttl_us());
-    s.reports_load = w.reports_load();
-    s.report_every = Micros(w.report_interval_us());
-    s.error_rate = w.error_rate();
+    s.zone = recorded.zone();
+    s.cores = recorded.cores();
+    s.speed = recorded.speed();
+    s.queue_per_core = recorded.queue_per_core();
+    s.cold_from = recorded.cold_capacity_fraction();
+    s.cold_time = Micros(recorded.warm_up_us());
+    s.fall_time = Micros(recorded.overload_collapse_us());
+    s.fall_multiple = recorded.overload_collapse_factor();
+    s.connections_most = recorded.max_connections();
+    s.handshake_work = Micros(recorded.handshake_work_us());
+    s.key_gain = recorded.cached_key_saving();
+    s.key_time = Micros(recorded.key_ttl_us());
+    s.reports_load = recorded.reports_load();
+    s.report_every = Micros(recorded.report_interval_us());
+    s.error_rate = recorded.error_rate();
     return s;
 }
 
-testbed::WorkerTrouble trouble_of(const pb::ServerFault& t) {
+testbed::WorkerTrouble server_fault_of(const pb::ServerFault& recorded) {
     testbed::WorkerTrouble out;
-    out.hangs = t.hangs();
-    out.errors = t.error_fraction();
-    out.slower = t.slowdown();
-    out.taken = t.stolen_cpu_fraction();
-    out.answers_lost = t.lost_response_fraction();
-    out.counters = t.reported_load_fraction();
-    out.connections_most = static_cast<std::size_t>(t.max_connections());
+    out.hangs = recorded.hangs();
+    out.errors = recorded.error_fraction();
+    out.slower = recorded.slowdown();
+    out.taken = recorded.stolen_cpu_fraction();
+    out.answers_lost = recorded.lost_response_fraction();
+    out.counters = recorded.reported_load_fraction();
+    out.connections_most = static_cast<std::size_t>(recorded.max_connections());
     return out;
 }
 
-// Builds the day out of its records, in their order.
-class Builder {
+// Reconstructs the run from the records, which must be passed in the order of the file.
+class RunBuilder {
 public:
-    Builder(RecordedRun& day, const scenario::DayScript& script)
-        : day_(day),
+    RunBuilder(RecordedRun& recorded, const scenario::DayScript& script)
+        : recorded_(recorded),
           script_(script),
           figures_(script, 0us, script.length, {}) {}
 
-    void take(const pb::Block& block) {
+    void add_block(const pb::Block& block) {
         block_ = &block;
         last_id_ = 0;
-        recording::for_each_record(block, [this](Micros told, const pb::Record& record) {
-            ++day_.record_counts[kind_of(record)];
-            ++day_.records;
-            take(steady(told), record);
+        recording::for_each_record(block, [this](Micros recorded_at, const pb::Record& record) {
+            ++recorded_.record_counts[kind_of(record)];
+            ++recorded_.records;
+            add_record(monotonic(recorded_at), record);
         });
     }
 
     void close() {
         figures_.close();
-        day_.figures = figures_.json();
-        if (senseless_ > 0) {
-            day_.damage.push_back(
-                {0, std::to_string(senseless_) +
-                        " moves name what this recording does not begin; they are left out"});
+        recorded_.figures = figures_.json();
+        if (inconsistent_records_ > 0) {
+            recorded_.damage.push_back({0, std::to_string(inconsistent_records_) +
+                                               " actions or invocations are skipped: their hosts "
+                                               "are not in the recorded fleet"});
         }
     }
 
 private:
-    // Where the recorder's clock went back, the day goes on from where it was: what follows is
-    // moved by as much.
-    Micros steady(Micros told) {
-        if (told < last_told_) {
-            day_.damage.push_back({0, "the clock went back by " +
-                                          std::to_string((last_told_ - told).count()) + " us at " +
-                                          std::to_string(last_told_.count()) +
-                                          " us; what follows is moved by as much"});
-            moved_by_ += last_told_ - told;
+    // The time of a record without the backward jumps of the recorder's clock: after a jump, times
+    // continue from the last time before it, and the jump is listed as damage.
+    Micros monotonic(Micros recorded_at) {
+        if (recorded_at < last_recorded_at_) {
+            recorded_.damage.push_back(
+                {0, "the clock went back by " +
+                        std::to_string((last_recorded_at_ - recorded_at).count()) + " us at " +
+                        std::to_string(last_recorded_at_.count()) +
+                        " us; the times after it are shifted by as much"});
+            clock_correction_ += last_recorded_at_ - recorded_at;
         }
-        last_told_ = told;
-        return told + moved_by_;
+        last_recorded_at_ = recorded_at;
+        return recorded_at + clock_correction_;
     }
 
     std::string name(std::uint32_t number) const { return recording::name_at(*block_, number); }
 
-    void take(Micros at, const pb::Record& record) {
+    void add_record(Micros at, const pb::Record& record) {
         if (record.has_action()) {
-            return move(at, record.action());
+            return add_action(at, record.action());
         }
         if (record.has_invocation_start()) {
-            return came(at, record.invocation_start());
+            return add_invocation(at, record.invocation_start());
         }
         if (record.has_invocation_end()) {
-            return ended(at, record.invocation_end());
+            return end_invocation(at, record.invocation_end());
         }
         if (record.has_fault()) {
-            const auto& t = record.fault();
-            day_.faults.push_back({at, Micros(t.duration_us()),
-                                   t.name() + (t.target().empty() ? "" : " " + t.target())});
+            const auto& fault = record.fault();
+            recorded_.faults.push_back(
+                {at, Micros(fault.duration_us()),
+                 fault.name() + (fault.target().empty() ? "" : " " + fault.target())});
         }
         if (record.has_attempt()) {
             figures_.try_sent(at, {}, {}, 0, 0, static_cast<int>(record.attempt().number()), {});
         }
     }
 
-    void move(Micros at, const pb::FleetAction& from) {
+    void add_action(Micros at, const pb::FleetAction& record) {
         scenario::TimedMove out;
         out.at = at;
-        out.opening = from.initial();
-        // Only with the move before itself: where that is lost, this one stands alone.
-        out.joined =
-            from.same_step() && !day_.input.moves.empty() && day_.input.moves.back().at == at;
-        scenario::Move& m = out.what;
-        m.kind = static_cast<scenario::MoveKind>(from.kind());
-        m.who = name(from.target());
-        m.on = from.enabled();
-        m.by = from.amount();
-        m.wait = Micros(from.delay_us());
-        m.text = from.text();
-        if (from.has_server_fault()) {
-            m.trouble = trouble_of(from.server_fault());
+        out.opening = record.initial();
+        // Only together with the previous action: if that one is lost, this one is on its own.
+        out.joined = record.same_step() && !recorded_.input.moves.empty() &&
+                     recorded_.input.moves.back().at == at;
+        scenario::Move& action = out.what;
+        action.kind = static_cast<scenario::MoveKind>(record.kind());
+        action.who = name(record.target());
+        action.on = record.enabled();
+        action.by = record.amount();
+        action.wait = Micros(record.delay_us());
+        action.text = record.text();
+        if (record.has_server_fault()) {
+            action.trouble = server_fault_of(record.server_fault());
         }
-        if (from.has_server_settings()) {
-            m.worker = worker_of(m.who, from.server_settings());
+        if (record.has_server_settings()) {
+            action.worker = server_settings_of(action.who, record.server_settings());
         }
-        if (!makes_sense(m)) {
-            return void(++senseless_);
+        if (!is_consistent(action)) {
+            return void(++inconsistent_records_);
         }
-        if (m.kind == scenario::MoveKind::AddForwarder) {
-            figures_.place(m.who, m.text);
+        if (action.kind == scenario::MoveKind::AddForwarder) {
+            figures_.place(action.who, action.text);
         }
-        day_.input.moves.push_back(std::move(out));
+        recorded_.input.moves.push_back(std::move(out));
     }
 
-    // Where blocks are lost, a move may name a host whose beginning is lost with them, or start
-    // what already runs.
-    bool makes_sense(const scenario::Move& m) {
+    // Whether the action fits the fleet as the records so far describe it. If blocks are lost, an
+    // action may name a host that was added in one of them, or start a host that runs already.
+    bool is_consistent(const scenario::Move& action) {
         using enum scenario::MoveKind;
-        switch (m.kind) {
+        switch (action.kind) {
             case AddWorker:
-                return workers_.try_emplace(m.who, false).second;
+                return servers_.try_emplace(action.who, false).second;
             case AddForwarder:
-                return forwarders_.insert(m.who).second;
+                return proxies_.insert(action.who).second;
             case StartWorker:
             case StopWorker:
-                if (!workers_.contains(m.who)) {
+                if (!servers_.contains(action.who)) {
                     return false;
                 }
-                workers_[m.who] = m.kind == StartWorker;
+                servers_[action.who] = action.kind == StartWorker;
                 return true;
             case ListWorker:
             case UnlistWorker:
             case TroubleWorker:
-                return workers_.contains(m.who) && (m.kind == UnlistWorker || workers_[m.who]);
+                return servers_.contains(action.who) &&
+                       (action.kind == UnlistWorker || servers_[action.who]);
             case StartForwarder:
             case StopForwarder:
             case BreakStream:
             case IsolateForwarder:
             case StallForwarder:
-                return forwarders_.contains(m.who);
+                return proxies_.contains(action.who);
             case StartGovernor:
             case StopGovernor: {
-                const auto known = m.who.rfind("governor-", 0) == 0 &&
-                                   std::atoi(m.who.c_str() + 9) < script_.governors;
-                return known && std::exchange(governors_[m.who], m.kind == StartGovernor) !=
-                                    (m.kind == StartGovernor);
+                const auto known = action.who.rfind("governor-", 0) == 0 &&
+                                   std::atoi(action.who.c_str() + 9) < script_.governors;
+                return known &&
+                       std::exchange(instances_[action.who], action.kind == StartGovernor) !=
+                           (action.kind == StartGovernor);
             }
             default:
-                return m.kind >= CutZone && m.kind <= GiveUp;
+                return action.kind >= CutZone && action.kind <= GiveUp;
         }
     }
 
-    void came(Micros at, const pb::InvocationStart& from) {
-        last_id_ += from.id_delta();
-        testbed::Invocation one;
-        one.id = static_cast<std::uint64_t>(last_id_);
-        one.operation = static_cast<int>(from.operation());
-        if (one.operation >= static_cast<int>(script_.operations.size())) {
-            throw std::runtime_error(day_.path + ": an invocation of operation " +
-                                     std::to_string(one.operation) +
-                                     ", which the settings do not name");
+    void add_invocation(Micros at, const pb::InvocationStart& record) {
+        last_id_ += record.id_delta();
+        testbed::Invocation invocation;
+        invocation.id = static_cast<std::uint64_t>(last_id_);
+        invocation.operation = static_cast<int>(record.operation());
+        if (invocation.operation >= static_cast<int>(script_.operations.size())) {
+            throw std::runtime_error(recorded_.path + ": invocation of operation " +
+                                     std::to_string(invocation.operation) +
+                                     ": expected an operation that the recorded settings name");
         }
-        if (!forwarders_.contains(name(from.proxy()))) {
-            return void(++senseless_);
+        if (!proxies_.contains(name(record.proxy()))) {
+            return void(++inconsistent_records_);
         }
-        one.forwarder = name(from.proxy());
-        one.key = name(from.key());
-        one.work = Micros(static_cast<std::int64_t>(from.work_us()));
-        one.came = at;
-        figures_.invocation_came(at, one);
-        ++day_.invocations;
-        open_[one.id] = {one.operation, one.forwarder, at};
-        day_.input.traffic[one.forwarder].push_back(std::move(one));
+        invocation.forwarder = name(record.proxy());
+        invocation.key = name(record.key());
+        invocation.work = Micros(static_cast<std::int64_t>(record.work_us()));
+        invocation.came = at;
+        figures_.invocation_came(at, invocation);
+        ++recorded_.invocations;
+        open_invocations_[invocation.id] = {invocation.operation, invocation.forwarder, at};
+        recorded_.input.traffic[invocation.forwarder].push_back(std::move(invocation));
     }
 
-    void ended(Micros at, const pb::InvocationEnd& from) {
-        const auto id = static_cast<std::uint64_t>(last_id_ - from.id_behind());
-        const auto it = open_.find(id);
-        if (it == open_.end()) {
-            return;  // it came in a block that is lost
+    void end_invocation(Micros at, const pb::InvocationEnd& record) {
+        const auto id = static_cast<std::uint64_t>(last_id_ - record.id_behind());
+        const auto it = open_invocations_.find(id);
+        if (it == open_invocations_.end()) {
+            return;  // it began in a block that is lost
         }
-        testbed::Invocation one;
-        one.id = id;
-        one.operation = it->second.operation;
-        one.forwarder = it->second.forwarder;
-        one.came = it->second.came;
-        for (std::uint32_t n = 0; n < from.client_attempts(); ++n) {
-            figures_.client_try(at, one);
+        testbed::Invocation invocation;
+        invocation.id = id;
+        invocation.operation = it->second.operation;
+        invocation.forwarder = it->second.forwarder;
+        invocation.came = it->second.came;
+        for (std::uint32_t n = 0; n < record.client_attempts(); ++n) {
+            figures_.client_try(at, invocation);
         }
-        figures_.invocation_ended(at, one,
-                                  static_cast<testbed::Result>(std::min(from.result(), 3u)));
-        open_.erase(it);
+        figures_.invocation_ended(at, invocation,
+                                  static_cast<testbed::Result>(std::min(record.result(), 3u)));
+        open_invocations_.erase(it);
     }
 
-    std::map<std::string, bool> workers_, governors_;  // whether it runs
-    std::set<std::string> forwarders_;
-    std::uint64_t senseless_ = 0;
+    std::map<std::string, bool> servers_, instances_;  // whether the host runs
+    std::set<std::string> proxies_;
+    std::uint64_t inconsistent_records_ = 0;
 
-    struct Open {
+    struct OpenInvocation {
         int operation = 0;
         std::string forwarder;
         Micros came{};
     };
 
-    RecordedRun& day_;
+    RecordedRun& recorded_;
     const scenario::DayScript& script_;
     scenario::Figures figures_;
     const pb::Block* block_ = nullptr;
     std::int64_t last_id_ = 0;
-    Micros last_told_ = Micros::min(), moved_by_{};
-    std::map<std::uint64_t, Open> open_;
+    Micros last_recorded_at_ = Micros::min(), clock_correction_{};
+    std::map<std::uint64_t, OpenInvocation> open_invocations_;
 };
 
 }  // namespace
@@ -280,10 +285,10 @@
     std::string out;
     for (std::string line; std::getline(in, line);) {
         std::istringstream words(line);
-        std::string first;
-        words >> first;
-        // An empty line in its place: lines keep their numbers.
-        out += (first == "settings" || first == "set" ? std::string() : line) + "\n";
+        std::string keyword;
+        words >> keyword;
+        // Replaced by an empty line, so that the other lines keep their numbers.
+        out += (keyword == "settings" || keyword == "set" ? std::string() : line) + "\n";
     }
     return out;
 }
@@ -293,30 +298,31 @@
     RecordedRun out;
     out.path = path;
     out.header = reader.header();
-    std::vector<config::ConfigError> mistakes;
-    out.settings = config::IniFile::parse(path, out.header.settings(), mistakes);
+    std::vector<config::ConfigError> errors;
+    out.settings = config::IniFile::parse(path, out.header.settings(), errors);
     out.script = strip_settings(out.header.script());
     if (out.header.script().empty()) {
-        throw std::runtime_error(path + ": holds no day, but what " + out.header.made_by() +
-                                 " met: make a day of it with replay merge");
+        throw std::runtime_error(path + ": expected a whole scenario, got the recording of " +
+                                 out.header.made_by() +
+                                 ": use replay merge to make a scenario of it");
     }
-    auto script = scenario::parse_script(path, out.script, out.settings, mistakes);
-    if (!mistakes.empty()) {
-        throw std::runtime_error(
-            path + ": its settings can't be read: " + config::to_text(mistakes.front()));
+    auto script = scenario::parse_script(path, out.script, out.settings, errors);
+    if (!errors.empty()) {
+        throw std::runtime_error(path + ": the recorded settings or script are invalid: " +
+                                 config::to_text(errors.front()));
     }
     script.seed = out.header.seed();
     out.length = Micros(out.header.length_us());
-    Builder builder(out, script);
+    RunBuilder builder(out, script);
     reader.for_each_block(Micros::min(), Micros::max(), [&](const pb::Block& block) {
-        builder.take(block);
+        builder.add_block(block);
         out.lost_records += block.lost_records();
     });
     builder.close();
     const auto& damage = reader.damage();
     out.damage.insert(out.damage.begin(), damage.begin(), damage.end());
     if (!reader.is_complete() && !reader.blocks().empty()) {
-        // Cut: the day ends where the file does.
+        // The file is truncated: the run ends with its last record.
         Micros last{};
         for (const auto& block : reader.blocks()) {
             last = std::max(last, block.last);
@@ -324,7 +330,8 @@
         out.length = std::min(out.length, last + 1us);
     }
     if (out.input.moves.empty() || out.invocations == 0) {
-        throw std::runtime_error(path + ": holds no day that could be played");
+        throw std::runtime_error(
+            path + ": expected actions on the fleet and invocations, got a recording without them");
     }
     return out;
 }
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -14,11 +14,12 @@
 
 namespace {
 
-// Zones count from 1, 0 is none.
+// In recordings zones count from 1, and 0 is none.
 std::uint32_t zone_number(ZoneId zone) {
     return static_cast<std::uint32_t>(zone.value + 1);
 }
 
+// How long a server has run. 0 stands for an unknown start, so a known age is at least 1 us.
 Micros age_of(Micros now, Micros started) {
     return started > 0us ? std::max(1us, now - started) : 0us;
 }
@@ -54,13 +55,13 @@
 }
 
 pb::Header make_header(const config::InstanceConfig& config, const std::string& settings,
-                       Micros begin, const std::string& wall) {
+                       Micros begin, const std::string& wall_begin) {
     pb::Header out;
     out.set_made_by("governor " + config.id);
     out.set_settings(settings);
     out.set_seed(config.seed);
     out.set_begin_us(begin.count());
-    out.set_wall_begin(wall);
+    out.set_wall_begin(wall_begin);
     for (const auto& op : config.settings.operations) {
         out.add_operations(op.name);
     }
@@ -68,155 +69,149 @@
 }
 
 void Recorder::attach_to(scenario::World& world) {
-    world.on_move = [this](Micros now, bool opening, bool joined, const scenario::Move& move) {
-        write_action(writer_, now, {now, opening, joined, move});
+    world.on_move = [this](Micros now, bool opening, bool joined, const scenario::Move& action) {
+        write_action(writer_, now, {now, opening, joined, action});
     };
-    world.on_trouble = [this](Micros now, const scenario::Trouble& trouble) {
-        struck(now, trouble);
+    world.on_trouble = [this](Micros now, const scenario::Trouble& fault) {
+        write_fault(now, fault);
     };
     world.governor_watcher = this;
 }
 
 void write_action(recording::Writer& writer, Micros now, const scenario::TimedMove& timed) {
-    const scenario::Move& move = timed.what;
+    const scenario::Move& action = timed.what;
     auto& out = *writer.add(now).mutable_action();
-    out.set_kind(static_cast<std::uint32_t>(move.kind));
-    out.set_target(writer.name(move.who));
-    out.set_enabled(move.on);
-    out.set_amount(move.by);
-    out.set_delay_us(move.wait.count());
-    out.set_text(move.text);
+    out.set_kind(static_cast<std::uint32_t>(action.kind));
+    out.set_target(writer.name(action.who));
+    out.set_enabled(action.on);
+    out.set_amount(action.by);
+    out.set_delay_us(action.wait.count());
+    out.set_text(action.text);
     out.set_initial(timed.opening);
     out.set_same_step(timed.joined);
-    if (move.kind == scenario::MoveKind::TroubleWorker) {
-        auto& t = *out.mutable_server_fault();
-        t.set_hangs(move.trouble.hangs);
-        t.set_error_fraction(move.trouble.errors);
-        t.set_slowdown(move.trouble.slower);
-        t.set_stolen_cpu_fraction(move.trouble.taken);
-        t.set_lost_response_fraction(move.trouble.answers_lost);
-        t.set_reported_load_fraction(move.trouble.counters);
-        t.set_max_connections(move.trouble.connections_most);
+    if (action.kind == scenario::MoveKind::TroubleWorker) {
+        auto& fault = *out.mutable_server_fault();
+        fault.set_hangs(action.trouble.hangs);
+        fault.set_error_fraction(action.trouble.errors);
+        fault.set_slowdown(action.trouble.slower);
+        fault.set_stolen_cpu_fraction(action.trouble.taken);
+        fault.set_lost_response_fraction(action.trouble.answers_lost);
+        fault.set_reported_load_fraction(action.trouble.counters);
+        fault.set_max_connections(action.trouble.connections_most);
     }
-    if (move.kind == scenario::MoveKind::AddWorker) {
-        auto& w = *out.mutable_server_settings();
-        const auto& s = move.worker;
-        w.set_zone(s.zone);
-        w.set_cores(s.cores);
-        w.set_speed(s.speed);
-        w.set_queue_per_core(s.queue_per_core);
-        w.set_cold_capacity_fraction(s.cold_from);
-        w.set_warm_up_us(s.cold_time.count());
-        w.set_overload_collapse_us(s.fall_time.count());
-        w.set_overload_collapse_factor(s.fall_multiple);
-        w.set_max_connections(s.connections_most);
-        w.set_handshake_work_us(s.handshake_work.count());
-        w.set_cached_key_saving(s.key_gain);
-        w.set_key_ttl_us(s.key_time.count());
-        w.set_reports_load(s.reports_load);
-        w.set_report_interval_us(s.report_every.count());
-        w.set_error_rate(s.error_rate);
+    if (action.kind == scenario::MoveKind::AddWorker) {
+        auto& settings = *out.mutable_server_settings();
+        const auto& s = action.worker;
+        settings.set_zone(s.zone);
+        settings.set_cores(s.cores);
+        settings.set_speed(s.speed);
+        settings.set_queue_per_core(s.queue_per_core);
+        settings.set_cold_capacity_fraction(s.cold_from);
+        settings.set_warm_up_us(s.cold_time.count());
+        settings.set_overload_collapse_us(s.fall_time.count());
+        settings.set_overload_collapse_factor(s.fall_multiple);
+        settings.set_max_connections(s.connections_most);
+        settings.set_handshake_work_us(s.handshake_work.count());
+        settings.set_cached_key_saving(s.key_gain);
+        settings.set_key_ttl_us(s.key_time.count());
+        settings.set_reports_load(s.reports_load);
+        settings.set_report_interval_us(s.report_every.count());
+        settings.set_error_rate(s.error_rate);
     }
 }
 
-void Recorder::struck(Micros now, const scenario::Trouble& trouble) {
+void Recorder::write_fault(Micros now, const scenario::Trouble& fault) {
     auto& out = *writer_.add(now).mutable_fault();
-    out.set_name(trouble.name);
-    out.set_duration_us(trouble.lasts.count());
-    out.set_script_line(static_cast<std::uint32_t>(trouble.line));
-    out.set_target(!trouble.one.empty() ? trouble.one
-                   : trouble.count > 0  ? std::to_string(trouble.count)
-                   : trouble.part > 0   ? text_of(trouble.part * 100) + "%"
-                                        : "");
+    out.set_name(fault.name);
+    out.set_duration_us(fault.lasts.count());
+    out.set_script_line(static_cast<std::uint32_t>(fault.line));
+    out.set_target(!fault.one.empty() ? fault.one
+                   : fault.count > 0  ? std::to_string(fault.count)
+                   : fault.part > 0   ? text_of(fault.part * 100) + "%"
+                                      : "");
 }
 
-// ---- invocations
-
-void Recorder::invocation_came(Micros now, const testbed::Invocation& what) {
+void Recorder::invocation_came(Micros now, const testbed::Invocation& invocation) {
     auto& out = *writer_.add(now).mutable_invocation_start();
-    auto& last = writer_.last_invocation_id();
-    const auto id = static_cast<std::int64_t>(what.id);
-    out.set_id_delta(id - last);
-    last = id;
-    out.set_proxy(writer_.name(what.forwarder));
-    out.set_key(writer_.name(what.key));
-    out.set_operation(static_cast<std::uint32_t>(what.operation));
-    out.set_work_us(static_cast<std::uint64_t>(what.work.count()));
+    auto& last_id = writer_.last_invocation_id();
+    const auto id = static_cast<std::int64_t>(invocation.id);
+    out.set_id_delta(id - last_id);
+    last_id = id;
+    out.set_proxy(writer_.name(invocation.forwarder));
+    out.set_key(writer_.name(invocation.key));
+    out.set_operation(static_cast<std::uint32_t>(invocation.operation));
+    out.set_work_us(static_cast<std::uint64_t>(invocation.work.count()));
 }
 
-void Recorder::invocation_ended(Micros now, const testbed::Invocation& what,
+void Recorder::invocation_ended(Micros now, const testbed::Invocation& invocation,
                                 testbed::Result result) {
-    const auto first = tries_.lower_bound({what.id, std::string()});
+    const auto first = open_attempts_.lower_bound({invocation.id, std::string()});
     auto it = first;
-    for (; it != tries_.end() && it->first.first == what.id; ++it) {
-        write_try(now, it->first.second, what.id, it->second, kAttemptAbandoned);
+    for (; it != open_attempts_.end() && it->first.first == invocation.id; ++it) {
+        write_attempt(now, it->first.second, invocation.id, it->second, kAttemptAbandoned);
     }
-    tries_.erase(first, it);
+    open_attempts_.erase(first, it);
     auto& out = *writer_.add(now).mutable_invocation_end();
-    out.set_id_behind(writer_.last_invocation_id() - static_cast<std::int64_t>(what.id));
+    out.set_id_behind(writer_.last_invocation_id() - static_cast<std::int64_t>(invocation.id));
     out.set_result(static_cast<std::uint32_t>(result));
-    out.set_client_attempts(static_cast<std::uint32_t>(what.client_tries));
+    out.set_client_attempts(static_cast<std::uint32_t>(invocation.client_tries));
 }
 
-void Recorder::try_sent(Micros now, const std::string& forwarder, const std::string& server,
+void Recorder::try_sent(Micros now, const std::string& proxy, const std::string& server,
                         std::uint64_t invocation, int operation, int number, testbed::TryEnd) {
-    OpenTry one{server, now, operation, number};
-    const auto [it, fresh] = tries_.try_emplace({invocation, forwarder}, one);
-    if (fresh) {
+    OpenAttempt attempt{server, now, operation, number};
+    const auto [it, inserted] = open_attempts_.try_emplace({invocation, proxy}, attempt);
+    if (inserted) {
         return;
     }
-    // The one before was given up with its client's try.
-    write_try(now, forwarder, invocation, it->second, kAttemptAbandoned);
-    it->second = std::move(one);
+    // The proxy abandoned the previous attempt because its client gave up on it.
+    write_attempt(now, proxy, invocation, it->second, kAttemptAbandoned);
+    it->second = std::move(attempt);
 }
 
-void Recorder::try_ended(Micros now, const std::string& forwarder, const std::string&,
-                         std::uint64_t invocation, testbed::TryEnd end) {
-    const auto it = tries_.find({invocation, forwarder});
-    if (it == tries_.end()) {
+void Recorder::try_ended(Micros now, const std::string& proxy, const std::string&,
+                         std::uint64_t invocation, testbed::TryEnd outcome) {
+    const auto it = open_attempts_.find({invocation, proxy});
+    if (it == open_attempts_.end()) {
         return;
     }
-    write_try(now, forwarder, invocation, it->second, static_cast<std::uint32_t>(end));
-    tries_.erase(it);
+    write_attempt(now, proxy, invocation, it->second, static_cast<std::uint32_t>(outcome));
+    open_attempts_.erase(it);
 }
 
-void Recorder::write_try(Micros now, const std::string& forwarder, std::uint64_t invocation,
-                         const OpenTry& one, std::uint32_t end) {
+void Recorder::write_attempt(Micros now, const std::string& proxy, std::uint64_t invocation,
+                             const OpenAttempt& attempt, std::uint32_t outcome) {
     auto& out = *writer_.add(now).mutable_attempt();
     out.set_id_behind(writer_.last_invocation_id() - static_cast<std::int64_t>(invocation));
-    out.set_server(writer_.name(one.server));
-    out.set_number(static_cast<std::uint32_t>(one.number));
-    out.set_outcome(end);
-    out.set_duration_us(static_cast<std::uint64_t>((now - one.sent).count()));
-    out.set_proxy(writer_.name(forwarder));
-    out.set_operation(static_cast<std::uint32_t>(one.operation));
+    out.set_server(writer_.name(attempt.server));
+    out.set_number(static_cast<std::uint32_t>(attempt.number));
+    out.set_outcome(outcome);
+    out.set_duration_us(static_cast<std::uint64_t>((now - attempt.sent).count()));
+    out.set_proxy(writer_.name(proxy));
+    out.set_operation(static_cast<std::uint32_t>(attempt.operation));
 }
 
-// ---- streams
-
-void Recorder::joined(Micros now, const std::string& forwarder, const std::string& governor) {
+void Recorder::joined(Micros now, const std::string& proxy, const std::string& instance) {
     auto& out = *writer_.add(now).mutable_stream_opened();
-    out.set_proxy(writer_.name(forwarder));
-    out.set_instance(writer_.name(governor));
+    out.set_proxy(writer_.name(proxy));
+    out.set_instance(writer_.name(instance));
 }
 
-void Recorder::left(Micros now, const std::string& forwarder, const std::string& governor) {
+void Recorder::left(Micros now, const std::string& proxy, const std::string& instance) {
     auto& out = *writer_.add(now).mutable_stream_closed();
-    out.set_proxy(writer_.name(forwarder));
-    out.set_instance(writer_.name(governor));
+    out.set_proxy(writer_.name(proxy));
+    out.set_instance(writer_.name(instance));
 }
 
-void Recorder::response_read(Micros now, const std::string& forwarder, const std::string& governor,
-                             const std::string&, std::size_t bytes, const std::string& why) {
+void Recorder::response_read(Micros now, const std::string& proxy, const std::string& instance,
+                             const std::string&, std::size_t bytes, const std::string& rejection) {
     auto& out = *writer_.add(now).mutable_response_read();
-    out.set_proxy(writer_.name(forwarder));
-    out.set_instance(writer_.name(governor));
+    out.set_proxy(writer_.name(proxy));
+    out.set_instance(writer_.name(instance));
     out.set_bytes(static_cast<std::uint32_t>(bytes));
-    out.set_rejected(!why.empty());
+    out.set_rejected(!rejection.empty());
 }
 
-// ---- governors
-
 void Recorder::on_started(Micros now, const xds_server::XdsServer& service) {
     auto& out = *writer_.add(now).mutable_instance_started();
     out.set_instance(writer_.name(service.id()));
@@ -230,45 +225,45 @@
 }
 
 void Recorder::on_event(Micros now, const xds_server::XdsServer& service, const Event& event) {
-    // The module's own beat says nothing of the day.
+    // Timers of the policy follow from its commands and say nothing about the scenario.
     if (std::holds_alternative<event::TimerFired>(event)) {
         return;
     }
     auto& out = *writer_.add(now).mutable_event();
     out.set_instance(writer_.name(service.id()));
-    const auto forwarder = [&](ProxyId proxy) {
+    const auto proxy_name = [&](ProxyId proxy) {
         return writer_.name(service.proxy_name(proxy));
     };
-    const auto server = [&](ServerId id) {
+    const auto server_name = [&](ServerId id) {
         return writer_.name(service.server_name(id));
     };
     std::visit(Cases{
                    [&](const event::EndpointListUpdate& e) {
                        auto& list = *out.mutable_endpoint_list();
                        list.set_kind(static_cast<std::uint32_t>(e.kind));
-                       for (const auto& row : e.endpoints) {
+                       for (const auto& endpoint : e.endpoints) {
                            auto& to = *list.add_endpoints();
-                           to.set_server(server(row.server));
-                           to.set_zone(zone_number(row.zone));
-                           to.set_state(static_cast<std::uint32_t>(row.state));
-                           to.set_weight(row.weight);
-                           to.set_age_us(age_of(now, row.started_at).count());
+                           to.set_server(server_name(endpoint.server));
+                           to.set_zone(zone_number(endpoint.zone));
+                           to.set_state(static_cast<std::uint32_t>(endpoint.state));
+                           to.set_weight(endpoint.weight);
+                           to.set_age_us(age_of(now, endpoint.started_at).count());
                        }
                    },
                    [&](const event::ProxyConnected& e) {
                        auto& to = *out.mutable_proxy_connected();
-                       to.set_proxy(forwarder(e.proxy));
+                       to.set_proxy(proxy_name(e.proxy));
                        to.set_zone(zone_number(e.zone));
                        to.set_fresh_start(e.fresh_start);
                        to.set_announced_rate(e.announced_rate);
                    },
                    [&](const event::ProxyDisconnected& e) {
-                       out.mutable_proxy_disconnected()->set_proxy(forwarder(e.proxy));
+                       out.mutable_proxy_disconnected()->set_proxy(proxy_name(e.proxy));
                    },
                    [&](const event::ServerLoadReport& e) {
                        auto& to = *out.mutable_load_report();
                        to.set_zone(zone_number(e.zone));
-                       to.set_server(server(e.server));
+                       to.set_server(server_name(e.server));
                        to.set_attempts(e.attempts);
                        to.set_failures(e.failures);
                        to.set_mean_latency_us(e.mean_latency.count());
@@ -279,7 +274,7 @@
                    },
                    [&](const event::ProxyDemandReport& e) {
                        auto& to = *out.mutable_demand_report();
-                       to.set_proxy(forwarder(e.proxy));
+                       to.set_proxy(proxy_name(e.proxy));
                        to.set_operation(static_cast<std::uint32_t>(e.operation.value));
                        to.set_attempts(e.attempts);
                        to.set_failures(e.failures);
@@ -287,13 +282,13 @@
                    },
                    [&](const event::HealthCheckResult& e) {
                        auto& to = *out.mutable_health_check();
-                       to.set_server(server(e.server));
+                       to.set_server(server_name(e.server));
                        to.set_outcome(static_cast<std::uint32_t>(e.outcome));
                        to.set_duration_us(e.duration.count());
                    },
                    [&](const event::ConfigAcknowledged& e) {
                        auto& to = *out.mutable_acknowledgement();
-                       to.set_proxy(forwarder(e.proxy));
+                       to.set_proxy(proxy_name(e.proxy));
                        to.set_version(e.version.value);
                        to.set_delay_us(e.delay.count());
                    },
@@ -303,37 +298,37 @@
 }
 
 void Recorder::on_commands(Micros now, const xds_server::XdsServer& service,
-                           const std::vector<Command>& actions) {
-    const auto beat = [](const Command& a) {
+                           const std::vector<Command>& commands) {
+    const auto is_timer = [](const Command& a) {
         return std::holds_alternative<command::SetTimer>(a);
     };
-    if (std::all_of(actions.begin(), actions.end(), beat)) {
+    if (std::all_of(commands.begin(), commands.end(), is_timer)) {
         return;
     }
     auto& out = *writer_.add(now).mutable_commands();
     out.set_instance(writer_.name(service.id()));
-    const auto table = [](TableId t) {
+    const auto table_number = [](TableId t) {
         return static_cast<std::uint32_t>(t.value);
     };
-    for (const Command& action : actions) {
-        if (beat(action)) {
+    for (const Command& command : commands) {
+        if (is_timer(command)) {
             continue;
         }
         auto& to = *out.add_commands();
         std::visit(
             Cases{
                 [&](const command::SetWeight& a) {
-                    to.mutable_weight()->set_table(table(a.table));
+                    to.mutable_weight()->set_table(table_number(a.table));
                     to.mutable_weight()->set_weight(a.weight);
                     to.mutable_weight()->set_server(writer_.name(service.server_name(a.server)));
                 },
                 [&](const command::AssignTable& a) {
-                    to.mutable_assignment()->set_table(table(a.table));
+                    to.mutable_assignment()->set_table(table_number(a.table));
                     to.mutable_assignment()->set_operations(a.operations);
                     to.mutable_assignment()->set_proxy(writer_.name(service.proxy_name(a.proxy)));
                 },
                 [&](const command::SetAdmission& a) {
-                    to.mutable_admission()->set_table(table(a.table));
+                    to.mutable_admission()->set_table(table_number(a.table));
                     to.mutable_admission()->set_operations(a.operations);
                     to.mutable_admission()->set_limit(a.limit);
                     to.mutable_admission()->set_retry_mode(
@@ -341,7 +336,7 @@
                 },
                 [&](const command::RequestAck& a) { to.set_requested_ack(a.version.value); },
                 [&](const command::LogMessage& a) { to.set_log_message(a.text); },
-                [&](const command::ClearTable& a) { to.set_cleared_table(table(a.table)); },
+                [&](const command::ClearTable& a) { to.set_cleared_table(table_number(a.table)); },
                 [&](const command::SetEjected& a) {
                     to.mutable_ejection()->set_server(writer_.name(service.server_name(a.server)));
                     to.mutable_ejection()->set_ejected(a.ejected);
@@ -350,21 +345,19 @@
                     to.set_checked_server(writer_.name(service.server_name(a.server)));
                 },
                 [&](const command::WatchEndpoints& a) { to.set_watch_endpoints(a.enabled); },
-                [&](const auto&) { to.set_other(to_text(service, action)); },
+                [&](const auto&) { to.set_other(to_text(service, command)); },
             },
-            action);
+            command);
     }
 }
 
-// ---- a whole day
-
 scenario::DayRun record_scenario(const scenario::DayScript& script, scenario::DayOptions options,
-                                 const std::string& path, recording::WriterOptions how,
-                                 recording::WriterStats& figures) {
+                                 const std::string& path, recording::WriterOptions writer_options,
+                                 recording::WriterStats& stats) {
     std::optional<recording::Writer> writer;
     std::optional<Recorder> recorder;
     options.prepare = [&](base::Micros begin) {
-        writer.emplace(recording::open_file_sink(path), make_header(script, begin), how);
+        writer.emplace(recording::open_file_sink(path), make_header(script, begin), writer_options);
         recorder.emplace(*writer);
         return std::vector<testbed::Observer*>{&*recorder};
     };
@@ -373,14 +366,12 @@
     };
     auto out = scenario::run_day(script, options);
     writer->finish();
-    figures = writer->stats();
+    stats = writer->stats();
     return out;
 }
 
-// ---- each governor for itself
-
 namespace {
-// The day's own clock as a wall clock would show it.
+// A time of the scenario's clock as RFC 3339, as if the clock were a wall clock.
 std::string wall_text(Micros t) {
     const std::time_t seconds = t.count() / 1000000;
     std::tm parts{};
@@ -392,11 +383,11 @@
 }
 }  // namespace
 
-InstanceRecorder::InstanceRecorder(std::string folder, const scenario::DayScript& script,
-                                   std::map<std::string, Micros> ahead)
-    : folder_(std::move(folder)),
+InstanceRecorder::InstanceRecorder(std::string directory, const scenario::DayScript& script,
+                                   std::map<std::string, Micros> clock_offsets)
+    : directory_(std::move(directory)),
       script_(script),
-      ahead_(std::move(ahead)) {}
+      clock_offsets_(std::move(clock_offsets)) {}
 
 void InstanceRecorder::on_started(Micros now, const xds_server::XdsServer& service) {
     auto settings = script_.settings;
@@ -404,12 +395,12 @@
     settings.set("governor", "ordinal", std::to_string(service.ordinal()));
     auto config = script_.governor;
     config.id = service.id();
-    paths_.push_back((std::filesystem::path(folder_) /
+    paths_.push_back((std::filesystem::path(directory_) /
                       (service.id() + "-" + std::to_string(paths_.size()) + ".rec"))
                          .string());
-    const auto it = ahead_.find(service.id());
-    const Micros begin = it == ahead_.end() ? now : now - it->second;
-    Open& open = open_[service.id()];
+    const auto it = clock_offsets_.find(service.id());
+    const Micros begin = it == clock_offsets_.end() ? now : now - it->second;
+    OpenRecording& open = open_[service.id()];
     open.writer = std::make_unique<recording::Writer>(
         recording::open_file_sink(paths_.back()),
         make_header(config, settings.to_text(), begin, wall_text(begin)),
@@ -441,25 +432,23 @@
     }
 }
 
-// ---- in words
-
 std::string to_text(const xds_server::XdsServer& service, const Event& event) {
-    const auto forwarder = [&](ProxyId proxy) {
+    const auto proxy_name = [&](ProxyId proxy) {
         return service.proxy_name(proxy);
     };
     return std::visit(
         Cases{
             [&](const event::EndpointListUpdate& e) {
                 std::string out = "list:";
-                for (const auto& row : e.endpoints) {
-                    out += " " + service.server_name(row.server) +
-                           (row.state == ServerState::Ready ? "" : " (drains)");
+                for (const auto& endpoint : e.endpoints) {
+                    out += " " + service.server_name(endpoint.server) +
+                           (endpoint.state == ServerState::Ready ? "" : " (drains)");
                 }
                 return out;
             },
             [&](const event::TimerFired& e) { return "timer " + e.token; },
-            [&](const event::ProxyConnected& e) { return forwarder(e.proxy) + " joined"; },
-            [&](const event::ProxyDisconnected& e) { return forwarder(e.proxy) + " left"; },
+            [&](const event::ProxyConnected& e) { return proxy_name(e.proxy) + " joined"; },
+            [&](const event::ProxyDisconnected& e) { return proxy_name(e.proxy) + " left"; },
             [&](const event::ServerLoadReport& e) {
                 return service.server_name(e.server) + " met by zone " +
                        std::to_string(e.zone.value) + ": " + std::to_string(e.attempts) +
@@ -467,7 +456,7 @@
                        std::to_string(e.mean_latency.count() / 1000) + " ms";
             },
             [&](const event::ProxyDemandReport& e) {
-                return forwarder(e.proxy) + " asked for operation " +
+                return proxy_name(e.proxy) + " asked for operation " +
                        std::to_string(e.operation.value) + ": " + std::to_string(e.attempts) +
                        " times in " + std::to_string(e.interval.count() / 1000) + " ms";
             },
@@ -475,14 +464,14 @@
                 return "probe of " + service.server_name(e.server);
             },
             [&](const event::ConfigAcknowledged& e) {
-                return forwarder(e.proxy) + " applied mark " + std::to_string(e.version.value);
+                return proxy_name(e.proxy) + " applied mark " + std::to_string(e.version.value);
             },
             [](const auto&) { return std::string("another event"); },
         },
         event);
 }
 
-std::string to_text(const xds_server::XdsServer& service, const Command& action) {
+std::string to_text(const xds_server::XdsServer& service, const Command& command) {
     const auto table = [](TableId t) {
         return "table " + std::to_string(t.value);
     };
@@ -515,7 +504,7 @@
             },
             [](const command::RequestAck& a) { return "mark " + std::to_string(a.version.value); },
         },
-        action);
+        command);
 }
 
 }  // namespace badgergrade::replay
--- a/src/replay/recorder.h
+++ b/src/replay/recorder.h
@@ -1,5 +1,7 @@
-// Writes down what passes in a day or at a governor: a watcher of the stand-ins, of the world and
-// of the governors.
+/// @file
+/// Records a scenario, or what single control plane instances receive and decide. The recorders
+/// observe the fakes, the simulated fleet and the instances, and write what they see as records of
+/// proto/badgergrade/recording/v1.
 #pragma once
 
 #include <map>
@@ -19,36 +21,41 @@
 using base::Micros;
 namespace pb = badgergrade::recording::v1;
 
-// The head of a day's recording, and of a governor's.
+/// The header of the recording of a whole scenario. `begin` is the clock's time at its start.
 pb::Header make_header(const scenario::DayScript& script, Micros begin);
+/// The header of the recording of one instance. `settings` is the INI text of its configuration and
+/// `wall_begin` the wall clock time of `begin`, as RFC 3339, empty under a virtual clock.
 pb::Header make_header(const config::InstanceConfig& config, const std::string& settings,
-                       Micros begin, const std::string& wall);
+                       Micros begin, const std::string& wall_begin);
 
-// How a try ended that its forwarder gave up with its client: behind testbed::TryEnd's own.
+/// Outcome of an attempt that its proxy abandoned when the client gave up or tried again. Recorded
+/// beside the values of testbed::TryEnd, so it must stay greater than all of them.
 inline constexpr std::uint32_t kAttemptAbandoned = 100;
 
-// One move of the world; `now` is of the writer's clock, the move's own time is not looked at.
-void write_action(recording::Writer& writer, Micros now, const scenario::TimedMove& move);
+/// Records one action on the fleet at the clock time `now`; the action's own time is ignored.
+void write_action(recording::Writer& writer, Micros now, const scenario::TimedMove& action);
 
+/// Writes everything that it observes to one recording.
 class Recorder final : public testbed::Observer, public xds_server::XdsServerObserver {
 public:
     explicit Recorder(recording::Writer& writer) : writer_(writer) {}
 
-    // Hears of the moves and troubles of this world; called before it starts.
+    /// Records the actions and faults of this fleet and observes its instances. To be called before
+    /// the fleet starts.
     void attach_to(scenario::World& world);
 
     void invocation_came(Micros, const testbed::Invocation&) override;
     void invocation_ended(Micros, const testbed::Invocation&, testbed::Result) override;
-    void try_sent(Micros, const std::string& forwarder, const std::string& server,
+    void try_sent(Micros, const std::string& proxy, const std::string& server,
                   std::uint64_t invocation, int operation, int number,
-                  testbed::TryEnd before) override;
-    void try_ended(Micros, const std::string& forwarder, const std::string& server,
+                  testbed::TryEnd previous) override;
+    void try_ended(Micros, const std::string& proxy, const std::string& server,
                    std::uint64_t invocation, testbed::TryEnd) override;
-    void joined(Micros, const std::string& forwarder, const std::string& governor) override;
-    void left(Micros, const std::string& forwarder, const std::string& governor) override;
-    void response_read(Micros, const std::string& forwarder, const std::string& governor,
-                       const std::string& orders, std::size_t bytes,
-                       const std::string& why) override;
+    void joined(Micros, const std::string& proxy, const std::string& instance) override;
+    void left(Micros, const std::string& proxy, const std::string& instance) override;
+    void response_read(Micros, const std::string& proxy, const std::string& instance,
+                       const std::string& release_text, std::size_t bytes,
+                       const std::string& rejection) override;
 
     void on_started(Micros, const xds_server::XdsServer&) override;
     void on_stopped(Micros, const xds_server::XdsServer&) override;
@@ -56,59 +63,62 @@
     void on_commands(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
 
 private:
-    struct OpenTry {
+    struct OpenAttempt {
         std::string server;
         Micros sent{};
         int operation = 0, number = 0;
     };
 
-    void struck(Micros now, const scenario::Trouble& trouble);
-    void write_try(Micros now, const std::string& forwarder, std::uint64_t invocation,
-                   const OpenTry& one, std::uint32_t end);
+    void write_fault(Micros now, const scenario::Trouble& fault);
+    void write_attempt(Micros now, const std::string& proxy, std::uint64_t invocation,
+                       const OpenAttempt& attempt, std::uint32_t outcome);
 
     recording::Writer& writer_;
-    // By invocation and forwarder: what is still on its way.
-    std::map<std::pair<std::uint64_t, std::string>, OpenTry> tries_;
+    // Attempts without an outcome so far, by invocation and proxy.
+    std::map<std::pair<std::uint64_t, std::string>, OpenAttempt> open_attempts_;
 };
 
-// Plays the script and records it at this path; what the options watch already is watched still.
-// `figures` is what the writer came to. Throws recording::WriteError where the file can't be made.
+/// Runs the scenario and records it to the file at `path`. Observers that `options` names keep
+/// observing. `stats` receives the writer's final counts. Throws recording::WriteError if the file
+/// cannot be created.
 scenario::DayRun record_scenario(const scenario::DayScript& script, scenario::DayOptions options,
-                                 const std::string& path, recording::WriterOptions how,
-                                 recording::WriterStats& figures);
+                                 const std::string& path, recording::WriterOptions writer_options,
+                                 recording::WriterStats& stats);
 
-// Records each life of each governor of a day in a file of its own, GOVERNOR-N.rec, as the
-// governors themselves would.
+/// Records each incarnation of each instance of a scenario to a file of its own, INSTANCE-N.rec, as
+/// the instances' own processes would. N counts all incarnations of the scenario.
 class InstanceRecorder final : public xds_server::XdsServerObserver {
 public:
-    // `ahead`: how far a governor's clock is ahead of the day's.
-    InstanceRecorder(std::string folder, const scenario::DayScript& script,
-                     std::map<std::string, Micros> ahead = {});
+    /// `clock_offsets`: by instance, how far its clock is ahead of the scenario's.
+    InstanceRecorder(std::string directory, const scenario::DayScript& script,
+                     std::map<std::string, Micros> clock_offsets = {});
     void on_started(Micros, const xds_server::XdsServer&) override;
     void on_stopped(Micros, const xds_server::XdsServer&) override;
     void on_event(Micros, const xds_server::XdsServer&, const Event&) override;
     void on_commands(Micros, const xds_server::XdsServer&, const std::vector<Command>&) override;
 
-    // Ends those that still run.
+    /// Finishes the recordings of the incarnations that still run.
     void close() { open_.clear(); }
 
+    /// The files that were created so far.
     const std::vector<std::string>& paths() const { return paths_; }
 
 private:
-    struct Open {
+    struct OpenRecording {
         std::unique_ptr<recording::Writer> writer;
         std::unique_ptr<Recorder> recorder;
     };
 
-    std::string folder_;
+    std::string directory_;
     const scenario::DayScript& script_;
-    std::map<std::string, Micros> ahead_;
-    std::map<std::string, Open> open_;
+    std::map<std::string, Micros> clock_offsets_;
+    std::map<std::string, OpenRecording> open_;
     std::vector<std::string> paths_;
 };
 
-// What the module heard or decided, in words; names as the governor has them.
+/// What the policy of an instance received or decided, as text for people. Proxies and servers are
+/// called by the names that the instance has for them.
 std::string to_text(const xds_server::XdsServer& service, const Event& event);
-std::string to_text(const xds_server::XdsServer& service, const Command& action);
+std::string to_text(const xds_server::XdsServer& service, const Command& command);
 
 }  // namespace badgergrade::replay
--- a/src/replay/report.cpp
+++ b/src/replay/report.cpp
@@ -75,10 +75,10 @@
 }
 
 // One shade a trouble, named above the first panel; names that would overlap go to further rows.
-void shades(std::ostream& out, const RecordedRun& day, Micros from, Micros to, bool names) {
+void shades(std::ostream& out, const RecordedRun& recorded, Micros from, Micros to, bool names) {
     double row_end[4] = {-1e9, -1e9, -1e9, -1e9};
     const double width = to_seconds(to - from);
-    for (const auto& trouble : day.faults) {
+    for (const auto& trouble : recorded.faults) {
         const double begin = std::max(to_seconds(from), to_seconds(trouble.start));
         const double end =
             trouble.duration.count() > 0
@@ -105,7 +105,7 @@
 
 }  // namespace
 
-std::string plot_script(const RecordedRun& day, const Comparison& comparison,
+std::string plot_script(const RecordedRun& recorded, const Comparison& comparison,
                         const std::string& output) {
     const Micros from = comparison.a.first_replay.from;
     const Micros to = comparison.a.first_replay.to;
@@ -122,7 +122,7 @@
     const auto panel = [&](double bottom, double top, const char* label, int column,
                            const char* style, bool last) {
         out << "unset object\nunset label\n";
-        shades(out, day, from, to, column == 2);
+        shades(out, recorded, from, to, column == 2);
         out << "set bmargin at screen " << bottom << "\nset tmargin at screen " << top << "\n";
         out << "set ylabel '" << label << "'\n"
             << (column == 2 ? "set yrange [*:1.005]\n" : "set yrange [0:*]\n");
@@ -140,7 +140,7 @@
     return out.str();
 }
 
-std::string draw_svg(const RecordedRun& day, const Comparison& comparison) {
+std::string draw_svg(const RecordedRun& recorded, const Comparison& comparison) {
     std::string path = (std::filesystem::temp_directory_path() / "badgergrade-XXXXXX").string();
     const int made = mkstemp(path.data());
     if (made < 0) {
@@ -159,7 +159,7 @@
         throw std::runtime_error(
             "gnuplot can't be run; it draws the pictures (package gnuplot-nox)");
     }
-    const std::string script = plot_script(day, comparison, path);
+    const std::string script = plot_script(recorded, comparison, path);
     std::fwrite(script.data(), 1, script.size(), gnuplot);
     const int code = pclose(gnuplot);
     std::ifstream in(path, std::ios::binary);
@@ -172,7 +172,7 @@
     return svg.str();
 }
 
-std::string html_page(const RecordedRun& day, const Comparison& comparison,
+std::string html_page(const RecordedRun& recorded, const Comparison& comparison,
                       const std::string& svg) {
     std::ostringstream out;
     out << std::fixed;
@@ -184,7 +184,7 @@
     };
     out << "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><meta "
            "name=\"viewport\" content=\"width=device-width\">\n<title>"
-        << escaped(day.header.made_by())
+        << escaped(recorded.header.made_by())
         << ": two settings</title>\n<style>\n"
            "body{font:16px/1.5 system-ui,sans-serif;color:#222;max-width:64rem;margin:2rem "
            "auto;padding:0 1rem}\n"
@@ -197,16 +197,16 @@
            "svg{width:100%;height:auto}code{background:#f4f4f4;padding:0 "
            ".25rem}pre{background:#f7f7f7;padding:.8rem;white-space:pre-wrap}\n"
            "</style></head><body>\n";
-    out << "<h1>" << escaped(day.header.made_by()) << " under two settings</h1>\n<p>"
-        << day.invocations << " invocations recorded, " << digits(to_seconds(day.length), false)
-        << " s, seed " << day.header.seed()
+    out << "<h1>" << escaped(recorded.header.made_by()) << " under two settings</h1>\n<p>"
+        << recorded.invocations << " invocations recorded, "
+        << digits(to_seconds(recorded.length), false) << " s, seed " << recorded.header.seed()
         << ". Service is the billed value answered within the latency objective, "
            "by part of that asked for; a retry counts with its first try.";
-    if (day.record_counts.contains("results")) {
+    if (recorded.record_counts.contains("results")) {
         out << " As recorded: <b>"
-            << digits(day.figures["whole_day"]["service"].get<double>(), true) << "</b>.";
+            << digits(recorded.figures["whole_day"]["service"].get<double>(), true) << "</b>.";
     }
-    for (const auto& note : day.header.notes()) {
+    for (const auto& note : recorded.header.notes()) {
         out << " (" << escaped(note) << ")";
     }
     out << " The workers, forwarders and clients of this replay are stand-ins; the governors are "
--- a/src/replay/runner.cpp
+++ b/src/replay/runner.cpp
@@ -102,20 +102,21 @@
     return out;
 }
 
-ReplayResult run_replay(const RecordedRun& day, const Variant& variant,
+ReplayResult run_replay(const RecordedRun& recorded, const Variant& variant,
                         const ReplayOptions& options) {
     std::vector<config::ConfigError> errors;
-    ReplayInput replay_input = make_replay_input(day, variant, errors);
+    ReplayInput replay_input = make_replay_input(recorded, variant, errors);
     if (!errors.empty()) {
         throw std::runtime_error(config::to_text(errors.front()));
     }
     ReplayResult out;
     out.from = options.from;
-    out.to = options.to > 0us ? options.to : day.length;
-    if (out.from < 0us || out.from >= out.to || out.to > day.length) {
-        throw std::runtime_error("expected a span within the recording, from 0 to " +
-                                 std::to_string(static_cast<double>(day.length.count()) / 1e6) +
-                                 " s, that ends after it starts");
+    out.to = options.to > 0us ? options.to : recorded.length;
+    if (out.from < 0us || out.from >= out.to || out.to > recorded.length) {
+        throw std::runtime_error(
+            "expected a span within the recording, from 0 to " +
+            std::to_string(static_cast<double>(recorded.length.count()) / 1e6) +
+            " s, that ends after it starts");
     }
     if (options.seed) {
         replay_input.script.seed = *options.seed;
--- a/src/replay/runner.h
+++ b/src/replay/runner.h
@@ -111,7 +111,7 @@
 
 /// Runs one replay. Throws std::runtime_error if the variant contradicts the recording or [from,
 /// to) is not within it.
-ReplayResult run_replay(const RecordedRun& day, const Variant& variant,
+ReplayResult run_replay(const RecordedRun& recorded, const Variant& variant,
                         const ReplayOptions& options);
 
 }  // namespace badgergrade::replay
--- a/src/replay/variant.cpp
+++ b/src/replay/variant.cpp
@@ -62,17 +62,17 @@
     return out;
 }
 
-std::size_t initial_server_count(const RecordedRun& day) {
+std::size_t initial_server_count(const RecordedRun& recorded) {
     return static_cast<std::size_t>(std::count_if(
-        day.input.moves.begin(), day.input.moves.end(), [](const scenario::TimedMove& m) {
+        recorded.input.moves.begin(), recorded.input.moves.end(), [](const scenario::TimedMove& m) {
             return m.opening && m.what.kind == scenario::MoveKind::AddWorker;
         }));
 }
 
 class VariantReader {
 public:
-    VariantReader(const RecordedRun& day, Variant& variant, std::vector<ConfigError>& errors)
-        : day_(day),
+    VariantReader(const RecordedRun& recorded, Variant& variant, std::vector<ConfigError>& errors)
+        : recorded_(recorded),
           variant_(variant),
           errors_(errors) {}
 
@@ -85,14 +85,14 @@
         if (section == "replay") {
             return replay_setting(key, value, report);
         }
-        const config::IniEntry* recorded = find(day_.settings, section, key);
+        const config::IniEntry* entry = find(recorded_.settings, section, key);
         switch (kind_of(section, key)) {
             case SettingKind::Ignored:
                 return;
             case SettingKind::Fixed:
-                if (!recorded || without_spaces(recorded->value) != without_spaces(value)) {
+                if (!entry || without_spaces(entry->value) != without_spaces(value)) {
                     report("expected no change of what the recording fixes" +
-                           (recorded ? " (" + recorded->value + ")" : std::string()) +
+                           (entry ? " (" + entry->value + ")" : std::string()) +
                            ", got another value");
                 }
                 return;
@@ -131,28 +131,29 @@
             value.pop_back();
         }
         const auto number = parse_number(value);
-        const auto recorded = static_cast<double>(initial_server_count(day_));
+        const auto recorded_servers = static_cast<double>(initial_server_count(recorded_));
         if (!number || value.empty() || (value.front() != '+' && value.front() != '-')) {
             return report("expected a signed change, for example: workers = +10% or workers = -2");
         }
         const double change =
-            percent ? std::copysign(std::ceil(std::abs(*number) / 100 * recorded - 1e-9), *number)
+            percent ? std::copysign(std::ceil(std::abs(*number) / 100 * recorded_servers - 1e-9),
+                                    *number)
                     : *number;
         if (change != std::floor(change)) {
             return report("expected an integer or a percentage");
         }
-        if (recorded + change < 1) {
+        if (recorded_servers + change < 1) {
             return report("expected at least one server to remain of " +
-                          std::to_string(std::llround(recorded)));
+                          std::to_string(std::llround(recorded_servers)));
         }
-        if (recorded + change > 10 * recorded) {
+        if (recorded_servers + change > 10 * recorded_servers) {
             return report("expected at most ten times the recorded number of servers, which is " +
-                          std::to_string(std::llround(recorded)));
+                          std::to_string(std::llround(recorded_servers)));
         }
         variant_.added_servers = static_cast<int>(change);
     }
 
-    const RecordedRun& day_;
+    const RecordedRun& recorded_;
     Variant& variant_;
     std::vector<ConfigError>& errors_;
 };
@@ -261,11 +262,11 @@
     return std::pair{name, value};
 }
 
-Variant read_variant(const RecordedRun& day, const std::optional<config::IniFile>& file,
+Variant read_variant(const RecordedRun& recorded, const std::optional<config::IniFile>& file,
                      const SettingOverrides& overrides, std::vector<ConfigError>& errors) {
     Variant out;
-    out.settings = day.settings;
-    VariantReader reader(day, out, errors);
+    out.settings = recorded.settings;
+    VariantReader reader(recorded, out, errors);
     if (file) {
         out.name = file->name();
         for (const auto& entry : file->entries()) {
@@ -282,25 +283,26 @@
     }
     // Checks the settings as a whole, so that errors are found before the replay.
     if (errors.empty()) {
-        make_script(day, out, errors);
+        make_script(recorded, out, errors);
     }
     return out;
 }
 
-scenario::DayScript make_script(const RecordedRun& day, const Variant& variant,
+scenario::DayScript make_script(const RecordedRun& recorded, const Variant& variant,
                                 std::vector<ConfigError>& errors) {
-    auto out = scenario::parse_script(day.header.made_by(), day.script, variant.settings, errors);
+    auto out = scenario::parse_script(recorded.header.made_by(), recorded.script, variant.settings,
+                                      errors);
     if (!errors.empty()) {
         return out;
     }
-    out.name = day.header.made_by();
-    out.seed = day.header.seed();
-    out.length = day.length;
+    out.name = recorded.header.made_by();
+    out.seed = recorded.header.seed();
+    out.length = recorded.length;
     out.startup = variant.startup_servers.value_or(out.startup);
     out.workers += variant.added_servers;
     out.rate *= variant.traffic_factor;
     const auto& columns = out.governor.settings.load_metric_names;
-    const bool reported = std::any_of(day.input.moves.begin(), day.input.moves.end(),
+    const bool reported = std::any_of(recorded.input.moves.begin(), recorded.input.moves.end(),
                                       [](const auto& m) { return m.what.worker.reports_load; });
     if (!columns.empty() && !reported) {
         errors.push_back(
@@ -310,18 +312,18 @@
     return out;
 }
 
-ReplayInput make_replay_input(const RecordedRun& day, const Variant& variant,
+ReplayInput make_replay_input(const RecordedRun& recorded, const Variant& variant,
                               std::vector<ConfigError>& errors) {
-    ReplayInput out{make_script(day, variant, errors), {}};
+    ReplayInput out{make_script(recorded, variant, errors), {}};
     if (!errors.empty()) {
         return out;
     }
-    out.input = day.input;
+    out.input = recorded.input;
     if (variant.added_servers != 0) {
         change_server_count(out.input, variant.added_servers, out.script.seed);
     }
     if (variant.traffic_factor != 1) {
-        change_traffic(out.input, variant.traffic_factor, out.script.seed, day.length);
+        change_traffic(out.input, variant.traffic_factor, out.script.seed, recorded.length);
     }
     return out;
 }
--- a/src/replay/variant.h
+++ b/src/replay/variant.h
@@ -45,14 +45,14 @@
 
 /// Reads the changes in `file` and then in `overrides`. All errors are added to `errors`; the
 /// variant is valid only if there are none.
-Variant read_variant(const RecordedRun& day, const std::optional<config::IniFile>& file,
+Variant read_variant(const RecordedRun& recorded, const std::optional<config::IniFile>& file,
                      const SettingOverrides& overrides, std::vector<config::ConfigError>& errors);
 /// Splits "section.key=value"; nothing if `text` does not have that form.
 std::optional<std::pair<std::string, std::string>> parse_override(const std::string& text);
 
 /// The recorded script under the variant's settings. Settings that contradict the recording are
 /// added to `errors`.
-scenario::DayScript make_script(const RecordedRun& day, const Variant& variant,
+scenario::DayScript make_script(const RecordedRun& recorded, const Variant& variant,
                                 std::vector<config::ConfigError>& errors);
 
 struct ReplayInput {
@@ -62,7 +62,7 @@
 
 /// That script, and the recorded actions and invocations with the variant's changes of fleet and
 /// traffic.
-ReplayInput make_replay_input(const RecordedRun& day, const Variant& variant,
+ReplayInput make_replay_input(const RecordedRun& recorded, const Variant& variant,
                               std::vector<config::ConfigError>& errors);
 
 }  // namespace badgergrade::replay
