--- a/src/replay/compare.cpp
+++ b/src/replay/compare.cpp
@@ -11,86 +11,87 @@
 
 namespace {
 
-constexpr std::size_t kTextShown = 300;
+// Longer texts of trace entries are cut off.
+constexpr std::size_t kMaxShownChars = 300;
 
-VariantResult play_often(const RecordedRun& recorded, const Variant& variant, int runs,
-                         const ReplayOptions& options) {
+VariantResult replay_repeatedly(const RecordedRun& recorded, const Variant& variant, int runs,
+                                const ReplayOptions& options) {
     VariantResult out;
     out.variant = variant;
     out.runs = runs;
-    std::string text;
+    std::string first_result;
     for (int n = 0; n < runs; ++n) {
-        ReplayResult played = run_replay(recorded, variant, options);
-        out.service.push_back(played.run.result["figures"]["whole_day"]["service"].get<double>());
+        ReplayResult replay = run_replay(recorded, variant, options);
+        out.service.push_back(replay.run.result["figures"]["whole_day"]["service"].get<double>());
         if (n == 0) {
-            text = played.run.result.dump();
-            out.first_replay = std::move(played);
+            first_result = replay.run.result.dump();
+            out.first_replay = std::move(replay);
         } else {
-            // The decisions as well: two days may come to the same by other ways.
-            out.identical = out.identical && played.run.result.dump() == text &&
-                            played.trace == out.first_replay.trace;
+            // The traces too, since different decisions may lead to the same figures.
+            out.identical = out.identical && replay.run.result.dump() == first_result &&
+                            replay.trace == out.first_replay.trace;
         }
     }
     return out;
 }
 
-std::string shown(const std::optional<Trace::Entry>& step, bool decision) {
-    if (!step) {
-        return "nothing more";
+std::string describe(const std::optional<Trace::Entry>& entry, bool decision) {
+    if (!entry) {
+        return "no further entry";
     }
-    std::string text = step->text.empty() ? "(text not kept)" : step->text;
-    if (text.size() > kTextShown) {
-        text = text.substr(0, kTextShown) + " ...";
+    std::string text = entry->text.empty() ? "(text not kept)" : entry->text;
+    if (text.size() > kMaxShownChars) {
+        text = text.substr(0, kMaxShownChars) + " ...";
     }
-    return scenario::in_seconds(step->at) + " " + step->governor +
-           (decision ? " decided: " : " heard: ") + text;
+    return scenario::in_seconds(entry->at) + " " + entry->governor +
+           (decision ? " decided: " : " received: ") + text;
 }
 
-void put(std::vector<FigurePair>& out, const std::string& name, const ordered_json& a,
-         const ordered_json& b, bool part) {
-    out.push_back(
-        {name, a.is_number() ? a.get<double>() : 0, b.is_number() ? b.get<double>() : 0, part});
+void add_figure(std::vector<FigurePair>& out, const std::string& name, const ordered_json& a,
+                const ordered_json& b, bool is_fraction) {
+    out.push_back({name, a.is_number() ? a.get<double>() : 0, b.is_number() ? b.get<double>() : 0,
+                   is_fraction});
 }
 
-ordered_json setting_json(const VariantResult& setting) {
-    ordered_json out = setting.first_replay.run.result;
-    out["setting"] = setting.variant.name;
-    out["runs"] = setting.runs;
-    out["runs_match"] = setting.identical;
+ordered_json variant_json(const VariantResult& result) {
+    ordered_json out = result.first_replay.run.result;
+    out["setting"] = result.variant.name;
+    out["runs"] = result.runs;
+    out["runs_match"] = result.identical;
     return out;
 }
 
-ordered_json parting_json(const std::optional<Divergence>& parting) {
-    if (!parting) {
+ordered_json divergence_json(const std::optional<Divergence>& divergence) {
+    if (!divergence) {
         return nullptr;
     }
-    const auto one = [](const std::optional<Trace::Entry>& step) -> ordered_json {
-        if (!step) {
+    const auto entry_json = [](const std::optional<Trace::Entry>& entry) -> ordered_json {
+        if (!entry) {
             return nullptr;
         }
-        return {{"at_s", static_cast<double>(step->at.count()) / 1e6},
-                {"governor", step->governor},
-                {"text", step->text}};
+        return {{"at_s", static_cast<double>(entry->at.count()) / 1e6},
+                {"governor", entry->governor},
+                {"text", entry->text}};
     };
-    return {{"at_s", static_cast<double>(parting->at().count()) / 1e6},
-            {"a", one(parting->a)},
-            {"b", one(parting->b)}};
+    return {{"at_s", static_cast<double>(divergence->at().count()) / 1e6},
+            {"a", entry_json(divergence->a)},
+            {"b", entry_json(divergence->b)}};
 }
 
 }  // namespace
 
 std::optional<Divergence> first_divergence(const std::vector<Trace::Entry>& a,
                                            const std::vector<Trace::Entry>& b, bool decisions) {
-    const auto next = [&](const std::vector<Trace::Entry>& steps, std::size_t at) {
-        while (at < steps.size() && steps[at].decision != decisions) {
-            ++at;
+    const auto next = [&](const std::vector<Trace::Entry>& entries, std::size_t from) {
+        while (from < entries.size() && entries[from].decision != decisions) {
+            ++from;
         }
-        return at;
+        return from;
     };
     std::size_t i = next(a, 0);
     std::size_t j = next(b, 0);
-    std::size_t step = 0;
-    for (; i < a.size() && j < b.size() && a[i] == b[j]; ++step) {
+    std::size_t index = 0;
+    for (; i < a.size() && j < b.size() && a[i] == b[j]; ++index) {
         i = next(a, i + 1);
         j = next(b, j + 1);
     }
@@ -98,7 +99,7 @@
         return std::nullopt;
     }
     Divergence out;
-    out.index = step;
+    out.index = index;
     if (i < a.size()) {
         out.a = a[i];
     }
@@ -110,8 +111,10 @@
 
 Comparison compare(const RecordedRun& recorded, const Variant& a, const Variant& b, int runs,
                    const ReplayOptions& options) {
-    Comparison out{
-        play_often(recorded, a, runs, options), play_often(recorded, b, runs, options), {}, {}};
+    Comparison out{replay_repeatedly(recorded, a, runs, options),
+                   replay_repeatedly(recorded, b, runs, options),
+                   {},
+                   {}};
     out.event_divergence =
         first_divergence(out.a.first_replay.trace, out.b.first_replay.trace, false);
     out.decision_divergence =
@@ -122,14 +125,15 @@
 std::vector<FigurePair> compare_figures(const Comparison& comparison) {
     const auto& a = comparison.a.first_replay.run.result;
     const auto& b = comparison.b.first_replay.run.result;
-    const auto& fa = a["figures"];
-    const auto& fb = b["figures"];
+    const auto& figures_a = a["figures"];
+    const auto& figures_b = b["figures"];
     std::vector<FigurePair> out;
-    put(out, "whole day", fa["whole_day"]["service"], fb["whole_day"]["service"], true);
-    put(out, "worst 10 s", fa["worst_10_s"], fb["worst_10_s"], true);
+    add_figure(out, "whole day", figures_a["whole_day"]["service"],
+               figures_b["whole_day"]["service"], true);
+    add_figure(out, "worst 10 s", figures_a["worst_10_s"], figures_b["worst_10_s"], true);
     for (const auto* group : {"by_operation", "by_zone"}) {
         std::set<std::string> names;
-        for (const auto* f : {&fa, &fb}) {
+        for (const auto* f : {&figures_a, &figures_b}) {
             if (f->contains(group)) {
                 for (const auto& [name, unused] : (*f)[group].items()) {
                     names.insert(name);
@@ -137,39 +141,43 @@
             }
         }
         for (const auto& name : names) {
-            const auto one = [&](const ordered_json& f) -> ordered_json {
+            const auto service = [&](const ordered_json& f) -> ordered_json {
                 return f.contains(group) && f[group].contains(name) ? f[group][name]["service"]
                                                                     : ordered_json();
             };
-            put(out, (std::string(group) == "by_zone" ? "site " : "") + name, one(fa), one(fb),
-                true);
+            add_figure(out, (std::string(group) == "by_zone" ? "site " : "") + name,
+                       service(figures_a), service(figures_b), true);
         }
     }
     for (const auto* key : {"succeeded", "late", "rate_limited", "errored", "timed_out"}) {
-        put(out, key, fa["whole_day"][key], fb["whole_day"][key], false);
+        add_figure(out, key, figures_a["whole_day"][key], figures_b["whole_day"][key], false);
     }
-    put(out, "tries by clients", fa["tries"]["by_clients"], fb["tries"]["by_clients"], false);
-    put(out, "tries by forwarders", fa["tries"]["by_forwarders"], fb["tries"]["by_forwarders"],
-        false);
-    put(out, "further tries", fa["tries"]["further"], fb["tries"]["further"], false);
-    put(out, "servers pushed over", fa["servers"]["pushed_over"], fb["servers"]["pushed_over"],
-        false);
-    const auto sum = [](const ordered_json& f, const char* key) {
-        double all = 0;
+    add_figure(out, "tries by clients", figures_a["tries"]["by_clients"],
+               figures_b["tries"]["by_clients"], false);
+    add_figure(out, "tries by forwarders", figures_a["tries"]["by_forwarders"],
+               figures_b["tries"]["by_forwarders"], false);
+    add_figure(out, "further tries", figures_a["tries"]["further"], figures_b["tries"]["further"],
+               false);
+    add_figure(out, "servers pushed over", figures_a["servers"]["pushed_over"],
+               figures_b["servers"]["pushed_over"], false);
+    const auto sum_over_instances = [](const ordered_json& f, const char* key) {
+        double sum = 0;
         if (f.contains("governors")) {
-            for (const auto& [name, g] : f["governors"].items()) {
-                all += g[key].get<double>();
+            for (const auto& [name, instance] : f["governors"].items()) {
+                sum += instance[key].get<double>();
             }
         }
-        return ordered_json(all);
+        return ordered_json(sum);
     };
-    put(out, "lines ordered", sum(fa, "lines"), sum(fb, "lines"), false);
-    put(out, "messages ordered", sum(fa, "orders_applied"), sum(fb, "orders_applied"), false);
-    put(out, "list change to applied p99, ms", fa["list_change_to_applied_ms"]["p99"],
-        fb["list_change_to_applied_ms"]["p99"], false);
+    add_figure(out, "lines ordered", sum_over_instances(figures_a, "lines"),
+               sum_over_instances(figures_b, "lines"), false);
+    add_figure(out, "messages ordered", sum_over_instances(figures_a, "orders_applied"),
+               sum_over_instances(figures_b, "orders_applied"), false);
+    add_figure(out, "list change to applied p99, ms", figures_a["list_change_to_applied_ms"]["p99"],
+               figures_b["list_change_to_applied_ms"]["p99"], false);
     for (const char* rule : scenario::kRules) {
-        put(out, std::string("breaks of rule ") + rule, a["rules"][rule]["broken"],
-            b["rules"][rule]["broken"], false);
+        add_figure(out, std::string("breaks of rule ") + rule, a["rules"][rule]["broken"],
+                   b["rules"][rule]["broken"], false);
     }
     return out;
 }
@@ -202,11 +210,11 @@
     }
     std::vector<std::string> out;
     for (const auto& key : keys) {
-        const auto one = [&](const auto& from) {
-            return from.contains(key) ? from.at(key) : std::string("as usual");
+        const auto value_of = [&](const auto& values_by_key) {
+            return values_by_key.contains(key) ? values_by_key.at(key) : std::string("not set");
         };
-        if (one(a) != one(b)) {
-            out.push_back(key + ": " + one(a) + " under A, " + one(b) + " under B");
+        if (value_of(a) != value_of(b)) {
+            out.push_back(key + ": " + value_of(a) + " under A, " + value_of(b) + " under B");
         }
     }
     return out;
@@ -214,32 +222,32 @@
 
 std::vector<std::string> divergence_text(const Comparison& comparison) {
     if (!comparison.event_divergence && !comparison.decision_divergence) {
-        return {"the governors heard and decided the same all day"};
+        return {"the instances received the same events and made the same decisions throughout"};
     }
     std::vector<std::string> out;
-    const bool heard_first =
+    const bool event_first =
         comparison.event_divergence &&
         (!comparison.decision_divergence ||
          comparison.event_divergence->at() <= comparison.decision_divergence->at());
-    const auto tell = [&](const std::optional<Divergence>& parting, bool decision) {
-        if (!parting) {
+    const auto add = [&](const std::optional<Divergence>& divergence, bool decision) {
+        if (!divergence) {
             return;
         }
-        out.push_back((decision ? "first other decision at " : "first heard otherwise at ") +
-                      scenario::in_seconds(parting->at()));
-        out.push_back("  A: " + shown(parting->a, decision));
-        out.push_back("  B: " + shown(parting->b, decision));
+        out.push_back((decision ? "first different decision at " : "first different event at ") +
+                      scenario::in_seconds(divergence->at()));
+        out.push_back("  A: " + describe(divergence->a, decision));
+        out.push_back("  B: " + describe(divergence->b, decision));
     };
-    if (heard_first) {
-        tell(comparison.event_divergence, false);
+    if (event_first) {
+        add(comparison.event_divergence, false);
     }
-    tell(comparison.decision_divergence, true);
-    if (!heard_first) {
-        tell(comparison.event_divergence, false);
+    add(comparison.decision_divergence, true);
+    if (!event_first) {
+        add(comparison.event_divergence, false);
     }
-    if (!heard_first && comparison.decision_divergence) {
+    if (!event_first && comparison.decision_divergence) {
         out.emplace_back(
-            "until then they had heard the same: the settings alone made the difference");
+            "until then both received the same events: the settings alone made the difference");
     }
     return out;
 }
@@ -250,14 +258,16 @@
     out["recorded"] = {{"service", recorded.figures["whole_day"]["service"]},
                        {"worst_10_s", recorded.figures["worst_10_s"]}};
     out["changed"] = changed_settings(comparison);
-    for (const auto& one : compare_figures(comparison)) {
-        out["differences"].push_back(
-            {{"what", one.name}, {"a", one.a}, {"b", one.b}, {"b_less_a", one.b - one.a}});
+    for (const auto& figure : compare_figures(comparison)) {
+        out["differences"].push_back({{"what", figure.name},
+                                      {"a", figure.a},
+                                      {"b", figure.b},
+                                      {"b_less_a", figure.b - figure.a}});
     }
-    out["first_heard_otherwise"] = parting_json(comparison.event_divergence);
-    out["first_other_decision"] = parting_json(comparison.decision_divergence);
-    out["a"] = setting_json(comparison.a);
-    out["b"] = setting_json(comparison.b);
+    out["first_heard_otherwise"] = divergence_json(comparison.event_divergence);
+    out["first_other_decision"] = divergence_json(comparison.decision_divergence);
+    out["a"] = variant_json(comparison.a);
+    out["b"] = variant_json(comparison.b);
     return out;
 }
 
@@ -270,33 +280,33 @@
         out << "; as recorded: service " << recorded.figures["whole_day"]["service"].get<double>();
     }
     out << "\n";
-    const auto setting = [&](const char* which, const VariantResult& s) {
-        out << which << ": " << s.variant.name << ": " << s.runs << " runs, "
+    const auto add_variant = [&](const char* letter, const VariantResult& s) {
+        out << letter << ": " << s.variant.name << ": " << s.runs << " runs, "
             << (s.identical ? "the same to the byte" : "they DIFFER");
         if (!s.identical) {
-            const auto [least, most] = std::minmax_element(s.service.begin(), s.service.end());
-            out << ", service from " << *least << " to " << *most;
+            const auto [min, max] = std::minmax_element(s.service.begin(), s.service.end());
+            out << ", service from " << *min << " to " << *max;
         }
         out << "\n";
     };
-    setting("A", comparison.a);
-    setting("B", comparison.b);
+    add_variant("A", comparison.a);
+    add_variant("B", comparison.b);
     for (const auto& text : changed_settings(comparison)) {
         out << "  " << text << "\n";
     }
     out << "                                     A           B       B - A\n";
-    for (const auto& one : compare_figures(comparison)) {
-        // Counts that are 0 on both sides say nothing; rules always do.
-        if (!one.is_fraction && one.a == 0 && one.b == 0 &&
-            one.name.find("rule") == std::string::npos) {
+    for (const auto& figure : compare_figures(comparison)) {
+        // Counts that are 0 in both variants are left out, except violations of rules.
+        if (!figure.is_fraction && figure.a == 0 && figure.b == 0 &&
+            figure.name.find("rule") == std::string::npos) {
             continue;
         }
-        out.precision(one.is_fraction ? 4 : 0);
-        out << "  " << one.name
-            << std::string(one.name.size() < 30 ? 30 - one.name.size() : 1, ' ');
-        for (const double v : {one.a, one.b, one.b - one.a}) {
+        out.precision(figure.is_fraction ? 4 : 0);
+        out << "  " << figure.name
+            << std::string(figure.name.size() < 30 ? 30 - figure.name.size() : 1, ' ');
+        for (const double v : {figure.a, figure.b, figure.b - figure.a}) {
             std::ostringstream cell;
-            cell.precision(one.is_fraction ? 4 : 0);
+            cell.precision(figure.is_fraction ? 4 : 0);
             cell << std::fixed << v;
             out << std::string(cell.str().size() < 12 ? 12 - cell.str().size() : 1, ' ')
                 << cell.str();
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -331,8 +331,7 @@
                     to.mutable_admission()->set_table(table_number(a.table));
                     to.mutable_admission()->set_operations(a.operations);
                     to.mutable_admission()->set_limit(a.limit);
-                    to.mutable_admission()->set_retry_mode(
-                        static_cast<std::uint32_t>(a.retry_mode));
+                    to.mutable_admission()->set_retries(static_cast<std::uint32_t>(a.retry_mode));
                 },
                 [&](const command::RequestAck& a) { to.set_requested_ack(a.version.value); },
                 [&](const command::LogMessage& a) { to.set_log_message(a.text); },
@@ -439,32 +438,35 @@
     return std::visit(
         Cases{
             [&](const event::EndpointListUpdate& e) {
-                std::string out = "list:";
+                std::string out = "endpoint list:";
                 for (const auto& endpoint : e.endpoints) {
                     out += " " + service.server_name(endpoint.server) +
-                           (endpoint.state == ServerState::Ready ? "" : " (drains)");
+                           (endpoint.state == ServerState::Ready ? "" : " (draining)");
                 }
                 return out;
             },
             [&](const event::TimerFired& e) { return "timer " + e.token; },
-            [&](const event::ProxyConnected& e) { return proxy_name(e.proxy) + " joined"; },
-            [&](const event::ProxyDisconnected& e) { return proxy_name(e.proxy) + " left"; },
+            [&](const event::ProxyConnected& e) { return proxy_name(e.proxy) + " connected"; },
+            [&](const event::ProxyDisconnected& e) {
+                return proxy_name(e.proxy) + " disconnected";
+            },
             [&](const event::ServerLoadReport& e) {
-                return service.server_name(e.server) + " met by zone " +
+                return service.server_name(e.server) + " reported by zone " +
                        std::to_string(e.zone.value) + ": " + std::to_string(e.attempts) +
-                       " tries, " + std::to_string(e.failures) + " errored, " +
+                       " attempts, " + std::to_string(e.failures) + " failures, mean latency " +
                        std::to_string(e.mean_latency.count() / 1000) + " ms";
             },
             [&](const event::ProxyDemandReport& e) {
-                return proxy_name(e.proxy) + " asked for operation " +
+                return proxy_name(e.proxy) + " requested operation " +
                        std::to_string(e.operation.value) + ": " + std::to_string(e.attempts) +
-                       " times in " + std::to_string(e.interval.count() / 1000) + " ms";
+                       " attempts in " + std::to_string(e.interval.count() / 1000) + " ms";
             },
             [&](const event::HealthCheckResult& e) {
-                return "probe of " + service.server_name(e.server);
+                return "health check of " + service.server_name(e.server);
             },
             [&](const event::ConfigAcknowledged& e) {
-                return proxy_name(e.proxy) + " applied mark " + std::to_string(e.version.value);
+                return proxy_name(e.proxy) + " acknowledged version " +
+                       std::to_string(e.version.value);
             },
             [](const auto&) { return std::string("another event"); },
         },
@@ -472,37 +474,40 @@
 }
 
 std::string to_text(const xds_server::XdsServer& service, const Command& command) {
-    const auto table = [](TableId t) {
+    const auto table_name = [](TableId t) {
         return "table " + std::to_string(t.value);
     };
     return std::visit(
         Cases{
             [](const command::SetTimer& a) { return "timer " + a.token; },
-            [](const command::LogMessage& a) { return "says: " + a.text; },
+            [](const command::LogMessage& a) { return "log: " + a.text; },
             [](const command::WatchEndpoints& a) {
-                return std::string(a.enabled ? "watches the list" : "stops watching the list");
+                return std::string(a.enabled ? "watch endpoints" : "stop watching endpoints");
             },
-            [](const command::FetchEndpoints&) { return std::string("fetches the list"); },
+            [](const command::FetchEndpoints&) { return std::string("fetch endpoints"); },
             [&](const command::CheckHealth& a) {
-                return "probes " + service.server_name(a.server);
+                return "check health of " + service.server_name(a.server);
             },
-            [](const command::SendGossip&) { return std::string("tells another governor"); },
+            [](const command::SendGossip&) { return std::string("send gossip"); },
             [&](const command::SetWeight& a) {
-                return table(a.table) + ": " + service.server_name(a.server) +
-                       (a.weight > 0 ? " at " + text_of(a.weight) : " leaves");
+                return table_name(a.table) + ": " + service.server_name(a.server) +
+                       (a.weight > 0 ? " weight " + text_of(a.weight) : " removed");
             },
-            [&](const command::ClearTable& a) { return table(a.table) + " emptied"; },
+            [&](const command::ClearTable& a) { return table_name(a.table) + " cleared"; },
             [&](const command::AssignTable& a) {
-                return service.proxy_name(a.proxy) + " to " + table(a.table);
+                return service.proxy_name(a.proxy) + " assigned to " + table_name(a.table);
             },
             [&](const command::SetEjected& a) {
-                return service.server_name(a.server) + (a.ejected ? " withdrawn" : " back");
+                return service.server_name(a.server) +
+                       (a.ejected ? " ejected" : " no longer ejected");
             },
             [&](const command::SetAdmission& a) {
-                return table(a.table) + ": level " + text_of(a.limit) + " for operations " +
-                       std::to_string(a.operations);
+                return table_name(a.table) + ": admission limit " + text_of(a.limit) +
+                       " for operations " + std::to_string(a.operations);
+            },
+            [](const command::RequestAck& a) {
+                return "request acknowledgement of version " + std::to_string(a.version.value);
             },
-            [](const command::RequestAck& a) { return "mark " + std::to_string(a.version.value); },
         },
         command);
 }
--- a/src/replay/report.cpp
+++ b/src/replay/report.cpp
@@ -13,8 +13,9 @@
 
 namespace {
 
-// For gnuplot's quotes and its page.
-std::string plain(const std::string& text) {
+// Replaces quotes, backslashes and control characters, so that the text can stand in a quoted
+// string of a gnuplot script.
+std::string gnuplot_text(const std::string& text) {
     std::string out;
     for (const char c : text) {
         out += c == '"' || c == '\'' || c == '\\' || c == '`' || static_cast<unsigned char>(c) < 32
@@ -24,7 +25,8 @@
     return out;
 }
 
-std::string escaped(const std::string& text) {
+// For HTML text and attributes.
+std::string escape_html(const std::string& text) {
     std::string out;
     for (const char c : text) {
         if (c == '<') {
@@ -42,12 +44,12 @@
     return out;
 }
 
-// Second by second: the time, service smoothed over five seconds, lines applied, most lines
-// waiting.
-void data(std::ostream& out, const char* name, const VariantResult& setting) {
-    const auto& by_second = setting.first_replay.run.result["figures"]["by_second"];
-    const auto& seconds = setting.first_replay.seconds;
-    const auto from = static_cast<std::size_t>(setting.first_replay.from.count() / 1000000);
+// Writes a gnuplot data block with one line per second: the time, the service smoothed over five
+// seconds and weighted by invocations, the applied lines, and the most queued lines.
+void write_data(std::ostream& out, const char* name, const VariantResult& result) {
+    const auto& by_second = result.first_replay.run.result["figures"]["by_second"];
+    const auto& seconds = result.first_replay.seconds;
+    const auto from = static_cast<std::size_t>(result.first_replay.from.count() / 1000000);
     out << name << " << EOD\n";
     for (std::size_t k = 0; k < by_second.size(); ++k) {
         double sum = 0;
@@ -74,16 +76,17 @@
     out << "EOD\n";
 }
 
-// One shade a trouble, named above the first panel; names that would overlap go to further rows.
-void shades(std::ostream& out, const RecordedRun& recorded, Micros from, Micros to, bool names) {
+// Shades the time of each fault. With `names`, labels the faults above the panel; labels that would
+// overlap go to up to four rows. A permanent fault is only marked at its start.
+void write_fault_shading(std::ostream& out, const RecordedRun& recorded, Micros from, Micros to,
+                         bool names) {
     double row_end[4] = {-1e9, -1e9, -1e9, -1e9};
     const double width = to_seconds(to - from);
-    for (const auto& trouble : recorded.faults) {
-        const double begin = std::max(to_seconds(from), to_seconds(trouble.start));
-        const double end =
-            trouble.duration.count() > 0
-                ? std::min(to_seconds(to), to_seconds(trouble.start + trouble.duration))
-                : begin + width / 200;
+    for (const auto& fault : recorded.faults) {
+        const double begin = std::max(to_seconds(from), to_seconds(fault.start));
+        const double end = fault.duration.count() > 0
+                               ? std::min(to_seconds(to), to_seconds(fault.start + fault.duration))
+                               : begin + width / 200;
         if (end <= begin) {
             continue;
         }
@@ -92,7 +95,7 @@
         if (!names) {
             continue;
         }
-        const std::string text = plain(trouble.description);
+        const std::string text = gnuplot_text(fault.description);
         int row = 0;
         while (row < 3 && row_end[row] > begin) {
             ++row;
@@ -113,8 +116,8 @@
     out << "set terminal svg size 1000,760 dynamic noenhanced font 'sans-serif,12' background rgb "
            "'white'\n";
     out << "set output '" << output << "'\n";
-    data(out, "$A", comparison.a);
-    data(out, "$B", comparison.b);
+    write_data(out, "$A", comparison.a);
+    write_data(out, "$B", comparison.b);
     out << "set multiplot\nset xrange [" << to_seconds(from) << ":" << to_seconds(to)
         << "]\nset lmargin 10\nset rmargin 3\nset grid ytics lc rgb '#dddddd'\n"
         << "set style line 1 lc rgb '#1f5fa8' lw 2\nset style line 2 lc rgb '#c0392b' lw 2 dt "
@@ -122,31 +125,32 @@
     const auto panel = [&](double bottom, double top, const char* label, int column,
                            const char* style, bool last) {
         out << "unset object\nunset label\n";
-        shades(out, recorded, from, to, column == 2);
+        write_fault_shading(out, recorded, from, to, column == 2);
         out << "set bmargin at screen " << bottom << "\nset tmargin at screen " << top << "\n";
         out << "set ylabel '" << label << "'\n"
             << (column == 2 ? "set yrange [*:1.005]\n" : "set yrange [0:*]\n");
-        out << (last ? "set xlabel 'seconds of the day'\nset format x '%g'\n"
+        out << (last ? "set xlabel 'time, s'\nset format x '%g'\n"
                      : "unset xlabel\nset format x ''\n");
         out << (column == 2 ? "set key bottom right\n" : "unset key\n");
         out << "plot $A using 1:" << column << " with " << style
-            << " ls 1 title 'A: " << plain(comparison.a.variant.name) << "', $B using 1:" << column
-            << " with " << style << " ls 2 title 'B: " << plain(comparison.b.variant.name) << "'\n";
+            << " ls 1 title 'A: " << gnuplot_text(comparison.a.variant.name)
+            << "', $B using 1:" << column << " with " << style
+            << " ls 2 title 'B: " << gnuplot_text(comparison.b.variant.name) << "'\n";
     };
     panel(0.52, 0.84, "service, over 5 s", 2, "lines", false);
-    panel(0.30, 0.47, "lines applied", 3, "steps", false);
-    panel(0.08, 0.25, "lines waiting", 4, "steps", true);
+    panel(0.30, 0.47, "applied lines", 3, "steps", false);
+    panel(0.08, 0.25, "queued lines", 4, "steps", true);
     out << "unset multiplot\n";
     return out.str();
 }
 
 std::string draw_svg(const RecordedRun& recorded, const Comparison& comparison) {
     std::string path = (std::filesystem::temp_directory_path() / "badgergrade-XXXXXX").string();
-    const int made = mkstemp(path.data());
-    if (made < 0) {
-        throw std::runtime_error("no temporary file can be made for the picture");
+    const int file = mkstemp(path.data());
+    if (file < 0) {
+        throw std::runtime_error("cannot create a temporary file for the plot");
     }
-    close(made);
+    close(file);
 
     struct Remove {
         const std::string& path;
@@ -156,18 +160,17 @@
 
     std::FILE* gnuplot = popen("gnuplot", "w");
     if (!gnuplot) {
-        throw std::runtime_error(
-            "gnuplot can't be run; it draws the pictures (package gnuplot-nox)");
+        throw std::runtime_error("cannot run gnuplot, which draws the plot (package gnuplot-nox)");
     }
     const std::string script = plot_script(recorded, comparison, path);
     std::fwrite(script.data(), 1, script.size(), gnuplot);
-    const int code = pclose(gnuplot);
+    const int exit_status = pclose(gnuplot);
     std::ifstream in(path, std::ios::binary);
     std::ostringstream svg;
     svg << in.rdbuf();
-    if (code != 0 || svg.str().find("</svg>") == std::string::npos) {
+    if (exit_status != 0 || svg.str().find("</svg>") == std::string::npos) {
         throw std::runtime_error(
-            "gnuplot drew no picture; it must be installed (package gnuplot-nox)");
+            "gnuplot failed: expected an SVG file; is it installed (package gnuplot-nox)?");
     }
     return svg.str();
 }
@@ -176,16 +179,16 @@
                       const std::string& svg) {
     std::ostringstream out;
     out << std::fixed;
-    const auto digits = [](double v, bool part) {
+    const auto format = [](double v, bool is_fraction) {
         std::ostringstream text;
-        text.precision(part ? 4 : 0);
+        text.precision(is_fraction ? 4 : 0);
         text << std::fixed << v;
         return text.str();
     };
     out << "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><meta "
            "name=\"viewport\" content=\"width=device-width\">\n<title>"
-        << escaped(recorded.header.made_by())
-        << ": two settings</title>\n<style>\n"
+        << escape_html(recorded.header.made_by())
+        << ": two variants</title>\n<style>\n"
            "body{font:16px/1.5 system-ui,sans-serif;color:#222;max-width:64rem;margin:2rem "
            "auto;padding:0 1rem}\n"
            "h1{font-size:1.5rem}h2{font-size:1.15rem;margin-top:2rem}\n"
@@ -197,67 +200,72 @@
            "svg{width:100%;height:auto}code{background:#f4f4f4;padding:0 "
            ".25rem}pre{background:#f7f7f7;padding:.8rem;white-space:pre-wrap}\n"
            "</style></head><body>\n";
-    out << "<h1>" << escaped(recorded.header.made_by()) << " under two settings</h1>\n<p>"
+    out << "<h1>" << escape_html(recorded.header.made_by()) << " in two variants</h1>\n<p>"
         << recorded.invocations << " invocations recorded, "
-        << digits(to_seconds(recorded.length), false) << " s, seed " << recorded.header.seed()
-        << ". Service is the billed value answered within the latency objective, "
-           "by part of that asked for; a retry counts with its first try.";
+        << format(to_seconds(recorded.length), false) << " s, seed " << recorded.header.seed()
+        << ". Service is the fraction of the billed value that was answered within the "
+           "latency objective; an invocation counts once, from the client's first attempt.";
     if (recorded.record_counts.contains("results")) {
         out << " As recorded: <b>"
-            << digits(recorded.figures["whole_day"]["service"].get<double>(), true) << "</b>.";
+            << format(recorded.figures["whole_day"]["service"].get<double>(), true) << "</b>.";
     }
     for (const auto& note : recorded.header.notes()) {
-        out << " (" << escaped(note) << ")";
+        out << " (" << escape_html(note) << ")";
     }
-    out << " The workers, forwarders and clients of this replay are stand-ins; the governors are "
-           "the program's own.</p>\n";
-    const auto setting = [&](const char* which, const VariantResult& s) {
-        out << "<p><span class=\"" << which << "\">" << (which[0] == 'a' ? "A" : "B")
-            << "</span>: <code>" << escaped(s.variant.name) << "</code>, " << s.runs << " runs: "
+    out << " The servers, proxies and clients of this replay are fakes; the control plane "
+           "instances are the program itself.</p>\n";
+    const auto add_variant = [&](const char* css_class, const VariantResult& s) {
+        out << "<p><span class=\"" << css_class << "\">" << (css_class[0] == 'a' ? "A" : "B")
+            << "</span>: <code>" << escape_html(s.variant.name) << "</code>, " << s.runs
+            << " runs: "
             << (s.identical ? "the same to the byte" : "<b class=\"worse\">they differ</b>")
             << ".</p>\n";
     };
-    setting("a", comparison.a);
-    setting("b", comparison.b);
+    add_variant("a", comparison.a);
+    add_variant("b", comparison.b);
     const auto changed = changed_settings(comparison);
     if (!changed.empty()) {
-        out << "<h2>What was changed</h2>\n<ul>\n";
+        out << "<h2>Changed settings</h2>\n<ul>\n";
         for (const auto& text : changed) {
-            out << "<li><code>" << escaped(text) << "</code></li>\n";
+            out << "<li><code>" << escape_html(text) << "</code></li>\n";
         }
         out << "</ul>\n";
     }
-    out << "<h2>Over the day</h2>\n"
+    out << "<h2>Over time</h2>\n"
         << svg.substr(std::min(svg.size(), svg.find("<svg")))
-        << "\n<p class=\"note\">Troubles are shaded. Lines are what governors order; "
-           "those that wait have not left the channel yet.</p>\n";
-    out << "<h2>Difference</h2>\n<table><tr><th></th><th class=\"a\">A</th><th "
+        << "\n<p class=\"note\">Faults are shaded. Lines are entries of configuration messages; "
+           "queued lines have not been sent to a proxy yet.</p>\n";
+    out << "<h2>Figures</h2>\n<table><tr><th></th><th class=\"a\">A</th><th "
            "class=\"b\">B</th><th>B - A</th></tr>\n";
-    for (const auto& one : compare_figures(comparison)) {
-        if (!one.is_fraction && one.a == 0 && one.b == 0 &&
-            one.name.find("rule") == std::string::npos) {
+    for (const auto& figure : compare_figures(comparison)) {
+        if (!figure.is_fraction && figure.a == 0 && figure.b == 0 &&
+            figure.name.find("rule") == std::string::npos) {
             continue;
         }
-        const double by = one.b - one.a;
-        const bool says = one.is_fraction ? std::abs(by) >= 0.0005
-                                          : one.name.find("rule") != std::string::npos && by != 0;
-        const char* mood = !says                                 ? ""
-                           : (one.is_fraction ? by > 0 : by < 0) ? " class=\"better\""
-                                                                 : " class=\"worse\"";
-        out << "<tr><td>" << escaped(one.name) << "</td><td>" << digits(one.a, one.is_fraction)
-            << "</td><td>" << digits(one.b, one.is_fraction) << "</td><td" << mood << ">"
-            << (by > 0 ? "+" : "") << digits(by, one.is_fraction) << "</td></tr>\n";
+        const double difference = figure.b - figure.a;
+        const bool significant =
+            figure.is_fraction ? std::abs(difference) >= 0.0005
+                               : figure.name.find("rule") != std::string::npos && difference != 0;
+        const char* css_class = !significant ? ""
+                                : (figure.is_fraction ? difference > 0 : difference < 0)
+                                    ? " class=\"better\""
+                                    : " class=\"worse\"";
+        out << "<tr><td>" << escape_html(figure.name) << "</td><td>"
+            << format(figure.a, figure.is_fraction) << "</td><td>"
+            << format(figure.b, figure.is_fraction) << "</td><td" << css_class << ">"
+            << (difference > 0 ? "+" : "") << format(difference, figure.is_fraction)
+            << "</td></tr>\n";
     }
-    out << "</table>\n<h2>Where they part</h2>\n<pre>";
+    out << "</table>\n<h2>First differences</h2>\n<pre>";
     for (const auto& text : divergence_text(comparison)) {
-        out << escaped(text) << "\n";
+        out << escape_html(text) << "\n";
     }
     out << "</pre>\n";
     for (const auto* s : {&comparison.a, &comparison.b}) {
         for (const auto& b : s->first_replay.run.breaks) {
-            out << "<p class=\"worse\">Rule <b>" << escaped(b.rule) << "</b> broken under "
-                << (s == &comparison.a ? "A" : "B") << ": " << escaped(b.parties) << ": "
-                << escaped(b.what) << "</p>\n";
+            out << "<p class=\"worse\">Rule <b>" << escape_html(b.rule) << "</b> violated under "
+                << (s == &comparison.a ? "A" : "B") << ": " << escape_html(b.parties) << ": "
+                << escape_html(b.what) << "</p>\n";
         }
     }
     out << "</body></html>\n";
--- a/src/replay/report.h
+++ b/src/replay/report.h
@@ -1,5 +1,6 @@
-// A comparison as pictures and as one page: SVG drawn by gnuplot, HTML that holds it and needs
-// nothing else.
+/// @file
+/// Renders a comparison of two variants as a plot (SVG, drawn by gnuplot) and as a self-contained
+/// HTML page that includes the plot.
 #pragma once
 
 #include <string>
@@ -8,12 +9,13 @@
 
 namespace badgergrade::replay {
 
-// The input for gnuplot: three panels over the day (service, lines applied, lines waiting),
-// troubles shaded.
+/// The input for gnuplot, which writes to the file `output`: three panels over the time of the
+/// scenario (service, applied lines, queued lines) with the faults shaded.
 std::string plot_script(const RecordedRun& recorded, const Comparison& comparison,
                         const std::string& output);
-// Throws std::runtime_error where gnuplot can't be run or draws nothing.
+/// Runs gnuplot and returns the SVG. Throws std::runtime_error if gnuplot cannot be run or fails.
 std::string draw_svg(const RecordedRun& recorded, const Comparison& comparison);
+/// `svg` is inserted as it is, without its XML header.
 std::string html_page(const RecordedRun& recorded, const Comparison& comparison,
                       const std::string& svg);
 
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -154,7 +154,7 @@
     EXPECT_LT(all.front().b, all.front().a - 0.1);
     ASSERT_TRUE(poor.event_divergence.has_value());
     ASSERT_TRUE(poor.event_divergence->b.has_value());
-    EXPECT_EQ(poor.event_divergence->b->text, "list: worker-000 worker-001");
+    EXPECT_EQ(poor.event_divergence->b->text, "endpoint list: worker-000 worker-001");
     const auto invocations = [](const VariantResult& s) {
         return s.first_replay.run.result["figures"]["whole_day"]["invocations"].get<int>();
     };
@@ -550,7 +550,7 @@
     const std::string text = to_text(day, comparison);
     EXPECT_NE(text.find("[reports] period: 500 ms under A, 250 ms under B"), std::string::npos)
         << text;
-    EXPECT_NE(text.find("first heard otherwise at"), std::string::npos);
+    EXPECT_NE(text.find("first different event at"), std::string::npos);
 }
 
 }  // namespace
