--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -1,3 +1,4 @@
+// Slow start weights and the expected overload; slow_start.h describes the rule.
 #include "policy/slow_start.h"
 
 #include <algorithm>
@@ -8,17 +9,18 @@
 namespace badgergrade::policy {
 namespace {
 
-/// A warming server may meet at least this many times its usual load per weight: retries, or a
-/// burst.
+/// The least overload, in multiples of its usual load per weight, that a warming server must
+/// withstand: retries, or a burst.
 constexpr double kMinExpectedOverload = 2;
-/// The weight rises in this many steps, so that it does not cost a line on every decision.
+/// The weight rises in this many steps, so that not every decision sends a line for it.
 constexpr double kWeightSteps = 8;
-/// Of two servers drawn the idle newcomer is mostly picked: it meets twice its weight.
+/// With least request, two servers are drawn and the idle new one is usually picked: it receives
+/// twice its weight.
 constexpr double kLeastRequestFactor = 2;
-/// The lowest part of attempts that succeed; keeps the attempts an answer finite.
+/// The least success fraction that is assumed; keeps the attempts per success finite.
 constexpr double kMinSuccessFraction = 0.05;
-/// An expected overload is rounded to a power of two, up from this part of the step on, so that
-/// single reports do not change the tables.
+/// The expected overload is rounded to a power of two, so that single reports don't change the
+/// tables; it is rounded up from this fraction of a step (in the logarithm) on.
 constexpr double kRoundUpThreshold = 0.4;
 
 }  // namespace
@@ -32,19 +34,21 @@
                             ? kLeastRequestFactor
                             : 1)),
       objective_seconds_(to_seconds(shortest_objective)),
-      expected_until_(now + kRecomputeInterval) {}
+      expected_overload_until_(now + kRecomputeInterval) {}
 
 double SlowStart::weight_fraction(Micros now, const Server& server, double overload) const {
     if (server.started_at <= Micros{0} || server.started_at + window_ <= now) {
         return 1;
     }
-    const double age = std::max(0.0, to_seconds(now - server.started_at) / to_seconds(window_));
-    // Proxies that restarted with it may still send by tables of their own. What they sent must be
-    // out of the collapse window before the weight of this instance can be counted for it.
+    const double age_fraction =
+        std::max(0.0, to_seconds(now - server.started_at) / to_seconds(window_));
+    // Proxies that restarted together with the server may still use tables that this instance did
+    // not send. Their attempts must be out of the collapse window before this instance can give the
+    // server weight.
     if (overload >= kSevereOverload || now < server.start_reported_at + collapse_time_) {
         return 0;
     }
-    const double progress = std::floor(age * kWeightSteps) / kWeightSteps;
+    const double progress = std::floor(age_fraction * kWeightSteps) / kWeightSteps;
     const double capacity_bound =
         collapse_factor_ > 0
             ? collapse_factor_ / std::max(kMinExpectedOverload, overload) *
@@ -79,8 +83,8 @@
     return server.weight * std::min(weight_fraction(now, server), probation_fraction);
 }
 
-// An overload that cut admission holds down is back within one report. Late answers come with
-// proxies that avoid each busy server, so that an idle warming one draws all.
+// An overload that load shedding holds down would return within one report. With late answers
+// proxies avoid each busy server, so an idle warming server would receive nearly everything.
 void SlowStart::update_expected_overload(Micros now, const AttemptStats& stats, bool shedding,
                                          const FleetState& fleet) {
     double overload = 1;
@@ -95,9 +99,9 @@
         overload = std::max(overload, many_warming ? kSevereOverload / 2 : kSevereOverload);
     }
     overload = std::exp2(std::ceil(std::log2(overload) - kRoundUpThreshold));
-    if (overload >= expected_overload_ || now >= expected_until_) {
+    if (overload >= expected_overload_ || now >= expected_overload_until_) {
         expected_overload_ = overload;
-        expected_until_ = now + window_;
+        expected_overload_until_ = now + window_;
     }
 }
 
--- a/src/xds/snapshot_cache.cpp
+++ b/src/xds/snapshot_cache.cpp
@@ -27,9 +27,10 @@
 constexpr std::uint32_t kTooManyRequests = 429;
 constexpr const char* kRateLimitFilter = "envoy.filters.http.local_ratelimit";
 constexpr const char* kRouterFilter = "envoy.filters.http.router";
-/// Weights above this are cut off, so that the sum of a locality fits into 32 bits.
+/// Scaled weights are capped here, so that the sum over a locality of 1000 servers fits into 32
+/// bits.
 constexpr double kMaxScaledWeight = 4e9 / 1000;
-/// A lower rate is raised to this: a token bucket must fill at some time.
+/// Lower rates are raised to this one: a token bucket needs a finite fill interval.
 constexpr double kMinRatePerSecond = 0.001;
 
 void set_source_to_ads(core::ConfigSource* source) {
@@ -37,19 +38,19 @@
     source->set_resource_api_version(core::V3);
 }
 
-/// Serializes so that equal content gives equal bytes: the entries of maps are sorted.
+/// Serializes equal content to equal bytes: the entries of protobuf maps are sorted.
 std::string serialize_deterministically(const google::protobuf::Message& message) {
-    std::string out;
-    google::protobuf::io::StringOutputStream stream(&out);
+    std::string bytes;
+    google::protobuf::io::StringOutputStream stream(&bytes);
     google::protobuf::io::CodedOutputStream coded(&stream);
     coded.SetSerializationDeterministic(true);
     message.SerializeToCodedStream(&coded);
     coded.Trim();
-    return out;
+    return bytes;
 }
 
-/// "connect-failure" and "refused-stream" prove that the server did not process the request; after
-/// the others it may have.
+/// The `retry_on` conditions of a retry mode. After "connect-failure" and "refused-stream" the
+/// server provably did not process the request; after "reset" and "5xx" it may have.
 std::string retry_conditions(RetryMode mode) {
     return mode == RetryMode::OnlyUnprocessed ? "connect-failure,refused-stream"
                                               : "connect-failure,refused-stream,reset,5xx";
@@ -59,7 +60,7 @@
 
 SnapshotCache::SnapshotCache(const Settings& settings, Micros ejection_time)
     : operations_(settings.operations),
-      pick_policy_(settings.load_balancing_policy),
+      load_balancing_policy_(settings.load_balancing_policy),
       admission_mode_(settings.admission_mode),
       attempt_timeout_factor_(settings.attempt_timeout_factor),
       ejection_failures_(settings.proxy_ejection_failures),
@@ -71,8 +72,8 @@
 }
 
 const ServerLocation* SnapshotCache::server_location(ServerId server) const {
-    const auto it = server_locations_.find(server);
-    return it == server_locations_.end() ? nullptr : &it->second;
+    const auto location = server_locations_.find(server);
+    return location == server_locations_.end() ? nullptr : &location->second;
 }
 
 void SnapshotCache::on_proxy_connected(ProxyId proxy) {
@@ -109,25 +110,27 @@
     return update;
 }
 
-/// A command that names a server without a location can't be put into a resource: there is no
-/// address for it.
+/// Removes commands that name a server without a location: a resource can't be built without its
+/// address.
 void SnapshotCache::remove_unknown_servers(std::vector<Command>& commands,
                                            std::vector<RejectedCommand>& rejected) const {
     const auto is_unknown = [&](ServerId server, const char* command) {
         if (server_locations_.contains(server)) {
             return false;
         }
-        rejected.push_back({CommandError::UnknownServer, std::string(command) + " server " +
-                                                             std::to_string(server.value) +
-                                                             ", which no list named"});
+        rejected.push_back(
+            {CommandError::UnknownServer,
+             "command " + std::string(command) +
+                 ", field \"server\": expected a server that the registry listed, got id " +
+                 std::to_string(server.value)});
         return true;
     };
-    std::erase_if(commands, [&](const Command& any) {
-        if (const auto* set_weight = std::get_if<command::SetWeight>(&any)) {
-            return is_unknown(set_weight->server, "a line for");
+    std::erase_if(commands, [&](const Command& candidate) {
+        if (const auto* set_weight = std::get_if<command::SetWeight>(&candidate)) {
+            return is_unknown(set_weight->server, "SetWeight");
         }
-        const auto* set_ejected = std::get_if<command::SetEjected>(&any);
-        return set_ejected && is_unknown(set_ejected->server, "a withdrawal of");
+        const auto* set_ejected = std::get_if<command::SetEjected>(&candidate);
+        return set_ejected && is_unknown(set_ejected->server, "SetEjected");
     });
 }
 
@@ -139,14 +142,14 @@
     return tables;
 }
 
-/// Tables whose assignment differs after the update: by their lines, or because a server in them
-/// was ejected or readmitted.
+/// The tables whose endpoint assignment the update changes: their weights changed, or a server in
+/// them was ejected or readmitted.
 std::set<TableId> SnapshotCache::changed_tables(const runtime::ProxyUpdate& update,
                                                 const std::set<TableId>& assigned) const {
     std::set<TableId> changed;
-    for (const auto& part : update.tables) {
-        if (part->replace_all || !part->weights.empty()) {
-            changed.insert(part->table);
+    for (const auto& table_update : update.tables) {
+        if (table_update->replace_all || !table_update->weights.empty()) {
+            changed.insert(table_update->table);
         }
     }
     for (const auto* servers : {&update.eject, &update.restore}) {
@@ -161,6 +164,8 @@
     return changed;
 }
 
+/// Builds the changes of one proxy: new clusters, assignments, the ejected servers, listener and
+/// routes, and last the removed clusters. AdsServer orders them on the stream (make before break).
 std::vector<ResourceChange> SnapshotCache::changes_for(const runtime::ProxyUpdate& update) {
     SentState& sent = sent_.at(update.proxy);
     std::set<TableId> assigned = assigned_tables(update.proxy);
@@ -196,17 +201,17 @@
 
 void SnapshotCache::add_listener_and_routes(ProxyId proxy, SentState& sent,
                                             std::vector<ResourceChange>& changes) {
-    if (!std::exchange(sent.listener, true)) {
+    if (!std::exchange(sent.listener_sent, true)) {
         const ResourcePtr resource = listener();
         changes.push_back({resource->type, resource->name, resource});
     }
     std::string key = routes_key(proxy);
-    if (key == sent.routes) {
+    if (key == sent.routes_key) {
         return;
     }
     const ResourcePtr resource = routes(proxy);
     changes.push_back({resource->type, resource->name, resource});
-    sent.routes = std::move(key);
+    sent.routes_key = std::move(key);
 }
 
 // ---- resources
@@ -222,46 +227,48 @@
     if (cached) {
         return cached;
     }
-    envoy::config::cluster::v3::Cluster out;
-    out.set_name(cluster_name(table));
-    out.set_type(envoy::config::cluster::v3::Cluster::EDS);
-    set_source_to_ads(out.mutable_eds_cluster_config()->mutable_eds_config());
-    switch (pick_policy_) {
+    envoy::config::cluster::v3::Cluster cluster_proto;
+    cluster_proto.set_name(cluster_name(table));
+    cluster_proto.set_type(envoy::config::cluster::v3::Cluster::EDS);
+    set_source_to_ads(cluster_proto.mutable_eds_cluster_config()->mutable_eds_config());
+    switch (load_balancing_policy_) {
         case LoadBalancingPolicy::WeightedRandom:
-            out.set_lb_policy(envoy::config::cluster::v3::Cluster::RANDOM);
+            cluster_proto.set_lb_policy(envoy::config::cluster::v3::Cluster::RANDOM);
             break;
         case LoadBalancingPolicy::RoundRobin:
-            out.set_lb_policy(envoy::config::cluster::v3::Cluster::ROUND_ROBIN);
+            cluster_proto.set_lb_policy(envoy::config::cluster::v3::Cluster::ROUND_ROBIN);
             break;
         case LoadBalancingPolicy::LeastRequest:
-            out.set_lb_policy(envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
-            out.mutable_least_request_lb_config()->mutable_choice_count()->set_value(2);
+            cluster_proto.set_lb_policy(envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
+            cluster_proto.mutable_least_request_lb_config()->mutable_choice_count()->set_value(2);
             break;
     }
     if (ejection_failures_ > 0) {
-        auto* outlier = out.mutable_outlier_detection();
-        outlier->mutable_consecutive_5xx()->set_value(
+        auto* outlier_detection = cluster_proto.mutable_outlier_detection();
+        outlier_detection->mutable_consecutive_5xx()->set_value(
             static_cast<std::uint32_t>(ejection_failures_));
-        *outlier->mutable_base_ejection_time() =
+        *outlier_detection->mutable_base_ejection_time() =
             TimeUtil::MicrosecondsToDuration(ejection_time_.count());
     }
-    out.mutable_lrs_server()->mutable_self();
-    cached = make_resource(ResourceType::Cluster, out.name(), serialize_deterministically(out));
+    cluster_proto.mutable_lrs_server()->mutable_self();
+    cached = make_resource(ResourceType::Cluster, cluster_proto.name(),
+                           serialize_deterministically(cluster_proto));
     return cached;
 }
 
 namespace {
-void add_endpoint(envoy::config::endpoint::v3::ClusterLoadAssignment& out,
+/// Adds a server to the locality of its zone, and its weight to the weight of the locality.
+void add_endpoint(envoy::config::endpoint::v3::ClusterLoadAssignment& assignment_proto,
                   const ServerLocation& location, double weight, bool draining) {
-    auto* group = out.mutable_endpoints();
+    auto* localities = assignment_proto.mutable_endpoints();
     envoy::config::endpoint::v3::LocalityLbEndpoints* locality = nullptr;
-    for (auto& known : *group) {
-        if (known.locality().zone() == location.zone) {
-            locality = &known;
+    for (auto& candidate : *localities) {
+        if (candidate.locality().zone() == location.zone) {
+            locality = &candidate;
         }
     }
     if (!locality) {
-        locality = out.add_endpoints();
+        locality = assignment_proto.add_endpoints();
         locality->mutable_locality()->set_zone(location.zone);
     }
     auto* endpoint = locality->add_lb_endpoints();
@@ -282,14 +289,14 @@
     if (cached) {
         return cached;
     }
-    envoy::config::endpoint::v3::ClusterLoadAssignment out;
-    out.set_cluster_name(cluster_name(table));
+    envoy::config::endpoint::v3::ClusterLoadAssignment assignment_proto;
+    assignment_proto.set_cluster_name(cluster_name(table));
     for (const auto& [server, weight] : config_.weights(table)) {
         const bool ejected = config_.ejected_servers().contains(server);
-        add_endpoint(out, server_locations_.at(server), weight, ejected);
+        add_endpoint(assignment_proto, server_locations_.at(server), weight, ejected);
     }
-    cached = make_resource(ResourceType::Endpoints, out.cluster_name(),
-                           serialize_deterministically(out));
+    cached = make_resource(ResourceType::Endpoints, assignment_proto.cluster_name(),
+                           serialize_deterministically(assignment_proto));
     return cached;
 }
 
@@ -298,13 +305,13 @@
     if (cached) {
         return cached;
     }
-    envoy::config::endpoint::v3::ClusterLoadAssignment out;
-    out.set_cluster_name(std::string(kStartupClusterName));
+    envoy::config::endpoint::v3::ClusterLoadAssignment assignment_proto;
+    assignment_proto.set_cluster_name(std::string(kStartupClusterName));
     for (const ServerId server : config_.ejected_servers()) {
-        add_endpoint(out, server_locations_.at(server), 0, true);
+        add_endpoint(assignment_proto, server_locations_.at(server), 0, true);
     }
-    cached = make_resource(ResourceType::Endpoints, out.cluster_name(),
-                           serialize_deterministically(out));
+    cached = make_resource(ResourceType::Endpoints, assignment_proto.cluster_name(),
+                           serialize_deterministically(assignment_proto));
     return cached;
 }
 
@@ -318,7 +325,7 @@
     set_source_to_ads(manager.mutable_rds()->mutable_config_source());
     manager.mutable_rds()->set_route_config_name(std::string(kRouteConfigName));
     if (admission_mode_ == AdmissionMode::Rate) {
-        // The filter without a limit of its own: each route brings its token bucket.
+        // The filter has no limit of its own: each route carries its token bucket.
         envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit unlimited;
         unlimited.set_stat_prefix("operations");
         auto* filter = manager.add_http_filters();
@@ -329,18 +336,19 @@
     router->set_name(kRouterFilter);
     router->mutable_typed_config()->PackFrom(
         envoy::extensions::filters::http::router::v3::Router());
-    envoy::config::listener::v3::Listener out;
-    out.set_name(std::string(kListenerName));
-    out.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
-    listener_ = make_resource(ResourceType::Listener, out.name(), serialize_deterministically(out));
+    envoy::config::listener::v3::Listener listener_proto;
+    listener_proto.set_name(std::string(kListenerName));
+    listener_proto.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
+    listener_ = make_resource(ResourceType::Listener, listener_proto.name(),
+                              serialize_deterministically(listener_proto));
     return listener_;
 }
 
-/// Proxies with equal keys have equal routes.
+/// Identifies the content of a proxy's routes: proxies with equal keys have equal routes.
 std::string SnapshotCache::routes_key(ProxyId proxy) const {
     std::string key;
-    for (std::size_t k = 0; k < operations_.size(); ++k) {
-        const OperationId operation{static_cast<int>(k)};
+    for (std::size_t operation_index = 0; operation_index < operations_.size(); ++operation_index) {
+        const OperationId operation{static_cast<int>(operation_index)};
         for (const auto& [operations, table] : config_.assigned_tables(proxy)) {
             if (!runtime::includes(operations, operation)) {
                 continue;
@@ -354,16 +362,20 @@
 }
 
 namespace {
-/// The protocol rule on retries: where a repeat has an effect of its own, a request that may have
-/// been processed is never sent again, whatever the policy decided.
-RetryMode safe_retry_mode(const Operation& operation, RetryMode decided) {
-    return operation.effect == Effect::SideEffecting ? std::min(decided, RetryMode::OnlyUnprocessed)
-                                                     : decided;
+/// The protocol rule on retries, applied to the mode that the policy decided: for an operation with
+/// side effects, a request that a server may have processed is never sent again. The modes are
+/// ordered from the fewest retries to the most.
+RetryMode safe_retry_mode(const Operation& operation, RetryMode policy_mode) {
+    return operation.effect == Effect::SideEffecting
+               ? std::min(policy_mode, RetryMode::OnlyUnprocessed)
+               : policy_mode;
 }
 
-void set_retry_policy(route_v3::RouteAction& action, const Operation& operation, RetryMode decided,
-                      double attempt_timeout_factor) {
-    const RetryMode mode = safe_retry_mode(operation, decided);
+/// Writes the retry policy of a route: none for `RetryMode::Never`; otherwise the conditions, the
+/// number of retries and, where a processed request may be retried, the time limit of one attempt.
+void set_retry_policy(route_v3::RouteAction& action, const Operation& operation,
+                      RetryMode policy_mode, double attempt_timeout_factor) {
+    const RetryMode mode = safe_retry_mode(operation, policy_mode);
     if (mode == RetryMode::Never) {
         return;
     }
@@ -379,8 +391,8 @@
         TimeUtil::MicrosecondsToDuration(static_cast<std::int64_t>(attempt_timeout_us));
 }
 
-/// A token bucket that gets one token at a time, so that a rate below one request a second still
-/// admits single requests.
+/// Sets a token bucket that is filled with one token at a time, so that a rate below one request
+/// per second still admits single requests.
 void set_rate_limit(route_v3::Route& route, const Operation& operation, double rate_per_second) {
     envoy::extensions::filters::http::local_ratelimit::v3::LocalRateLimit limit;
     limit.set_stat_prefix(operation.name);
@@ -394,17 +406,19 @@
     (*route.mutable_typed_per_filter_config())[kRateLimitFilter].PackFrom(limit);
 }
 
-/// Admits this fraction of the requests; a second route behind it answers the rest.
+/// Limits the route to this fraction of the requests, and adds a second route with the same path
+/// that answers the other requests with HTTP status 429.
 void set_admitted_fraction(route_v3::VirtualHost& host, route_v3::Route& route,
                            const Operation& operation, double fraction) {
-    auto* admitted = route.mutable_match()->mutable_runtime_fraction()->mutable_default_value();
-    admitted->set_numerator(
+    auto* runtime_fraction =
+        route.mutable_match()->mutable_runtime_fraction()->mutable_default_value();
+    runtime_fraction->set_numerator(
         static_cast<std::uint32_t>(std::lround(std::max(0.0, fraction) * kMillion)));
-    admitted->set_denominator(envoy::type::v3::FractionalPercent::MILLION);
-    auto* rest = host.add_routes();
-    rest->set_name(operation.name + "/rate-limited");
-    rest->mutable_match()->set_path(operation_path(operation.name));
-    rest->mutable_direct_response()->set_status(kTooManyRequests);
+    runtime_fraction->set_denominator(envoy::type::v3::FractionalPercent::MILLION);
+    auto* reject_route = host.add_routes();
+    reject_route->set_name(operation.name + "/rate-limited");
+    reject_route->mutable_match()->set_path(operation_path(operation.name));
+    reject_route->mutable_direct_response()->set_status(kTooManyRequests);
 }
 }  // namespace
 
@@ -413,19 +427,19 @@
     if (cached) {
         return cached;
     }
-    route_v3::RouteConfiguration out;
-    out.set_name(std::string(kRouteConfigName));
-    auto* host = out.add_virtual_hosts();
+    route_v3::RouteConfiguration route_config;
+    route_config.set_name(std::string(kRouteConfigName));
+    auto* host = route_config.add_virtual_hosts();
     host->set_name(std::string(kRouteConfigName));
     host->add_domains("*");
-    for (std::size_t k = 0; k < operations_.size(); ++k) {
-        const OperationId id{static_cast<int>(k)};
-        const Operation& operation = operations_[k];
+    for (std::size_t operation_index = 0; operation_index < operations_.size(); ++operation_index) {
+        const OperationId operation_id{static_cast<int>(operation_index)};
+        const Operation& operation = operations_[operation_index];
         for (const auto& [operations, table] : config_.assigned_tables(proxy)) {
-            if (!runtime::includes(operations, id)) {
+            if (!runtime::includes(operations, operation_id)) {
                 continue;
             }
-            const auto [admission_limit, retry_mode] = config_.admission(table, id);
+            const auto [admission_limit, retry_mode] = config_.admission(table, operation_id);
             auto* route = host->add_routes();
             route->set_name(operation.name);
             route->mutable_match()->set_path(operation_path(operation.name));
@@ -443,7 +457,8 @@
             }
         }
     }
-    cached = make_resource(ResourceType::Routes, out.name(), serialize_deterministically(out));
+    cached = make_resource(ResourceType::Routes, route_config.name(),
+                           serialize_deterministically(route_config));
     return cached;
 }
 
