--- a/src/cli/replay.cpp
+++ b/src/cli/replay.cpp
@@ -98,7 +98,7 @@
     const auto [records, lost, last] = contents_of(reader);
     std::printf("%llu bytes, %zu blocks, %llu records over %s, %llu lost while recording, %s\n",
                 static_cast<unsigned long long>(reader.file_bytes()), reader.blocks().size(),
-                static_cast<unsigned long long>(records), scenario::in_seconds(last).c_str(),
+                static_cast<unsigned long long>(records), scenario::format_seconds(last).c_str(),
                 static_cast<unsigned long long>(lost),
                 reader.is_complete() ? "ended in order" : "not ended in order");
     for (const auto& note : header.notes()) {
@@ -124,10 +124,10 @@
                     day.figures["worst_10_s"].get<double>());
     }
     for (const auto& trouble : day.faults) {
-        std::printf("  at %s %s%s\n", scenario::in_seconds(trouble.start).c_str(),
+        std::printf("  at %s %s%s\n", scenario::format_seconds(trouble.start).c_str(),
                     trouble.description.c_str(),
                     trouble.duration > base::Micros{0}
-                        ? (" for " + scenario::in_seconds(trouble.duration)).c_str()
+                        ? (" for " + scenario::format_seconds(trouble.duration)).c_str()
                         : "");
     }
     return kGood;
@@ -143,7 +143,7 @@
     }
     std::printf("%s: %zu whole blocks, %llu records to %s, %s\n", path.c_str(),
                 reader.blocks().size(), static_cast<unsigned long long>(records),
-                scenario::in_seconds(last).c_str(),
+                scenario::format_seconds(last).c_str(),
                 reader.damage().empty() ? "all of it whole" : "DAMAGED");
     return reader.damage().empty() ? kGood : kRuleBroken;
 }
@@ -196,7 +196,7 @@
             throw Failure(kBadSettings, wrong.what());
         }
         const std::string text = played.run.result.dump(1);
-        broken = broken || !played.run.breaks.empty();
+        broken = broken || !played.run.violations.empty();
         if (n > 0) {
             differs = differs || text != first;
             continue;
@@ -284,8 +284,8 @@
     for (const auto& path : args.reports) {
         write_report(path, day, comparison);
     }
-    const bool broken = !comparison.a.first_replay.run.breaks.empty() ||
-                        !comparison.b.first_replay.run.breaks.empty();
+    const bool broken = !comparison.a.first_replay.run.violations.empty() ||
+                        !comparison.b.first_replay.run.violations.empty();
     const bool differs =
         args.clock == "virtual" && !(comparison.a.identical && comparison.b.identical);
     return broken || differs ? kRuleBroken : kGood;
--- a/src/replay/compare.cpp
+++ b/src/replay/compare.cpp
@@ -43,7 +43,7 @@
     if (text.size() > kMaxShownChars) {
         text = text.substr(0, kMaxShownChars) + " ...";
     }
-    return scenario::in_seconds(entry->at) + " " + entry->governor +
+    return scenario::format_seconds(entry->at) + " " + entry->governor +
            (decision ? " decided: " : " received: ") + text;
 }
 
@@ -175,7 +175,7 @@
                sum_over_instances(figures_b, "orders_applied"), false);
     add_figure(out, "list change to applied p99, ms", figures_a["list_change_to_applied_ms"]["p99"],
                figures_b["list_change_to_applied_ms"]["p99"], false);
-    for (const char* rule : scenario::kRules) {
+    for (const char* rule : scenario::kAuditRules) {
         add_figure(out, std::string("breaks of rule ") + rule, a["rules"][rule]["broken"],
                    b["rules"][rule]["broken"], false);
     }
@@ -234,7 +234,7 @@
             return;
         }
         out.push_back((decision ? "first different decision at " : "first different event at ") +
-                      scenario::in_seconds(divergence->at()));
+                      scenario::format_seconds(divergence->at()));
         out.push_back("  A: " + describe(divergence->a, decision));
         out.push_back("  B: " + describe(divergence->b, decision));
     };
--- a/src/replay/merge.cpp
+++ b/src/replay/merge.cpp
@@ -13,7 +13,7 @@
 #include "base/random.h"
 #include "config/instance_config.h"
 #include "replay/recorder.h"
-#include "scenario/moves.h"
+#include "scenario/fault_action.h"
 
 namespace badgergrade::replay {
 
@@ -254,7 +254,7 @@
                    : config_.zones.front();
     }
 
-    void add_action(Micros when, scenario::Move action, bool opening = false) {
+    void add_action(Micros when, scenario::FaultAction action, bool opening = false) {
         actions_.push_back({std::max(0us, when), opening, false, std::move(action)});
     }
 
@@ -367,10 +367,10 @@
         }
     }
 
-    testbed::WorkerSettings server_settings(const std::string& id,
-                                            const ServerEstimate& estimate) const {
+    testbed::FakeServerSettings server_settings(const std::string& id,
+                                                const ServerEstimate& estimate) const {
         const Settings& settings = config_.settings;
-        testbed::WorkerSettings s;
+        testbed::FakeServerSettings s;
         const bool has_static_weights = settings.listed_weights != ListedWeights::None &&
                                         settings.listed_weights != ListedWeights::Live;
         s.id = id;
@@ -381,30 +381,31 @@
         // The listed weight stands for cores times speed. The work of an invocation is estimated
         // for a server of the fleet's median speed, which is 1.
         s.speed = std::max(0.05, estimate.speed);
-        s.cold_from = settings.initial_capacity_fraction;
-        s.cold_time = settings.slow_start_window;
-        s.fall_multiple = settings.overload_collapse_factor;
-        s.fall_time = settings.overload_collapse_time;
+        s.initial_capacity_fraction = settings.initial_capacity_fraction;
+        s.warm_up_time = settings.slow_start_window;
+        s.collapse_factor = settings.overload_collapse_factor;
+        s.collapse_window = settings.overload_collapse_time;
         s.handshake_work = 10ms;
         s.reports_load = !settings.load_metric_names.empty();
-        s.report_every = 500ms;
+        s.load_report_interval = 500ms;
         return s;
     }
 
     void add_initial_state() {
-        using enum scenario::MoveKind;
+        using enum scenario::FaultActionKind;
         const auto& first_list = *lists_.front().second;
         for (const auto& endpoint : first_list) {
+            add_action(
+                0us,
+                {.kind = AddServer,
+                 .target = endpoint.server,
+                 .server_settings = server_settings(endpoint.server, servers_.at(endpoint.server))},
+                true);
+            add_action(0us, {.kind = StartServer, .target = endpoint.server}, true);
             add_action(0us,
-                       {.kind = AddWorker,
-                        .who = endpoint.server,
-                        .worker = server_settings(endpoint.server, servers_.at(endpoint.server))},
-                       true);
-            add_action(0us, {.kind = StartWorker, .who = endpoint.server}, true);
-            add_action(0us,
-                       {.kind = ListWorker,
-                        .who = endpoint.server,
-                        .on = endpoint.state == ServerState::Draining},
+                       {.kind = ListServer,
+                        .target = endpoint.server,
+                        .enabled = endpoint.state == ServerState::Draining},
                        true);
             running_.insert(endpoint.server);
             added_.insert(endpoint.server);
@@ -415,14 +416,15 @@
             ordinals.insert(recording.config.settings.ordinal);
         }
         for (const int ordinal : ordinals) {
-            add_action(0us, {.kind = StartGovernor, .who = "governor-" + std::to_string(ordinal)},
+            add_action(0us,
+                       {.kind = StartInstance, .target = "governor-" + std::to_string(ordinal)},
                        true);
         }
         for (const auto& [name, zone_and_rate] : proxies_) {
             add_action(0us,
-                       {.kind = AddForwarder,
-                        .who = name,
-                        .by = std::max(0.01, zone_and_rate.second),
+                       {.kind = AddProxy,
+                        .target = name,
+                        .magnitude = std::max(0.01, zone_and_rate.second),
                         .text = zone_name(zone_and_rate.first)},
                        true);
         }
@@ -433,7 +435,7 @@
                              [](const auto* s) { return s->connected; });
             const bool started_late = (*first_connect)->at > 5s;
             add_action(started_late ? (*first_connect)->at - 50ms : 0us,
-                       {.kind = StartForwarder, .who = name}, !started_late);
+                       {.kind = StartProxy, .target = name}, !started_late);
         }
     }
 
@@ -458,7 +460,7 @@
 
     // Servers that start, stop or drain according to the endpoint lists.
     void add_list_changes() {
-        using enum scenario::MoveKind;
+        using enum scenario::FaultActionKind;
         for (const auto& [when, endpoints] : lists_) {
             std::set<std::string> listed_now;
             for (const auto& endpoint : *endpoints) {
@@ -471,7 +473,7 @@
                     if (running_.contains(endpoint.server)) {
                         add_action(
                             estimated_stop(endpoint.server, std::min(when, endpoint.started)),
-                            {.kind = StopWorker, .who = endpoint.server});
+                            {.kind = StopServer, .target = endpoint.server});
                     }
                     start_server(endpoint.server, endpoint.started, true);
                 } else if (!running_.contains(endpoint.server)) {
@@ -479,9 +481,9 @@
                 }
                 if (previous == listed_.end() || restarted ||
                     previous->second.state != endpoint.state) {
-                    add_action(when, {.kind = ListWorker,
-                                      .who = endpoint.server,
-                                      .on = endpoint.state == ServerState::Draining});
+                    add_action(when, {.kind = ListServer,
+                                      .target = endpoint.server,
+                                      .enabled = endpoint.state == ServerState::Draining});
                 }
                 listed_[endpoint.server] = endpoint;
             }
@@ -492,9 +494,9 @@
                 }
                 if (running_.erase(it->first)) {
                     add_action(estimated_stop(it->first, when),
-                               {.kind = StopWorker, .who = it->first});
+                               {.kind = StopServer, .target = it->first});
                 }
-                add_action(when, {.kind = UnlistWorker, .who = it->first});
+                add_action(when, {.kind = UnlistServer, .target = it->first});
                 it = listed_.erase(it);
             }
         }
@@ -502,11 +504,13 @@
 
     void start_server(const std::string& server, Micros when, bool cold) {
         if (added_.insert(server).second) {
-            add_action(when, {.kind = scenario::MoveKind::AddWorker,
-                              .who = server,
-                              .worker = server_settings(server, servers_.at(server))});
+            add_action(when, {.kind = scenario::FaultActionKind::AddServer,
+                              .target = server,
+                              .server_settings = server_settings(server, servers_.at(server))});
         }
-        add_action(when, {.kind = scenario::MoveKind::StartWorker, .who = server, .on = cold});
+        add_action(
+            when,
+            {.kind = scenario::FaultActionKind::StartServer, .target = server, .enabled = cold});
         running_.insert(server);
     }
 
@@ -545,33 +549,35 @@
                 FaultPeriod period{report->at - report->interval, report->at, {}};
                 if (failure_fraction >= kFailingServerFailureFraction &&
                     others_failure_fraction < kHealthyFleetFailureFraction) {
-                    period.trouble.errors = 1;
+                    period.trouble.error_fraction = 1;
                 } else if (report->attempts > report->failures &&
                            latency_ratio > kSlowServerLatencyRatio) {
-                    period.trouble.slower = latency_ratio;
+                    period.trouble.slowdown_factor = latency_ratio;
                 } else {
                     continue;
                 }
                 // Consecutive reports with the same kind of fault form one period.
                 if (!periods.empty() && periods.back().to + report->interval >= period.from &&
-                    (periods.back().trouble.errors > 0) == (period.trouble.errors > 0)) {
+                    (periods.back().trouble.error_fraction > 0) ==
+                        (period.trouble.error_fraction > 0)) {
                     periods.back().to = period.to;
                 } else {
                     periods.push_back(period);
                 }
             }
             for (const auto& period : periods) {
-                add_action(period.from, {.kind = scenario::MoveKind::TroubleWorker,
-                                         .who = server,
-                                         .trouble = period.trouble});
-                add_action(period.to, {.kind = scenario::MoveKind::TroubleWorker, .who = server});
+                add_action(period.from, {.kind = scenario::FaultActionKind::SetServerFault,
+                                         .target = server,
+                                         .server_fault = period.trouble});
+                add_action(period.to,
+                           {.kind = scenario::FaultActionKind::SetServerFault, .target = server});
             }
         }
     }
 
     struct FaultPeriod {
         Micros from{}, to{};
-        testbed::WorkerTrouble trouble;
+        testbed::ServerFault trouble;
     };
 
     // Whether the server started so recently that it is slow for that reason.
@@ -585,7 +591,7 @@
 
     // Proxies that restarted, lost their stream or were cut off from all instances.
     void add_proxy_faults() {
-        using enum scenario::MoveKind;
+        using enum scenario::FaultActionKind;
         for (const auto& [proxy, changes] : stream_changes_) {
             for (std::size_t k = 0; k < changes.size(); ++k) {
                 if (changes[k]->connected) {
@@ -604,21 +610,21 @@
                                  [](const auto* s) { return s->connected; });
                 const Micros until = reconnect == changes.end() ? length_ : (*reconnect)->at;
                 if (reconnect != changes.end() && (*reconnect)->fresh_start) {
-                    add_action(changes[k]->at, {.kind = StopForwarder, .who = proxy});
-                    add_action(until - 50ms, {.kind = StartForwarder, .who = proxy});
+                    add_action(changes[k]->at, {.kind = StopProxy, .target = proxy});
+                    add_action(until - 50ms, {.kind = StartProxy, .target = proxy});
                 } else if (until - changes[k]->at < kMaxBrokenStreamGap) {
-                    add_action(changes[k]->at, {.kind = BreakStream, .who = proxy});
+                    add_action(changes[k]->at, {.kind = BreakStream, .target = proxy});
                 } else {
                     add_action(changes[k]->at,
-                               {.kind = IsolateForwarder, .who = proxy, .on = true});
-                    add_action(until - 50ms, {.kind = IsolateForwarder, .who = proxy});
+                               {.kind = IsolateProxy, .target = proxy, .enabled = true});
+                    add_action(until - 50ms, {.kind = IsolateProxy, .target = proxy});
                 }
             }
         }
     }
 
     void add_instance_restarts() {
-        using enum scenario::MoveKind;
+        using enum scenario::FaultActionKind;
         std::map<int, std::vector<const InstanceRecording*>> by_ordinal;
         for (const InstanceRecording& recording : recordings_) {
             by_ordinal[recording.config.settings.ordinal].push_back(&recording);
@@ -630,12 +636,12 @@
                              });
             const std::string instance = "governor-" + std::to_string(ordinal);
             for (std::size_t k = 0; k + 1 < incarnations.size(); ++k) {
-                add_action(incarnations[k]->last, {.kind = StopGovernor, .who = instance});
+                add_action(incarnations[k]->last, {.kind = StopInstance, .target = instance});
                 add_action(start_of(*incarnations[k + 1]),
-                           {.kind = StartGovernor, .who = instance});
+                           {.kind = StartInstance, .target = instance});
             }
             if (length_ - incarnations.back()->last > 10s) {
-                add_action(incarnations.back()->last, {.kind = StopGovernor, .who = instance});
+                add_action(incarnations.back()->last, {.kind = StopInstance, .target = instance});
             }
         }
     }
@@ -763,7 +769,7 @@
         add_proxy_faults();
         add_instance_restarts();
         std::stable_sort(actions_.begin(), actions_.end(), [](const auto& a, const auto& b) {
-            return std::pair(!a.opening, a.at) < std::pair(!b.opening, b.at);
+            return std::pair(!a.initial, a.at) < std::pair(!b.initial, b.at);
         });
         const auto work = work_by_operation(invocations);
         pb::Header header = recordings_.front().header;
@@ -847,7 +853,7 @@
     std::map<std::string, std::set<Micros>> start_times_;  // in the selected lists
     std::map<std::string, std::vector<const LoadReport*>> load_reports_;
     std::map<std::string, std::vector<const StreamChange*>> stream_changes_;
-    std::vector<scenario::TimedMove> actions_;
+    std::vector<scenario::TimedFaultAction> actions_;
     // State of the fleet after the actions so far: servers that run, that were ever added, and that
     // are listed.
     std::set<std::string> running_, added_;
--- a/src/replay/recorded_run.cpp
+++ b/src/replay/recorded_run.cpp
@@ -47,44 +47,44 @@
     return "unknown";
 }
 
-testbed::WorkerSettings server_settings_of(const std::string& id,
-                                           const pb::ServerSettings& recorded) {
-    testbed::WorkerSettings s;
+testbed::FakeServerSettings server_settings_of(const std::string& id,
+                                               const pb::ServerSettings& recorded) {
+    testbed::FakeServerSettings s;
     s.id = id;
     s.zone = recorded.zone();
     s.cores = recorded.cores();
     s.speed = recorded.speed();
-    s.queue_per_core = recorded.queue_per_core();
-    s.cold_from = recorded.cold_capacity_fraction();
-    s.cold_time = Micros(recorded.warm_up_us());
-    s.fall_time = Micros(recorded.overload_collapse_us());
-    s.fall_multiple = recorded.overload_collapse_factor();
-    s.connections_most = recorded.max_connections();
+    s.max_queued_per_core = recorded.queue_per_core();
+    s.initial_capacity_fraction = recorded.cold_capacity_fraction();
+    s.warm_up_time = Micros(recorded.warm_up_us());
+    s.collapse_window = Micros(recorded.overload_collapse_us());
+    s.collapse_factor = recorded.overload_collapse_factor();
+    s.max_connections = recorded.max_connections();
     s.handshake_work = Micros(recorded.handshake_work_us());
-    s.key_gain = recorded.cached_key_saving();
-    s.key_time = Micros(recorded.key_ttl_us());
+    s.cache_saving_fraction = recorded.cached_key_saving();
+    s.cache_ttl = Micros(recorded.key_ttl_us());
     s.reports_load = recorded.reports_load();
-    s.report_every = Micros(recorded.report_interval_us());
-    s.error_rate = recorded.error_rate();
+    s.load_report_interval = Micros(recorded.report_interval_us());
+    s.error_fraction = recorded.error_rate();
     return s;
 }
 
-testbed::WorkerTrouble server_fault_of(const pb::ServerFault& recorded) {
-    testbed::WorkerTrouble out;
+testbed::ServerFault server_fault_of(const pb::ServerFault& recorded) {
+    testbed::ServerFault out;
     out.hangs = recorded.hangs();
-    out.errors = recorded.error_fraction();
-    out.slower = recorded.slowdown();
-    out.taken = recorded.stolen_cpu_fraction();
-    out.answers_lost = recorded.lost_response_fraction();
-    out.counters = recorded.reported_load_fraction();
-    out.connections_most = static_cast<std::size_t>(recorded.max_connections());
+    out.error_fraction = recorded.error_fraction();
+    out.slowdown_factor = recorded.slowdown();
+    out.stolen_cpu_fraction = recorded.stolen_cpu_fraction();
+    out.lost_response_fraction = recorded.lost_response_fraction();
+    out.reported_load_fraction = recorded.reported_load_fraction();
+    out.max_connections = static_cast<std::size_t>(recorded.max_connections());
     return out;
 }
 
 // Reconstructs the run from the records, which must be passed in the order of the file.
 class RunBuilder {
 public:
-    RunBuilder(RecordedRun& recorded, const scenario::DayScript& script)
+    RunBuilder(RecordedRun& recorded, const scenario::ScenarioScript& script)
         : recorded_(recorded),
           script_(script),
           figures_(script, 0us, script.length, {}) {}
@@ -100,7 +100,7 @@
     }
 
     void close() {
-        figures_.close();
+        figures_.finish();
         recorded_.figures = figures_.json();
         if (inconsistent_records_ > 0) {
             recorded_.damage.push_back({0, std::to_string(inconsistent_records_) +
@@ -144,76 +144,77 @@
                  fault.name() + (fault.target().empty() ? "" : " " + fault.target())});
         }
         if (record.has_attempt()) {
-            figures_.try_sent(at, {}, {}, 0, 0, static_cast<int>(record.attempt().number()), {});
+            figures_.on_attempt_sent(at, {}, {}, 0, 0, static_cast<int>(record.attempt().number()),
+                                     {});
         }
     }
 
     void add_action(Micros at, const pb::FleetAction& record) {
-        scenario::TimedMove out;
+        scenario::TimedFaultAction out;
         out.at = at;
-        out.opening = record.initial();
+        out.initial = record.initial();
         // Only together with the previous action: if that one is lost, this one is on its own.
-        out.joined = record.same_step() && !recorded_.input.moves.empty() &&
-                     recorded_.input.moves.back().at == at;
-        scenario::Move& action = out.what;
-        action.kind = static_cast<scenario::MoveKind>(record.kind());
-        action.who = name(record.target());
-        action.on = record.enabled();
-        action.by = record.amount();
-        action.wait = Micros(record.delay_us());
+        out.same_step = record.same_step() && !recorded_.input.actions.empty() &&
+                        recorded_.input.actions.back().at == at;
+        scenario::FaultAction& action = out.action;
+        action.kind = static_cast<scenario::FaultActionKind>(record.kind());
+        action.target = name(record.target());
+        action.enabled = record.enabled();
+        action.magnitude = record.amount();
+        action.duration = Micros(record.delay_us());
         action.text = record.text();
         if (record.has_server_fault()) {
-            action.trouble = server_fault_of(record.server_fault());
+            action.server_fault = server_fault_of(record.server_fault());
         }
         if (record.has_server_settings()) {
-            action.worker = server_settings_of(action.who, record.server_settings());
+            action.server_settings = server_settings_of(action.target, record.server_settings());
         }
         if (!is_consistent(action)) {
             return void(++inconsistent_records_);
         }
-        if (action.kind == scenario::MoveKind::AddForwarder) {
-            figures_.place(action.who, action.text);
+        if (action.kind == scenario::FaultActionKind::AddProxy) {
+            figures_.set_proxy_zone(action.target, action.text);
         }
-        recorded_.input.moves.push_back(std::move(out));
+        recorded_.input.actions.push_back(std::move(out));
     }
 
     // Whether the action fits the fleet as the records so far describe it. If blocks are lost, an
     // action may name a host that was added in one of them, or start a host that runs already.
-    bool is_consistent(const scenario::Move& action) {
-        using enum scenario::MoveKind;
+    bool is_consistent(const scenario::FaultAction& action) {
+        using enum scenario::FaultActionKind;
         switch (action.kind) {
-            case AddWorker:
-                return servers_.try_emplace(action.who, false).second;
-            case AddForwarder:
-                return proxies_.insert(action.who).second;
-            case StartWorker:
-            case StopWorker:
-                if (!servers_.contains(action.who)) {
+            case AddServer:
+                return servers_.try_emplace(action.target, false).second;
+            case AddProxy:
+                return proxies_.insert(action.target).second;
+            case StartServer:
+            case StopServer:
+                if (!servers_.contains(action.target)) {
                     return false;
                 }
-                servers_[action.who] = action.kind == StartWorker;
+                servers_[action.target] = action.kind == StartServer;
                 return true;
-            case ListWorker:
-            case UnlistWorker:
-            case TroubleWorker:
-                return servers_.contains(action.who) &&
-                       (action.kind == UnlistWorker || servers_[action.who]);
-            case StartForwarder:
-            case StopForwarder:
+            case ListServer:
+            case UnlistServer:
+            case SetServerFault:
+                return servers_.contains(action.target) &&
+                       (action.kind == UnlistServer || servers_[action.target]);
+            case StartProxy:
+            case StopProxy:
             case BreakStream:
-            case IsolateForwarder:
-            case StallForwarder:
-                return proxies_.contains(action.who);
-            case StartGovernor:
-            case StopGovernor: {
-                const auto known = action.who.rfind("governor-", 0) == 0 &&
-                                   std::atoi(action.who.c_str() + 9) < script_.governors;
+            case IsolateProxy:
+            case StallProxy:
+                return proxies_.contains(action.target);
+            case StartInstance:
+            case StopInstance: {
+                const auto known = action.target.rfind("governor-", 0) == 0 &&
+                                   std::atoi(action.target.c_str() + 9) < script_.instance_count;
                 return known &&
-                       std::exchange(instances_[action.who], action.kind == StartGovernor) !=
-                           (action.kind == StartGovernor);
+                       std::exchange(instances_[action.target], action.kind == StartInstance) !=
+                           (action.kind == StartInstance);
             }
             default:
-                return action.kind >= CutZone && action.kind <= GiveUp;
+                return action.kind >= PartitionZone && action.kind <= ShortenAttemptTimeouts;
         }
     }
 
@@ -230,14 +231,14 @@
         if (!proxies_.contains(name(record.proxy()))) {
             return void(++inconsistent_records_);
         }
-        invocation.forwarder = name(record.proxy());
+        invocation.proxy = name(record.proxy());
         invocation.key = name(record.key());
         invocation.work = Micros(static_cast<std::int64_t>(record.work_us()));
-        invocation.came = at;
-        figures_.invocation_came(at, invocation);
+        invocation.arrived_at = at;
+        figures_.on_invocation_arrived(at, invocation);
         ++recorded_.invocations;
-        open_invocations_[invocation.id] = {invocation.operation, invocation.forwarder, at};
-        recorded_.input.traffic[invocation.forwarder].push_back(std::move(invocation));
+        open_invocations_[invocation.id] = {invocation.operation, invocation.proxy, at};
+        recorded_.input.traffic[invocation.proxy].push_back(std::move(invocation));
     }
 
     void end_invocation(Micros at, const pb::InvocationEnd& record) {
@@ -249,13 +250,13 @@
         testbed::Invocation invocation;
         invocation.id = id;
         invocation.operation = it->second.operation;
-        invocation.forwarder = it->second.forwarder;
-        invocation.came = it->second.came;
+        invocation.proxy = it->second.forwarder;
+        invocation.arrived_at = it->second.came;
         for (std::uint32_t n = 0; n < record.client_attempts(); ++n) {
-            figures_.client_try(at, invocation);
+            figures_.on_client_attempt(at, invocation);
         }
-        figures_.invocation_ended(at, invocation,
-                                  static_cast<testbed::Result>(std::min(record.result(), 3u)));
+        figures_.on_invocation_finished(
+            at, invocation, static_cast<testbed::InvocationResult>(std::min(record.result(), 3u)));
         open_invocations_.erase(it);
     }
 
@@ -270,8 +271,8 @@
     };
 
     RecordedRun& recorded_;
-    const scenario::DayScript& script_;
-    scenario::Figures figures_;
+    const scenario::ScenarioScript& script_;
+    scenario::ScenarioMetrics figures_;
     const pb::Block* block_ = nullptr;
     std::int64_t last_id_ = 0;
     Micros last_recorded_at_ = Micros::min(), clock_correction_{};
@@ -329,7 +330,7 @@
         }
         out.length = std::min(out.length, last + 1us);
     }
-    if (out.input.moves.empty() || out.invocations == 0) {
+    if (out.input.actions.empty() || out.invocations == 0) {
         throw std::runtime_error(
             path + ": expected actions on the fleet and invocations, got a recording without them");
     }
--- a/src/replay/recorded_run.h
+++ b/src/replay/recorded_run.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "recording/reader.h"
-#include "scenario/figures.h"
-#include "scenario/moves.h"
+#include "scenario/fault_action.h"
+#include "scenario/metrics.h"
 
 namespace badgergrade::replay {
 
@@ -30,7 +30,7 @@
     config::IniFile settings;
     /// The scenario's script without the lines that name settings.
     std::string script;
-    scenario::GivenWorld input;
+    scenario::RecordedScenario input;
     std::vector<FaultSpan> faults;
     Micros length{};
     /// `lost_records` were never written; see recording::WriterOptions.
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-pb::Header make_header(const scenario::DayScript& script, Micros begin) {
+pb::Header make_header(const scenario::ScenarioScript& script, Micros begin) {
     pb::Header out;
     out.set_made_by("day " + script.name);
     out.set_settings(script.settings.to_text());
@@ -48,7 +48,7 @@
     out.set_seed(script.seed);
     out.set_begin_us(begin.count());
     out.set_length_us(script.length.count());
-    for (const auto& op : script.governor.settings.operations) {
+    for (const auto& op : script.instance_config.settings.operations) {
         out.add_operations(op.name);
     }
     return out;
@@ -68,83 +68,84 @@
     return out;
 }
 
-void Recorder::attach_to(scenario::World& world) {
-    world.on_move = [this](Micros now, bool opening, bool joined, const scenario::Move& action) {
+void Recorder::attach_to(scenario::SimulatedFleet& fleet) {
+    fleet.on_action = [this](Micros now, bool opening, bool joined,
+                             const scenario::FaultAction& action) {
         write_action(writer_, now, {now, opening, joined, action});
     };
-    world.on_trouble = [this](Micros now, const scenario::Trouble& fault) {
+    fleet.on_fault = [this](Micros now, const scenario::Fault& fault) {
         write_fault(now, fault);
     };
-    world.governor_watcher = this;
+    fleet.instance_observer = this;
 }
 
-void write_action(recording::Writer& writer, Micros now, const scenario::TimedMove& timed) {
-    const scenario::Move& action = timed.what;
+void write_action(recording::Writer& writer, Micros now, const scenario::TimedFaultAction& timed) {
+    const scenario::FaultAction& action = timed.action;
     auto& out = *writer.add(now).mutable_action();
     out.set_kind(static_cast<std::uint32_t>(action.kind));
-    out.set_target(writer.name(action.who));
-    out.set_enabled(action.on);
-    out.set_amount(action.by);
-    out.set_delay_us(action.wait.count());
+    out.set_target(writer.name(action.target));
+    out.set_enabled(action.enabled);
+    out.set_amount(action.magnitude);
+    out.set_delay_us(action.duration.count());
     out.set_text(action.text);
-    out.set_initial(timed.opening);
-    out.set_same_step(timed.joined);
-    if (action.kind == scenario::MoveKind::TroubleWorker) {
+    out.set_initial(timed.initial);
+    out.set_same_step(timed.same_step);
+    if (action.kind == scenario::FaultActionKind::SetServerFault) {
         auto& fault = *out.mutable_server_fault();
-        fault.set_hangs(action.trouble.hangs);
-        fault.set_error_fraction(action.trouble.errors);
-        fault.set_slowdown(action.trouble.slower);
-        fault.set_stolen_cpu_fraction(action.trouble.taken);
-        fault.set_lost_response_fraction(action.trouble.answers_lost);
-        fault.set_reported_load_fraction(action.trouble.counters);
-        fault.set_max_connections(action.trouble.connections_most);
+        fault.set_hangs(action.server_fault.hangs);
+        fault.set_error_fraction(action.server_fault.error_fraction);
+        fault.set_slowdown(action.server_fault.slowdown_factor);
+        fault.set_stolen_cpu_fraction(action.server_fault.stolen_cpu_fraction);
+        fault.set_lost_response_fraction(action.server_fault.lost_response_fraction);
+        fault.set_reported_load_fraction(action.server_fault.reported_load_fraction);
+        fault.set_max_connections(action.server_fault.max_connections);
     }
-    if (action.kind == scenario::MoveKind::AddWorker) {
+    if (action.kind == scenario::FaultActionKind::AddServer) {
         auto& settings = *out.mutable_server_settings();
-        const auto& s = action.worker;
+        const auto& s = action.server_settings;
         settings.set_zone(s.zone);
         settings.set_cores(s.cores);
         settings.set_speed(s.speed);
-        settings.set_queue_per_core(s.queue_per_core);
-        settings.set_cold_capacity_fraction(s.cold_from);
-        settings.set_warm_up_us(s.cold_time.count());
-        settings.set_overload_collapse_us(s.fall_time.count());
-        settings.set_overload_collapse_factor(s.fall_multiple);
-        settings.set_max_connections(s.connections_most);
+        settings.set_queue_per_core(s.max_queued_per_core);
+        settings.set_cold_capacity_fraction(s.initial_capacity_fraction);
+        settings.set_warm_up_us(s.warm_up_time.count());
+        settings.set_overload_collapse_us(s.collapse_window.count());
+        settings.set_overload_collapse_factor(s.collapse_factor);
+        settings.set_max_connections(s.max_connections);
         settings.set_handshake_work_us(s.handshake_work.count());
-        settings.set_cached_key_saving(s.key_gain);
-        settings.set_key_ttl_us(s.key_time.count());
+        settings.set_cached_key_saving(s.cache_saving_fraction);
+        settings.set_key_ttl_us(s.cache_ttl.count());
         settings.set_reports_load(s.reports_load);
-        settings.set_report_interval_us(s.report_every.count());
-        settings.set_error_rate(s.error_rate);
+        settings.set_report_interval_us(s.load_report_interval.count());
+        settings.set_error_rate(s.error_fraction);
     }
 }
 
-void Recorder::write_fault(Micros now, const scenario::Trouble& fault) {
+void Recorder::write_fault(Micros now, const scenario::Fault& fault) {
     auto& out = *writer_.add(now).mutable_fault();
     out.set_name(fault.name);
-    out.set_duration_us(fault.lasts.count());
+    out.set_duration_us(fault.duration.count());
     out.set_script_line(static_cast<std::uint32_t>(fault.line));
-    out.set_target(!fault.one.empty() ? fault.one
-                   : fault.count > 0  ? std::to_string(fault.count)
-                   : fault.part > 0   ? text_of(fault.part * 100) + "%"
-                                      : "");
+    out.set_target(!fault.target_name.empty()  ? fault.target_name
+                   : fault.target_count > 0    ? std::to_string(fault.target_count)
+                   : fault.target_fraction > 0 ? text_of(fault.target_fraction * 100) + "%"
+                                               : "");
 }
 
-void Recorder::invocation_came(Micros now, const testbed::Invocation& invocation) {
+void Recorder::on_invocation_arrived(Micros now, const testbed::Invocation& invocation) {
     auto& out = *writer_.add(now).mutable_invocation_start();
     auto& last_id = writer_.last_invocation_id();
     const auto id = static_cast<std::int64_t>(invocation.id);
     out.set_id_delta(id - last_id);
     last_id = id;
-    out.set_proxy(writer_.name(invocation.forwarder));
+    out.set_proxy(writer_.name(invocation.proxy));
     out.set_key(writer_.name(invocation.key));
     out.set_operation(static_cast<std::uint32_t>(invocation.operation));
     out.set_work_us(static_cast<std::uint64_t>(invocation.work.count()));
 }
 
-void Recorder::invocation_ended(Micros now, const testbed::Invocation& invocation,
-                                testbed::Result result) {
+void Recorder::on_invocation_finished(Micros now, const testbed::Invocation& invocation,
+                                      testbed::InvocationResult result) {
     const auto first = open_attempts_.lower_bound({invocation.id, std::string()});
     auto it = first;
     for (; it != open_attempts_.end() && it->first.first == invocation.id; ++it) {
@@ -154,11 +155,12 @@
     auto& out = *writer_.add(now).mutable_invocation_end();
     out.set_id_behind(writer_.last_invocation_id() - static_cast<std::int64_t>(invocation.id));
     out.set_result(static_cast<std::uint32_t>(result));
-    out.set_client_attempts(static_cast<std::uint32_t>(invocation.client_tries));
+    out.set_client_attempts(static_cast<std::uint32_t>(invocation.client_attempts));
 }
 
-void Recorder::try_sent(Micros now, const std::string& proxy, const std::string& server,
-                        std::uint64_t invocation, int operation, int number, testbed::TryEnd) {
+void Recorder::on_attempt_sent(Micros now, const std::string& proxy, const std::string& server,
+                               std::uint64_t invocation, int operation, int number,
+                               testbed::AttemptOutcome) {
     OpenAttempt attempt{server, now, operation, number};
     const auto [it, inserted] = open_attempts_.try_emplace({invocation, proxy}, attempt);
     if (inserted) {
@@ -169,8 +171,8 @@
     it->second = std::move(attempt);
 }
 
-void Recorder::try_ended(Micros now, const std::string& proxy, const std::string&,
-                         std::uint64_t invocation, testbed::TryEnd outcome) {
+void Recorder::on_attempt_finished(Micros now, const std::string& proxy, const std::string&,
+                                   std::uint64_t invocation, testbed::AttemptOutcome outcome) {
     const auto it = open_attempts_.find({invocation, proxy});
     if (it == open_attempts_.end()) {
         return;
@@ -191,20 +193,22 @@
     out.set_operation(static_cast<std::uint32_t>(attempt.operation));
 }
 
-void Recorder::joined(Micros now, const std::string& proxy, const std::string& instance) {
+void Recorder::on_proxy_connected(Micros now, const std::string& proxy,
+                                  const std::string& instance) {
     auto& out = *writer_.add(now).mutable_stream_opened();
     out.set_proxy(writer_.name(proxy));
     out.set_instance(writer_.name(instance));
 }
 
-void Recorder::left(Micros now, const std::string& proxy, const std::string& instance) {
+void Recorder::on_proxy_disconnected(Micros now, const std::string& proxy,
+                                     const std::string& instance) {
     auto& out = *writer_.add(now).mutable_stream_closed();
     out.set_proxy(writer_.name(proxy));
     out.set_instance(writer_.name(instance));
 }
 
-void Recorder::response_read(Micros now, const std::string& proxy, const std::string& instance,
-                             const std::string&, std::size_t bytes, const std::string& rejection) {
+void Recorder::on_response(Micros now, const std::string& proxy, const std::string& instance,
+                           const std::string&, std::size_t bytes, const std::string& rejection) {
     auto& out = *writer_.add(now).mutable_response_read();
     out.set_proxy(writer_.name(proxy));
     out.set_instance(writer_.name(instance));
@@ -350,20 +354,21 @@
     }
 }
 
-scenario::DayRun record_scenario(const scenario::DayScript& script, scenario::DayOptions options,
-                                 const std::string& path, recording::WriterOptions writer_options,
-                                 recording::WriterStats& stats) {
+scenario::ScenarioRun record_scenario(const scenario::ScenarioScript& script,
+                                      scenario::ScenarioOptions options, const std::string& path,
+                                      recording::WriterOptions writer_options,
+                                      recording::WriterStats& stats) {
     std::optional<recording::Writer> writer;
     std::optional<Recorder> recorder;
-    options.prepare = [&](base::Micros begin) {
+    options.make_observers = [&](base::Micros begin) {
         writer.emplace(recording::open_file_sink(path), make_header(script, begin), writer_options);
         recorder.emplace(*writer);
         return std::vector<testbed::Observer*>{&*recorder};
     };
-    options.before = [&](scenario::World& world) {
-        recorder->attach_to(world);
+    options.before_start = [&](scenario::SimulatedFleet& fleet) {
+        recorder->attach_to(fleet);
     };
-    auto out = scenario::run_day(script, options);
+    auto out = scenario::run_scenario(script, options);
     writer->finish();
     stats = writer->stats();
     return out;
@@ -382,7 +387,7 @@
 }
 }  // namespace
 
-InstanceRecorder::InstanceRecorder(std::string directory, const scenario::DayScript& script,
+InstanceRecorder::InstanceRecorder(std::string directory, const scenario::ScenarioScript& script,
                                    std::map<std::string, Micros> clock_offsets)
     : directory_(std::move(directory)),
       script_(script),
@@ -392,7 +397,7 @@
     auto settings = script_.settings;
     settings.set("governor", "id", service.id());
     settings.set("governor", "ordinal", std::to_string(service.ordinal()));
-    auto config = script_.governor;
+    auto config = script_.instance_config;
     config.id = service.id();
     paths_.push_back((std::filesystem::path(directory_) /
                       (service.id() + "-" + std::to_string(paths_.size()) + ".rec"))
--- a/src/replay/recorder.h
+++ b/src/replay/recorder.h
@@ -12,7 +12,7 @@
 #include "recording/writer.h"
 #include "scenario/runner.h"
 #include "scenario/script.h"
-#include "scenario/world.h"
+#include "scenario/simulated_fleet.h"
 #include "testbed/observer.h"
 #include "xds_server/xds_server_observer.h"
 
@@ -22,7 +22,7 @@
 namespace pb = badgergrade::recording::v1;
 
 /// The header of the recording of a whole scenario. `begin` is the clock's time at its start.
-pb::Header make_header(const scenario::DayScript& script, Micros begin);
+pb::Header make_header(const scenario::ScenarioScript& script, Micros begin);
 /// The header of the recording of one instance. `settings` is the INI text of its configuration and
 /// `wall_begin` the wall clock time of `begin`, as RFC 3339, empty under a virtual clock.
 pb::Header make_header(const config::InstanceConfig& config, const std::string& settings,
@@ -33,7 +33,7 @@
 inline constexpr std::uint32_t kAttemptAbandoned = 100;
 
 /// Records one action on the fleet at the clock time `now`; the action's own time is ignored.
-void write_action(recording::Writer& writer, Micros now, const scenario::TimedMove& action);
+void write_action(recording::Writer& writer, Micros now, const scenario::TimedFaultAction& action);
 
 /// Writes everything that it observes to one recording.
 class Recorder final : public testbed::Observer, public xds_server::XdsServerObserver {
@@ -42,20 +42,22 @@
 
     /// Records the actions and faults of this fleet and observes its instances. To be called before
     /// the fleet starts.
-    void attach_to(scenario::World& world);
-
-    void invocation_came(Micros, const testbed::Invocation&) override;
-    void invocation_ended(Micros, const testbed::Invocation&, testbed::Result) override;
-    void try_sent(Micros, const std::string& proxy, const std::string& server,
-                  std::uint64_t invocation, int operation, int number,
-                  testbed::TryEnd previous) override;
-    void try_ended(Micros, const std::string& proxy, const std::string& server,
-                   std::uint64_t invocation, testbed::TryEnd) override;
-    void joined(Micros, const std::string& proxy, const std::string& instance) override;
-    void left(Micros, const std::string& proxy, const std::string& instance) override;
-    void response_read(Micros, const std::string& proxy, const std::string& instance,
-                       const std::string& release_text, std::size_t bytes,
-                       const std::string& rejection) override;
+    void attach_to(scenario::SimulatedFleet& fleet);
+
+    void on_invocation_arrived(Micros, const testbed::Invocation&) override;
+    void on_invocation_finished(Micros, const testbed::Invocation&,
+                                testbed::InvocationResult) override;
+    void on_attempt_sent(Micros, const std::string& proxy, const std::string& server,
+                         std::uint64_t invocation, int operation, int number,
+                         testbed::AttemptOutcome previous) override;
+    void on_attempt_finished(Micros, const std::string& proxy, const std::string& server,
+                             std::uint64_t invocation, testbed::AttemptOutcome) override;
+    void on_proxy_connected(Micros, const std::string& proxy, const std::string& instance) override;
+    void on_proxy_disconnected(Micros, const std::string& proxy,
+                               const std::string& instance) override;
+    void on_response(Micros, const std::string& proxy, const std::string& instance,
+                     const std::string& release_text, std::size_t bytes,
+                     const std::string& rejection) override;
 
     void on_started(Micros, const xds_server::XdsServer&) override;
     void on_stopped(Micros, const xds_server::XdsServer&) override;
@@ -69,7 +71,7 @@
         int operation = 0, number = 0;
     };
 
-    void write_fault(Micros now, const scenario::Trouble& fault);
+    void write_fault(Micros now, const scenario::Fault& fault);
     void write_attempt(Micros now, const std::string& proxy, std::uint64_t invocation,
                        const OpenAttempt& attempt, std::uint32_t outcome);
 
@@ -81,16 +83,17 @@
 /// Runs the scenario and records it to the file at `path`. Observers that `options` names keep
 /// observing. `stats` receives the writer's final counts. Throws recording::WriteError if the file
 /// cannot be created.
-scenario::DayRun record_scenario(const scenario::DayScript& script, scenario::DayOptions options,
-                                 const std::string& path, recording::WriterOptions writer_options,
-                                 recording::WriterStats& stats);
+scenario::ScenarioRun record_scenario(const scenario::ScenarioScript& script,
+                                      scenario::ScenarioOptions options, const std::string& path,
+                                      recording::WriterOptions writer_options,
+                                      recording::WriterStats& stats);
 
 /// Records each incarnation of each instance of a scenario to a file of its own, INSTANCE-N.rec, as
 /// the instances' own processes would. N counts all incarnations of the scenario.
 class InstanceRecorder final : public xds_server::XdsServerObserver {
 public:
     /// `clock_offsets`: by instance, how far its clock is ahead of the scenario's.
-    InstanceRecorder(std::string directory, const scenario::DayScript& script,
+    InstanceRecorder(std::string directory, const scenario::ScenarioScript& script,
                      std::map<std::string, Micros> clock_offsets = {});
     void on_started(Micros, const xds_server::XdsServer&) override;
     void on_stopped(Micros, const xds_server::XdsServer&) override;
@@ -110,7 +113,7 @@
     };
 
     std::string directory_;
-    const scenario::DayScript& script_;
+    const scenario::ScenarioScript& script_;
     std::map<std::string, Micros> clock_offsets_;
     std::map<std::string, OpenRecording> open_;
     std::vector<std::string> paths_;
--- a/src/replay/report.cpp
+++ b/src/replay/report.cpp
@@ -262,10 +262,10 @@
     }
     out << "</pre>\n";
     for (const auto* s : {&comparison.a, &comparison.b}) {
-        for (const auto& b : s->first_replay.run.breaks) {
+        for (const auto& b : s->first_replay.run.violations) {
             out << "<p class=\"worse\">Rule <b>" << escape_html(b.rule) << "</b> violated under "
                 << (s == &comparison.a ? "A" : "B") << ": " << escape_html(b.parties) << ": "
-                << escape_html(b.what) << "</p>\n";
+                << escape_html(b.description) << "</p>\n";
         }
     }
     out << "</body></html>\n";
--- a/src/replay/runner.cpp
+++ b/src/replay/runner.cpp
@@ -47,28 +47,29 @@
     return seconds_[k];
 }
 
-void TimeSeries::invocation_came(Micros now, const testbed::Invocation&) {
+void TimeSeries::on_invocation_arrived(Micros now, const testbed::Invocation&) {
     ++second_at(now).invocations;
 }
 
-void TimeSeries::try_sent(Micros now, const std::string&, const std::string&, std::uint64_t, int,
-                          int number, testbed::TryEnd) {
+void TimeSeries::on_attempt_sent(Micros now, const std::string&, const std::string&, std::uint64_t,
+                                 int, int number, testbed::AttemptOutcome) {
     Second& second = second_at(now);
     ++second.attempts;
     second.retries += number > 1;
 }
 
-void TimeSeries::joined(Micros now, const std::string&, const std::string&) {
+void TimeSeries::on_proxy_connected(Micros now, const std::string&, const std::string&) {
     ++second_at(now).connects;
 }
 
-void TimeSeries::server_fell(Micros now, const std::string&, const std::vector<Push>&) {
+void TimeSeries::on_server_collapsed(Micros now, const std::string&,
+                                     const std::vector<ReceivedWork>&) {
     ++second_at(now).overload_collapses;
 }
 
-void TimeSeries::response_read(Micros now, const std::string&, const std::string&,
-                               const std::string& release_text, std::size_t,
-                               const std::string& rejection) {
+void TimeSeries::on_response(Micros now, const std::string&, const std::string&,
+                             const std::string& release_text, std::size_t,
+                             const std::string& rejection) {
     const auto releases = xds::parse_release_text(release_text);
     for (const auto& update : releases.updates) {
         if (rejection.empty()) {
@@ -124,32 +125,33 @@
     replay_input.script.length = out.to;
     for (auto& [forwarder, list] : replay_input.input.traffic) {
         std::erase_if(list, [&](const auto& invocation) {
-            return invocation.came < out.from - options.warm_up || invocation.came >= out.to;
+            return invocation.arrived_at < out.from - options.warm_up ||
+                   invocation.arrived_at >= out.to;
         });
     }
     // The times of the trace and the series count from the clock's time at the start of the run,
     // which scenario::run_day passes to `prepare`.
     std::optional<Trace> trace;
     std::optional<TimeSeries> series;
-    scenario::DayOptions run_options;
+    scenario::ScenarioOptions run_options;
     run_options.clock = options.clock;
     run_options.speed = options.speed;
-    run_options.log = options.log;
-    run_options.given = &replay_input.input;
-    run_options.count_from = out.from;
-    run_options.watchers = options.observers;
-    run_options.prepare = [&](Micros begin) {
+    run_options.log_level = options.log;
+    run_options.recorded = &replay_input.input;
+    run_options.measure_from = out.from;
+    run_options.observers = options.observers;
+    run_options.make_observers = [&](Micros begin) {
         trace.emplace(begin);
         series.emplace(begin);
         return std::vector<testbed::Observer*>{&*series};
     };
-    run_options.before = [&](scenario::World& world) {
-        world.governor_watcher = &*trace;
+    run_options.before_start = [&](scenario::SimulatedFleet& fleet) {
+        fleet.instance_observer = &*trace;
         if (options.before) {
-            options.before(world);
+            options.before(fleet);
         }
     };
-    out.run = scenario::run_day(replay_input.script, run_options);
+    out.run = scenario::run_scenario(replay_input.script, run_options);
     out.script = std::move(replay_input.script);
     out.trace = trace->entries();
     out.seconds = series->seconds(out.to);
--- a/src/replay/runner.h
+++ b/src/replay/runner.h
@@ -63,13 +63,13 @@
 
     explicit TimeSeries(Micros begin) : begin_(begin) {}
 
-    void invocation_came(Micros, const testbed::Invocation&) override;
-    void try_sent(Micros, const std::string&, const std::string&, std::uint64_t, int, int number,
-                  testbed::TryEnd) override;
-    void joined(Micros, const std::string&, const std::string&) override;
-    void response_read(Micros, const std::string&, const std::string&,
-                       const std::string& release_text, std::size_t, const std::string&) override;
-    void server_fell(Micros, const std::string&, const std::vector<Push>&) override;
+    void on_invocation_arrived(Micros, const testbed::Invocation&) override;
+    void on_attempt_sent(Micros, const std::string&, const std::string&, std::uint64_t, int,
+                         int number, testbed::AttemptOutcome) override;
+    void on_proxy_connected(Micros, const std::string&, const std::string&) override;
+    void on_response(Micros, const std::string&, const std::string&,
+                     const std::string& release_text, std::size_t, const std::string&) override;
+    void on_server_collapsed(Micros, const std::string&, const std::vector<ReceivedWork>&) override;
 
     /// The seconds up to `length`. Queued lines follow from the times at which each update was
     /// decided and released, which the responses state.
@@ -96,14 +96,14 @@
     Micros warm_up = std::chrono::seconds(60);
     log::Level log = log::Level::Off;
     /// Called with the fleet before it starts, for example to record the replay.
-    std::function<void(scenario::World&)> before;
+    std::function<void(scenario::SimulatedFleet&)> before;
     std::vector<testbed::Observer*> observers;
 };
 
 struct ReplayResult {
     /// The script that was run, with the variant's changes.
-    scenario::DayScript script;
-    scenario::DayRun run;
+    scenario::ScenarioScript script;
+    scenario::ScenarioRun run;
     std::vector<Trace::Entry> trace;
     std::vector<TimeSeries::Second> seconds;
     Micros from{}, to{};
--- a/src/replay/variant.cpp
+++ b/src/replay/variant.cpp
@@ -63,10 +63,11 @@
 }
 
 std::size_t initial_server_count(const RecordedRun& recorded) {
-    return static_cast<std::size_t>(std::count_if(
-        recorded.input.moves.begin(), recorded.input.moves.end(), [](const scenario::TimedMove& m) {
-            return m.opening && m.what.kind == scenario::MoveKind::AddWorker;
-        }));
+    return static_cast<std::size_t>(
+        std::count_if(recorded.input.actions.begin(), recorded.input.actions.end(),
+                      [](const scenario::TimedFaultAction& m) {
+                          return m.initial && m.action.kind == scenario::FaultActionKind::AddServer;
+                      }));
 }
 
 class VariantReader {
@@ -159,35 +160,35 @@
 };
 
 // Adds actions to the initial state that add, start and list a server with the settings of `like`.
-void add_server_like(scenario::GivenWorld& input, const testbed::WorkerSettings& like,
+void add_server_like(scenario::RecordedScenario& input, const testbed::FakeServerSettings& like,
                      const std::string& id) {
-    using enum scenario::MoveKind;
-    scenario::Move add{.kind = AddWorker, .who = id, .worker = like};
-    add.worker.id = id;
-    std::vector<scenario::TimedMove> actions;
-    for (const auto kind : {StartWorker, ListWorker}) {
-        actions.push_back({0us, true, true, {.kind = kind, .who = id}});
+    using enum scenario::FaultActionKind;
+    scenario::FaultAction add{.kind = AddServer, .target = id, .server_settings = like};
+    add.server_settings.id = id;
+    std::vector<scenario::TimedFaultAction> actions;
+    for (const auto kind : {StartServer, ListServer}) {
+        actions.push_back({0us, true, true, {.kind = kind, .target = id}});
     }
     actions.insert(actions.begin(), {0us, true, true, std::move(add)});
     // Among the servers, before the instances and proxies start.
-    const auto position =
-        std::find_if(input.moves.begin(), input.moves.end(), [](const scenario::TimedMove& m) {
-            return !m.opening || m.what.kind == StartGovernor || m.what.kind == AddForwarder;
+    const auto position = std::find_if(
+        input.actions.begin(), input.actions.end(), [](const scenario::TimedFaultAction& m) {
+            return !m.initial || m.action.kind == StartInstance || m.action.kind == AddProxy;
         });
-    input.moves.insert(position, actions.begin(), actions.end());
+    input.actions.insert(position, actions.begin(), actions.end());
 }
 
 // Adds servers, each like a random one of the initial servers, or removes the last initial ones.
-void change_server_count(scenario::GivenWorld& input, int added, std::uint64_t seed) {
-    std::vector<testbed::WorkerSettings> initial;
+void change_server_count(scenario::RecordedScenario& input, int added, std::uint64_t seed) {
+    std::vector<testbed::FakeServerSettings> initial;
     std::size_t server_count = 0;
-    for (const auto& action : input.moves) {
-        if (action.what.kind != scenario::MoveKind::AddWorker) {
+    for (const auto& action : input.actions) {
+        if (action.action.kind != scenario::FaultActionKind::AddServer) {
             continue;
         }
         ++server_count;
-        if (action.opening) {
-            initial.push_back(action.what.worker);
+        if (action.initial) {
+            initial.push_back(action.action.server_settings);
         }
     }
     for (int n = 0; n < added; ++n) {
@@ -197,22 +198,25 @@
             static_cast<std::size_t>(random.part() * static_cast<double>(initial.size()));
         // The zones of the initial servers in turn, so that the distribution over zones stays as it
         // was.
-        testbed::WorkerSettings like = initial[k];
+        testbed::FakeServerSettings like = initial[k];
         like.zone = initial[static_cast<std::size_t>(n) % initial.size()].zone;
-        add_server_like(input, like,
-                        scenario::numbered("worker", server_count + static_cast<std::size_t>(n)));
+        add_server_like(
+            input, like,
+            scenario::numbered_name("worker", server_count + static_cast<std::size_t>(n)));
     }
     std::set<std::string> dropped;
     for (int n = 0; n < -added; ++n) {
         dropped.insert(initial[initial.size() - 1 - static_cast<std::size_t>(n)].id);
     }
-    std::erase_if(input.moves,
-                  [&](const scenario::TimedMove& m) { return dropped.contains(m.what.who); });
+    std::erase_if(input.actions, [&](const scenario::TimedFaultAction& m) {
+        return dropped.contains(m.action.target);
+    });
 }
 
 // Repeats each invocation `factor` times. The fractional part is decided by a random number that
 // only depends on the invocation's id. Copies arrive within half a second of the original.
-void change_traffic(scenario::GivenWorld& input, double factor, std::uint64_t seed, Micros length) {
+void change_traffic(scenario::RecordedScenario& input, double factor, std::uint64_t seed,
+                    Micros length) {
     const std::uint64_t traffic_seed = base::seed_for(seed, "traffic");
     std::uint64_t first_free_id = 1;
     for (const auto& [forwarder, list] : input.traffic) {
@@ -234,13 +238,13 @@
                 // The id of a copy follows from the original's, so that its random draws are the
                 // same in every replay.
                 out.back().id = first_free_id * static_cast<std::uint64_t>(n) + invocation.id;
-                out.back().came =
-                    std::clamp(invocation.came + Micros(std::llround(random.between(-5e5, 5e5))),
-                               0us, length - 1us);
+                out.back().arrived_at = std::clamp(
+                    invocation.arrived_at + Micros(std::llround(random.between(-5e5, 5e5))), 0us,
+                    length - 1us);
             }
         }
         std::stable_sort(out.begin(), out.end(),
-                         [](const auto& a, const auto& b) { return a.came < b.came; });
+                         [](const auto& a, const auto& b) { return a.arrived_at < b.arrived_at; });
         list = std::move(out);
     }
 }
@@ -288,8 +292,8 @@
     return out;
 }
 
-scenario::DayScript make_script(const RecordedRun& recorded, const Variant& variant,
-                                std::vector<ConfigError>& errors) {
+scenario::ScenarioScript make_script(const RecordedRun& recorded, const Variant& variant,
+                                     std::vector<ConfigError>& errors) {
     auto out = scenario::parse_script(recorded.header.made_by(), recorded.script, variant.settings,
                                       errors);
     if (!errors.empty()) {
@@ -298,12 +302,13 @@
     out.name = recorded.header.made_by();
     out.seed = recorded.header.seed();
     out.length = recorded.length;
-    out.startup = variant.startup_servers.value_or(out.startup);
-    out.workers += variant.added_servers;
-    out.rate *= variant.traffic_factor;
-    const auto& columns = out.governor.settings.load_metric_names;
-    const bool reported = std::any_of(recorded.input.moves.begin(), recorded.input.moves.end(),
-                                      [](const auto& m) { return m.what.worker.reports_load; });
+    out.startup_table_size = variant.startup_servers.value_or(out.startup_table_size);
+    out.server_count += variant.added_servers;
+    out.invocations_per_second *= variant.traffic_factor;
+    const auto& columns = out.instance_config.settings.load_metric_names;
+    const bool reported =
+        std::any_of(recorded.input.actions.begin(), recorded.input.actions.end(),
+                    [](const auto& m) { return m.action.server_settings.reports_load; });
     if (!columns.empty() && !reported) {
         errors.push_back(
             {variant.name, 0, "[reports] load_columns",
--- a/src/replay/variant.h
+++ b/src/replay/variant.h
@@ -52,12 +52,12 @@
 
 /// The recorded script under the variant's settings. Settings that contradict the recording are
 /// added to `errors`.
-scenario::DayScript make_script(const RecordedRun& recorded, const Variant& variant,
-                                std::vector<config::ConfigError>& errors);
+scenario::ScenarioScript make_script(const RecordedRun& recorded, const Variant& variant,
+                                     std::vector<config::ConfigError>& errors);
 
 struct ReplayInput {
-    scenario::DayScript script;
-    scenario::GivenWorld input;
+    scenario::ScenarioScript script;
+    scenario::RecordedScenario input;
 };
 
 /// That script, and the recorded actions and invocations with the variant's changes of fleet and
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -43,7 +43,7 @@
 at 8500 ms hang workers 1 for 1 s
 )";
 
-scenario::DayScript short_scenario(const std::string& more = {}) {
+scenario::ScenarioScript short_scenario(const std::string& more = {}) {
     std::vector<config::ConfigError> errors;
     const auto settings = config::IniFile::parse("test.ini", test::kSettings, errors);
     auto script = scenario::parse_script("short.day", kShortScenario + more, settings, errors);
@@ -53,8 +53,8 @@
     return script;
 }
 
-scenario::DayRun record(const scenario::DayScript& script, const std::string& path,
-                        recording::WriterOptions options = {}) {
+scenario::ScenarioRun record(const scenario::ScenarioScript& script, const std::string& path,
+                             recording::WriterOptions options = {}) {
     options.when_full = recording::WhenFull::Wait;
     recording::WriterStats stats;
     auto out = record_scenario(script, {}, path, options, stats);
@@ -88,7 +88,7 @@
     const auto recorded = load_recording(folder.file("day"));
     EXPECT_TRUE(recorded.damage.empty());
     EXPECT_EQ(recorded.length, 10s);
-    EXPECT_EQ(recorded.faults.size(), script.troubles.size());
+    EXPECT_EQ(recorded.faults.size(), script.faults.size());
     EXPECT_EQ(recorded.figures["whole_day"], original.result["figures"]["whole_day"]);
     EXPECT_EQ(recorded.figures["by_operation"], original.result["figures"]["by_operation"]);
     EXPECT_EQ(recorded.figures["by_zone"], original.result["figures"]["by_zone"]);
@@ -201,7 +201,7 @@
     int invocations = 0;
     for (const auto& [forwarder, list] : recorded.input.traffic) {
         for (const auto& invocation : list) {
-            invocations += invocation.came >= 3s && invocation.came < 7s;
+            invocations += invocation.arrived_at >= 3s && invocation.arrived_at < 7s;
         }
     }
     ReplayOptions span;
@@ -271,8 +271,8 @@
         recorded, make_variant(recorded, {{"replay.workers", "+2"}, {"replay.traffic", "1.5"}}),
         errors);
     int servers = 0;
-    for (const auto& move : more.input.moves) {
-        servers += move.opening && move.what.kind == scenario::MoveKind::StartWorker;
+    for (const auto& move : more.input.actions) {
+        servers += move.initial && move.action.kind == scenario::FaultActionKind::StartServer;
     }
     EXPECT_EQ(servers, 8);
     std::size_t count = 0;
@@ -280,8 +280,9 @@
     std::set<std::uint64_t> ids;
     for (const auto& [forwarder, list] : more.input.traffic) {
         count += list.size();
-        EXPECT_TRUE(std::is_sorted(list.begin(), list.end(),
-                                   [](const auto& a, const auto& b) { return a.came < b.came; }));
+        EXPECT_TRUE(std::is_sorted(list.begin(), list.end(), [](const auto& a, const auto& b) {
+            return a.arrived_at < b.arrived_at;
+        }));
         for (const auto& invocation : list) {
             ids.insert(invocation.id);
         }
@@ -307,7 +308,7 @@
         : script(short_scenario()),
           writer(recording::open_file_sink(path), make_header(script, 0us)) {
         auto& action = *writer.add(0us).mutable_action();
-        action.set_kind(static_cast<std::uint32_t>(scenario::MoveKind::AddForwarder));
+        action.set_kind(static_cast<std::uint32_t>(scenario::FaultActionKind::AddProxy));
         action.set_initial(true);
         action.set_target(writer.name("forwarder-000"));
         action.set_text("north");
@@ -322,14 +323,15 @@
         to.set_work_us(1000);
     }
 
-    void end(std::int64_t id, testbed::Result result, std::uint32_t client_attempts, Micros at) {
+    void end(std::int64_t id, testbed::InvocationResult result, std::uint32_t client_attempts,
+             Micros at) {
         auto& to = *writer.add(at).mutable_invocation_end();
         to.set_id_behind(writer.last_invocation_id() - id);
         to.set_result(static_cast<std::uint32_t>(result));
         to.set_client_attempts(client_attempts);
     }
 
-    scenario::DayScript script;
+    scenario::ScenarioScript script;
     recording::Writer writer;
 };
 
@@ -338,7 +340,7 @@
 TEST(Replay, InvocationsCountOnceFromTheFirstAttemptByBilledValue) {
     const TemporaryDirectory folder;
 
-    using enum testbed::Result;
+    using enum testbed::InvocationResult;
     {
         // look: billed 1, objective 500 ms; order: billed 3, objective 1 s.
         RecordingBuilder recording(folder.file("built"));
@@ -392,7 +394,7 @@
         << recorded.damage[0].description;
     std::vector<Micros> came;
     for (const auto& invocation : recorded.input.traffic.at("forwarder-000")) {
-        came.push_back(invocation.came);
+        came.push_back(invocation.arrived_at);
     }
     EXPECT_EQ(came, (std::vector<Micros>{1s, 4s, 4s, 5s}));
 }
@@ -440,12 +442,13 @@
     EXPECT_THROW(load_recording(folder.file("damaged")), std::runtime_error);
 }
 
-scenario::DayRun record_instances(const scenario::DayScript& script, InstanceRecorder& files) {
-    scenario::DayOptions options;
-    options.before = [&](scenario::World& world) {
-        world.governor_watcher = &files;
+scenario::ScenarioRun record_instances(const scenario::ScenarioScript& script,
+                                       InstanceRecorder& files) {
+    scenario::ScenarioOptions options;
+    options.before_start = [&](scenario::SimulatedFleet& fleet) {
+        fleet.instance_observer = &files;
     };
-    auto out = scenario::run_day(script, options);
+    auto out = scenario::run_scenario(script, options);
     files.close();
     return out;
 }
@@ -474,10 +477,11 @@
     int starts = 0;
     int stops = 0;
     int governor_stops = 0;
-    for (const auto& move : recorded.input.moves) {
-        starts += move.what.kind == scenario::MoveKind::StartWorker && move.what.on;
-        stops += move.what.kind == scenario::MoveKind::StopWorker;
-        governor_stops += move.what.kind == scenario::MoveKind::StopGovernor && !move.opening;
+    for (const auto& move : recorded.input.actions) {
+        starts += move.action.kind == scenario::FaultActionKind::StartServer && move.action.enabled;
+        stops += move.action.kind == scenario::FaultActionKind::StopServer;
+        governor_stops +=
+            move.action.kind == scenario::FaultActionKind::StopInstance && !move.initial;
     }
     EXPECT_EQ(starts, 5);  // two that crashed and three of the lost zone
     EXPECT_EQ(stops, 5);
@@ -524,7 +528,7 @@
     record(script, folder.file("day"));
     EXPECT_THROW(merge_recordings({folder.file("day")}, folder.file("out")),
                  std::runtime_error);  // a whole scenario already
-    auto config = script.governor;
+    auto config = script.instance_config;
     {
         recording::Writer empty(
             recording::open_file_sink(folder.file("empty")),
