--- a/src/pacing/paced_send_queue.cpp
+++ b/src/pacing/paced_send_queue.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 constexpr double kMicrosPerSecond = 1e6;
-/// Lower limit of the pace; keeps the rate above zero so that a send time can always be computed.
+/// Lower limit of the pace, as a fraction of the configured rate. Keeps the rate above zero so that
+/// a send time can always be computed.
 constexpr double kMinPaceFraction = 1e-3;
 }  // namespace
 
-Micros PacedSendQueue::time_to_send(double lines) const {
+Micros PacedSendQueue::transmission_duration(double lines) const {
     const double seconds = lines / (lines_per_second_ * pace_fraction_);
     return Micros(static_cast<std::int64_t>(std::ceil(seconds * kMicrosPerSecond)));
 }
@@ -31,7 +32,7 @@
     if (queue_.empty()) {
         return std::nullopt;
     }
-    return head_started_ + time_to_send(unsent_head_lines_);
+    return head_started_ + transmission_duration(unsent_head_lines_);
 }
 
 std::optional<xds::ProxyMessage> PacedSendQueue::pop(Micros now) {
--- a/src/pacing/paced_send_queue.h
+++ b/src/pacing/paced_send_queue.h
@@ -80,7 +80,7 @@
         bool discarded = false;  ///< occupies the link, but is not returned
     };
 
-    Micros time_to_send(double lines) const;
+    Micros transmission_duration(double lines) const;
 
     double lines_per_second_;
     double pace_fraction_ = 1;  ///< current rate / lines_per_second_
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -16,7 +16,8 @@
 constexpr std::size_t kMaxServers = 65535;
 /// Limit of the length of a server's id.
 constexpr std::size_t kMaxServerIdBytes = 128;
-/// Limit of nested objects in the settings; bounds the recursion.
+/// Limit of nested objects in the settings; bounds the recursion of add_to_line(). Arrays within
+/// arrays do not count: line_value() recurses over them without a limit.
 constexpr std::size_t kMaxSettingsDepth = 16;
 /// Latest start of a server, Unix time in milliseconds (the year 5138). Keeps the conversion to
 /// microseconds in range.
@@ -26,15 +27,17 @@
 /// Default and maximum of the batch window, in milliseconds.
 constexpr double kDefaultBatchWindowMs = 4;
 constexpr double kMaxBatchWindowMs = 1000;
-/// Minimum of the descriptor limit: the process's own descriptors and a few peers.
+/// Minimum of the descriptor limit, meant for the process's own descriptors and a few peers. Not
+/// enough for both: the server reserves 20 descriptors and admits at least 8 connections, whatever
+/// the limit is (platform_server.cpp), so that a limit below 28 can be exceeded.
 constexpr int kMinSockets = 16;
 /// Limit of the bytes of an invalid value that an error message quotes.
 constexpr std::size_t kMaxQuotedBytes = 40;
 
 // ---- settings, converted to the simulator's start message
 
-/// Formats a value of the start message. Characters that would end the value are replaced by '_',
-/// as the simulator does.
+/// Formats a value of the start message. Blanks, commas, tabs and line breaks, which separate
+/// values, fields and lines, are replaced by '_', as the simulator does.
 std::string line_value(const Json& value) {
     std::string text = value.is_string() ? value.get<std::string>() : value.dump();
     for (char& c : text) {
@@ -47,6 +50,8 @@
 
 void add_to_line(std::string& line, const std::string& path, const Json& value, std::size_t depth);
 
+/// Adds the members of an object. A member is skipped if its name has a character that would end
+/// the name, the field or the line.
 void add_object_to_line(std::string& line, const std::string& prefix, const Json& object,
                         std::size_t depth) {
     for (const auto& [key, inner] : object.items()) {
@@ -144,8 +149,9 @@
     return simulator_name;
 }
 
-/// Reads the names from the JSON itself: the simulator's start message can't hold the blanks and
-/// commas in them, so that `settings` has them replaced.
+/// Reads the names of zones and operations from the settings' JSON: the simulator's start message,
+/// from which `settings` was parsed, can't hold blanks and commas, so that `settings` has '_' for
+/// them.
 ProtocolNames parse_protocol_names(const Json& json, const Settings& settings) {
     ProtocolNames names;
     names.zones = parse_strings(json.at("zones"), nullptr);
@@ -205,7 +211,8 @@
 }
 
 // An entry that is not valid must neither make the whole list unusable nor remove its server from
-// the tables of all proxies. Only this entry is skipped, and its id is kept.
+// the tables of all proxies. Only this entry is skipped; its id, if it can be read, is added to
+// `skipped_ids`.
 void skip_entry(ServerList& list, const Json& row, const char* reason) {
     list.skip_reasons.emplace_back(reason);
     if (!row.is_object()) {
--- a/src/platform/message_reader.h
+++ b/src/platform/message_reader.h
@@ -1,5 +1,6 @@
 /// Decodes and validates the messages that proxies and collectors send over the platform's
-/// protocol. Reports and acknowledgements become events of the policy. Stateless, no I/O.
+/// protocol, and health checks. SUBSCRIBE, reports and acknowledgements become events of the
+/// policy. Stateless, no I/O.
 #pragma once
 
 #include <stdexcept>
@@ -13,8 +14,10 @@
 
 namespace badgergrade::platform {
 
-/// A message that is well-formed RESP but whose contents are not valid; what() says why. Only this
-/// message is dropped: since the framing is intact, the messages around it are still valid.
+/// A message that is well-formed RESP, but whose contents are not valid or not allowed on its
+/// connection; what() says why. Since the framing is intact, the messages around it are still
+/// valid: the server drops only this message, unless its peer is unidentified and therefore
+/// rejected.
 struct InvalidMessage : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -22,7 +25,7 @@
 /// A health check of this instance, to be answered with PONG.
 struct Ping {};
 
-/// Identifies the sender as the collector that reports the load of this zone.
+/// Identifies the sender as a collector, which reports the load of this zone.
 struct Source {
     ZoneId zone;
 };
@@ -30,9 +33,10 @@
 using Message = std::variant<Ping, Source, event::ProxyConnected, event::ConfigAcknowledged,
                              event::ServerLoadReport, event::ProxyDemandReport>;
 
-/// Decodes one message. Unknown fields are ignored. Throws InvalidMessage if a field is missing,
-/// duplicated, not a number, out of range, or names a zone, operation, proxy or server that does
-/// not exist.
+/// Decodes one message. Unknown fields are ignored. Throws InvalidMessage if the message is empty,
+/// has elements other than bulk strings, a field name without a value or an unknown kind, or if a
+/// known field is missing, duplicated, not a number, out of range, or names a zone, operation,
+/// proxy or server that does not exist.
 Message read_message(const resp::Message& message, const ProtocolNames& names,
                      const ServerIds& server_ids);
 
--- a/src/platform_server/collector_connections.h
+++ b/src/platform_server/collector_connections.h
@@ -16,11 +16,12 @@
 ///
 /// Each zone has one collector, but the end of an earlier connection may never be seen, for example
 /// when its host is gone. So that such connections do not accumulate, the one that has been silent
-/// for the longest time is closed for a new one once a zone has four.
+/// for the longest time is closed for a new one once a zone has four. A collector that sends only
+/// PING or messages that can't be decoded counts as silent.
 class CollectorConnections {
 public:
     /// Returns the collector of `zone` that must be closed before another one is added, or nothing
-    /// if the zone has fewer than the maximum.
+    /// if the zone has fewer than the maximum. `table` must hold all connections of this set.
     std::optional<ConnectionId> connection_to_evict(ZoneId zone, ConnectionTable& table) const {
         const auto it = collectors_.find(zone);
         if (it == collectors_.end() || it->second.size() < kMaxCollectorsPerZone) {
@@ -39,7 +40,7 @@
     void clear() { collectors_.clear(); }
 
 private:
-    /// The working collector, and a few stale connections whose ends were not seen.
+    /// Room for the working collector and a few connections whose ends were not seen.
     static constexpr std::size_t kMaxCollectorsPerZone = 4;
 
     std::map<ZoneId, std::set<ConnectionId>> collectors_;
--- a/src/runtime/policy_runner.h
+++ b/src/runtime/policy_runner.h
@@ -37,12 +37,14 @@
     /// unless one is scheduled already. Calls on_event before it returns; on_commands is called
     /// later, by the decision's timer.
     void post(const Event& event);
-    /// Schedules a decision for the current time, whether or not an event was posted.
+    /// Schedules a decision for the current time, whether or not an event was posted. Replaces the
+    /// one that is scheduled, if any.
     void schedule_decision();
     /// Cancels the scheduled decision and all timers.
     void stop();
 
-    /// The planner's estimate of the configuration channel: queued and unacknowledged lines.
+    /// The planner's estimate of the configuration channel: queued and unacknowledged lines, and
+    /// the delay of the last acknowledgement.
     policy::ChannelEstimate channel_estimate() const { return planner_.channel_estimate(); }
 
     /// Number of the planner's timers that have not fired yet.
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -1,5 +1,7 @@
-// Fuzzes the decoders of the platform's messages, configuration file and discovery answers. Input
-// must either be rejected with the documented exception, or give values in range.
+// Fuzzes the decoders of the platform's messages, configuration file and discovery answers; the
+// first byte of the input selects the decoder. The rest must either be accepted or be rejected with
+// the documented exception. Of accepted values, only some of SUBSCRIBE and LOAD are checked for
+// their range.
 #include <cmath>
 #include <cstdint>
 #include <cstdlib>
--- a/tests/program/node_test.cpp
+++ b/tests/program/node_test.cpp
@@ -99,7 +99,7 @@
 }
 
 // Failure: a peer that only sends PING never identifies itself, but its messages keep the
-// connection alive and occupy a descriptor forever. It must be closed like a silent one.
+// connection open, which occupies a descriptor forever. It must be closed like a silent peer.
 TEST(Node, PeerThatOnlySendsPingTimesOut) {
     NodeFixture fixture;
     fixture.start();
@@ -114,7 +114,8 @@
 
 // Failure: silent connections take all descriptors, and proxies can no longer connect. Each proxy
 // must be served at once, the number of connections must stay bounded, and every silent peer must
-// be rejected or closed.
+// be rejected or closed. Of the 48 descriptors the instance reserves 20, which leaves 28 for
+// connections.
 TEST(Node, SilentConnectionsDoNotBlockProxies) {
     NodeFixture fixture(48);
     fixture.start();
@@ -144,7 +145,8 @@
 
 // Failure: one invalid message ends a valid connection, or invalid messages flood the log. Each
 // invalid message must be dropped alone and counted, and the log lines must be limited; only bytes
-// that are not RESP end the connection.
+// that are not RESP end the connection. Of the 12 messages sent between the two counts, the ACK of
+// the version that the proxy got and the collector's RATE are valid, the other 10 are not.
 TEST(Node, InvalidMessagesAreDroppedAloneAndCounted) {
     NodeFixture fixture;
     fixture.start();
@@ -289,8 +291,9 @@
               400);
 }
 
-// Failure: an instance restarts with the list in its configuration file, in which later servers are
-// missing, and proxies stay on this list. It must get the changes from discovery and send them.
+// Failure: an instance restarts with the list in its configuration file, in which servers added
+// later are missing, and proxies stay on this list. The instance must get the changes from
+// discovery and send them.
 TEST(Node, RestartWithAnOldListCatchesUpWithDiscovery) {
     NodeFixture fixture;
     fixture.start();
@@ -346,8 +349,8 @@
     EXPECT_EQ(fixture.count_log_lines("whole=yes rows=1 ready=1"), 1);
 }
 
-// Failure: discovery accepts calls and never answers, which TCP does not detect. It must be
-// detected and logged, the list must stay valid, and the first answer after that must be used.
+// Failure: discovery accepts calls and never answers, which TCP does not detect. The silence must
+// be detected and logged, the list must stay valid, and the first answer after it must be used.
 TEST(Node, SilentDiscoveryIsDetectedAndLaterAnswersAreUsed) {
     NodeFixture fixture;
     fixture.start();
@@ -410,7 +413,7 @@
 
 // ---- as a separate process
 
-// Returns a field of /proc/PID/status, in kB.
+// Returns a field of /proc/PID/status in kB, or 0 if it is missing. `field` includes the colon.
 std::int64_t memory_kb(pid_t process, const std::string& field) {
     std::ifstream in("/proc/" + std::to_string(process) + "/status");
     for (std::string word; in >> word;) {
@@ -444,10 +447,10 @@
     }
 }
 
-// Failure: the deployed program behaves differently from the server in this process. It must serve
-// proxies, follow discovery, keep its connections and configuration when a reload finds an invalid
-// file, change the address of discovery with a valid one, stay within its memory limit, and exit
-// with code 0 on SIGTERM.
+// Failure: the deployed program behaves differently from the server that the tests above run in
+// their own process. It must serve proxies, follow discovery, keep its connections and
+// configuration when a reload finds an invalid file, change the address of discovery with a valid
+// one, stay below 20 MiB of memory, and exit with code 0 on SIGTERM.
 TEST(NodeProgram, ServesPeersReloadsAndTerminates) {
     net::Loop loop;
     FakeDiscovery discovery(loop);
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -1,5 +1,5 @@
-// The platform's protocol without sockets: the configuration file, discovery's answers, messages
-// from peers, and updates as CONFIG messages.
+// The platform's protocol without sockets: the configuration file, discovery's answers, the numbers
+// of servers, messages from peers, and updates as CONFIG messages. Also the policy runner.
 #include <gtest/gtest.h>
 
 #include "platform/config_writer.h"
@@ -14,7 +14,7 @@
 
 constexpr Micros kWallClockOffset = 1700000000s;
 
-// The protocol's names and server numbers of the test configuration.
+// The names and the numbers of servers that the test configuration gives to the protocol.
 struct ProtocolFixture {
     platform::NodeConfig config = platform::read_config(node_config());
     platform::ServerIds servers{config.protocol_names, kWallClockOffset};
@@ -99,7 +99,7 @@
 
 // ---- numbers of servers
 
-TEST(ServerIds, NumberIsKeptWhileGoneAndAfterRestart) {
+TEST(ServerIds, NumberIsKeptWhileServerIsGoneAndAfterItReturns) {
     ProtocolFixture fixture;
     const ServerId a = fixture.server("s-a");
     platform::ServerList change{2, false, {{"s-a", "north", ServerState::Gone, 1, 0}}, {}};
@@ -111,7 +111,7 @@
     EXPECT_EQ(list.endpoints.at(0).started_at, 1020s);
 }
 
-TEST(ServerIds, StartTimeIsStableAndNeverZero) {
+TEST(ServerIds, KnownStartTimeIsStableAndNeverZero) {
     ProtocolFixture fixture;
     const auto start = [&](double ms) {
         return fixture.servers
@@ -120,7 +120,7 @@
             .endpoints.at(0)
             .started_at;
     };
-    EXPECT_EQ(start(0), 0us) << "long ago";
+    EXPECT_EQ(start(0), 0us) << "not given: long ago";
     EXPECT_EQ(start(1700000990000.0), 990s);
     EXPECT_EQ(start(1700000990000.0), 990s) << "the same in a list that repeats it";
     EXPECT_EQ(start(1600000000000.0), 1us) << "before the origin of the loop's clock, but not 0";
@@ -245,7 +245,7 @@
         for (const auto& update : result.updates) {
             messages[update.proxy.value] =
                 to_lines(platform::write_config(update, config.protocol_names, servers)
-                             .value_or("too long"));
+                             .value_or("too many parts"));
             line_counts[update.proxy.value] = update.line_count;
         }
         return messages;
@@ -339,7 +339,7 @@
 
 // ---- policy runner
 
-TEST(PolicyRunner, TimersWithOneTokenAreSeparateAndCloseEventsShareADecision) {
+TEST(PolicyRunner, TimersWithTheSameTokenAreSeparateAndEventsInOneWindowShareADecision) {
     base::VirtualClock clock(1000s);
     ProtocolFixture fixture;
     runtime::PolicyRunner runner(clock, {1}, fixture.config.settings, 1, 4ms);
--- a/tests/program/raw_socket.h
+++ b/tests/program/raw_socket.h
@@ -1,6 +1,6 @@
-// Blocking sockets outside the loop of the control plane instance. Bytes written to them are in the
-// kernel at once, whether or not the loop has run, so that a test can force a rare order of events
-// instead of waiting for it.
+// Sockets outside the loop of the control plane instance; they block, but for reads. Bytes written
+// to them are in the kernel at once, whether or not the loop has run, so that a test can force a
+// rare order of events instead of waiting for it.
 #pragma once
 
 #include <arpa/inet.h>
@@ -39,7 +39,7 @@
         : RawSocket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         const sockaddr_in address = raw_address(server);
         if (connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
-            ADD_FAILURE() << "connect: " << errno;
+            ADD_FAILURE() << "connect failed, errno " << errno;
         }
     }
 
@@ -76,7 +76,8 @@
     // Whether the peer has closed the connection, with a normal end or a reset.
     enum class ConnectionState { Open, Closed, Reset };
 
-    // Returns all bytes received so far, and the state after them in `state`.
+    // Returns the bytes received since the last call, without waiting for more, and the state after
+    // them in `state`.
     std::string read(ConnectionState* state = nullptr) {
         std::string received;
         ConnectionState current_state = ConnectionState::Open;
@@ -117,7 +118,7 @@
         const sockaddr_in any_port = raw_address({"127.0.0.1", 0});
         if (bind(fd_, reinterpret_cast<const sockaddr*>(&any_port), sizeof any_port) != 0 ||
             listen(fd_, 64) != 0) {
-            ADD_FAILURE() << "listen: " << errno;
+            ADD_FAILURE() << "bind or listen failed, errno " << errno;
         }
     }
 
@@ -149,8 +150,9 @@
     int fd_;
 };
 
-// A control plane instance on the virtual clock whose peers are raw sockets: the clock can advance
-// while the instance does not read its sockets.
+// A control plane instance on the virtual clock whose peers are raw sockets, discovery included:
+// the clock can advance while the instance does not read its sockets. `sockets` is the instance's
+// limit of file descriptors.
 struct RawSocketFixture {
     explicit RawSocketFixture(int proxies = 4, int sockets = 256)
         : log(loop.clock(), log::Level::Info, log::Form::Text,
@@ -176,12 +178,13 @@
         loop.run_until(end);
     }
 
-    // Simulates that the instance gets no CPU for this long: `peer_action` runs at the beginning,
-    // and its bytes stay in the kernel while all timers that are due fire.
+    // Simulates that the instance gets no CPU for this long: `peer_action` runs 1 us after the
+    // beginning, and its bytes stay in the kernel while all timers that are due fire, unless one of
+    // them reads a socket itself.
     void stall_for(base::Micros duration, const std::function<void()>& peer_action) {
-        base::Timer first_timer(loop.clock(), base::ActorId{0});
+        base::Timer action_timer(loop.clock(), base::ActorId{0});
         const base::Micros begin = loop.clock().now();
-        first_timer.at(begin + base::Micros{1}, peer_action);
+        action_timer.at(begin + base::Micros{1}, peer_action);
         loop.run_until(begin + duration);
     }
 
--- a/tests/program/resp_test.cpp
+++ b/tests/program/resp_test.cpp
@@ -1,5 +1,5 @@
-// The RESP2 parser: results must not depend on how the bytes are split, and oversized or malformed
-// messages must be rejected from their header, before their body is buffered.
+// The RESP2 parser: results must not depend on how the bytes are split, malformed messages must be
+// rejected, and oversized ones from their header, before their body is buffered.
 #include "resp/resp.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
     std::size_t max_buffered_bytes = 0;
 };
 
-// Parses bytes that arrive in pieces of this many bytes.
+// Parses bytes that arrive in pieces of `piece_bytes`; the last one may be shorter.
 ReadResult read(std::string_view bytes, std::size_t piece_bytes, resp::Limits limits = {}) {
     ReadResult result;
     resp::Reader reader(limits);
@@ -33,7 +33,7 @@
 
 // Returns a message that has this size on the wire.
 std::string message_of_size(std::size_t wire_bytes) {
-    // "*1\r\n$N\r\n" + N + "\r\n"
+    // "*1\r\n$N\r\n", N bytes, "\r\n". N must have as many digits as `wire_bytes`.
     const std::size_t body = wire_bytes - 4 - (1 + std::to_string(wire_bytes).size() + 2) - 2;
     std::string out;
     resp::write(out, {std::string(body, 'x')});
