--- a/src/policy/interim_tables.cpp
+++ b/src/policy/interim_tables.cpp
@@ -88,7 +88,7 @@
         release_unused(fleet);
     }
     for (auto& [id, parts] : split_tables_) {
-        update_parts(now, id, parts, fleet, slow_start);
+        fill_interim_tables(now, id, parts, fleet, slow_start);
     }
 }
 
@@ -130,8 +130,8 @@
 
 // If no warm server is left the desired weights are empty, and the publisher keeps the published
 // servers that are still ready.
-void InterimTables::update_parts(Micros now, TableId id, Split& parts, FleetState& fleet,
-                                 const SlowStart& slow_start) {
+void InterimTables::fill_interim_tables(Micros now, TableId id, Split& parts, FleetState& fleet,
+                                        const SlowStart& slow_start) {
     const Table& complete = fleet.tables[id];
     const Weights warm = warm_weights(now, complete, fleet, slow_start);
     for (std::size_t part = 0; part < parts.tables.size(); ++part) {
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -17,7 +17,7 @@
         }
     }
 
-    /// All servers of the zone answer well, except this one.
+    /// All ten servers answer well, except `bad_server`; an id above 9: all answer well.
     void report(Micros now, unsigned bad_server, int failures_of_ten, Micros latency) {
         for (unsigned id = 0; id < 10; ++id) {
             const bool bad = id == bad_server;
@@ -34,8 +34,9 @@
     OutlierDetector detector{1, kObjective, kNoCpuColumn};
 };
 
-// A hung server stays in the endpoint list, and every invocation sent to it is lost. It leaves the
-// zone's tables, and returns through a probation that counts only new reports.
+// A hung server stays in the endpoint list, and every attempt at it is lost. It leaves the zone's
+// tables, and returns through a probation that counts only new reports (scenario outlier_ejection
+// checks that the old ones don't count; here they have left the window by then).
 TEST_F(OutlierDetection, EjectsAFailingServerAndReturnsItOnProbation) {
     report(kStart, 3, 10, kFast);
     const auto changes = evaluate(kStart);
@@ -52,18 +53,18 @@
     EXPECT_FALSE(back[0].ejected);
 }
 
-// A server that fails its probation would otherwise cost its zone invocations again and again: it
-// is ejected for twice as long.
+// A server that fails on probation is ejected for twice as long: with ejections of equal length it
+// would cost its zone invocations again and again.
 TEST_F(OutlierDetection, FailingOnProbationDoublesTheEjection) {
     report(kStart, 3, 10, kFast);
     evaluate(kStart);
-    const Micros probation = kStart + kFirstEjectionTime;
-    evaluate(probation);
-    report(probation + kSecond, 3, 10, kFast);
-    EXPECT_EQ(evaluate(probation + kSecond).size(), 1U);
-    evaluate(probation + kSecond + kFirstEjectionTime);
+    const Micros probation_start = kStart + kFirstEjectionTime;
+    evaluate(probation_start);
+    report(probation_start + kSecond, 3, 10, kFast);
+    EXPECT_EQ(evaluate(probation_start + kSecond).size(), 1U);
+    evaluate(probation_start + kSecond + kFirstEjectionTime);
     EXPECT_TRUE(detector.is_ejected({0}, {3}));
-    evaluate(probation + kSecond + 2 * kFirstEjectionTime);
+    evaluate(probation_start + kSecond + 2 * kFirstEjectionTime);
     EXPECT_TRUE(detector.is_on_probation({0}, {3}));
 }
 
@@ -77,15 +78,16 @@
     EXPECT_DOUBLE_EQ(detector.health({0}).overload_score, 0.6);
 }
 
-// A server that fails beside long latencies is overloaded. Ejecting it would overload the next one.
+// A server whose attempts fail while its latencies are long is overloaded. Ejecting it would
+// overload the next one.
 TEST_F(OutlierDetection, KeepsAnOverloadedServer) {
     report(kStart, 3, 6, Micros{90'000});
     EXPECT_TRUE(evaluate(kStart).empty());
 }
 
 // In a loaded zone the weakest servers are slow, and ejecting them all would overload the zone: at
-// most a tenth is ejected.
-TEST_F(OutlierDetection, EjectsATenthOfSlowServers) {
+// most a tenth of the zone's servers is ejected as slow, here one of ten.
+TEST_F(OutlierDetection, EjectsAtMostATenthOfAZoneAsSlow) {
     for (unsigned id = 0; id < 10; ++id) {
         detector.on_load_report(kStart,
                                 load_report(0, id, 10, 0, id < 3 ? 10 * kObjective : kFast));
@@ -107,7 +109,7 @@
     EXPECT_TRUE(evaluate(kStart).empty());
 }
 
-// Failures beside idle CPUs are refused connections: load shedding would not help.
+// Failures while the CPUs are not busy are refused connections: load shedding would not help.
 TEST(OutlierHealth, DistinguishesRefusedConnectionsFromAnOverload) {
     FleetState fleet = empty_fleet(1);
     OutlierDetector detector(1, kObjective, 0);
--- a/tests/policy/overload_control_test.cpp
+++ b/tests/policy/overload_control_test.cpp
@@ -20,8 +20,8 @@
     EXPECT_DOUBLE_EQ(shed, 0.8);
 }
 
-// Between the two thresholds nothing changes, to prevent oscillation; below the lower one
-// everything is admitted again in the end.
+// Between the two thresholds of the overload score the shed fraction stays, to prevent oscillation;
+// below the lower one everything is admitted again in the end.
 TEST(OverloadControl, RecoversOnlyBelowTheLowerThreshold) {
     EXPECT_EQ(next_shed_fraction(0.5, 0.1), 0.5);
     double shed = 0.8;
@@ -31,15 +31,16 @@
     EXPECT_EQ(shed, 0);
 }
 
-// One rate limit applies to all proxies, so it limits the busiest first and quiet ones keep their
-// rate.
+// The same rate limit applies to all proxies, so it limits the busiest first, and proxies with a
+// lower rate keep theirs.
 TEST(OverloadControl, RateLimitAppliesToTheBusiestFirst) {
     EXPECT_DOUBLE_EQ(admission_rate_limit({1, 1, 10}, 0.5), 4);
     EXPECT_DOUBLE_EQ(admission_rate_limit({}, 0.5), command::SetAdmission::kUnlimitedRate);
 }
 
-// In an overload the operation with the lowest priority weight per work is shed first.
-TEST(OverloadControl, ShedsTheLowestValueFirst) {
+// In an overload the operation with the lowest priority weight per work is shed first; the two here
+// are equal work.
+TEST(OverloadControl, ShedsTheLowestPriorityWeightFirst) {
     Settings settings = basic_settings(1);
     settings.admission_mode = AdmissionMode::Fraction;
     settings.operations.push_back(settings.operations[0]);
--- a/tests/policy/shard_assignment_test.cpp
+++ b/tests/policy/shard_assignment_test.cpp
@@ -37,8 +37,8 @@
     EXPECT_TRUE(shards.update(kStart, fleet).empty());
 }
 
-// Writes of a gone owner may still take effect for the handover delay plus the network delay. With
-// a second owner before that, both would write.
+// Writes of a gone owner may still take effect for the handover delay plus the network delay after
+// its removal. If the next owner were assigned earlier, both would write.
 TEST_F(ShardAssignmentTest, WaitsForTheFormerOwnersWrites) {
     ShardAssignment shards(settings);
     shards.on_assignment_changed({{7}, true}, fleet);
@@ -51,7 +51,8 @@
     EXPECT_EQ(std::get<command::SetWeight>(commands[0]).server, ServerId{2});
 }
 
-// Another instance is responsible for a shard that was taken away: no commands for it may follow.
+// Another instance is responsible for a shard that was taken away from this one: no commands for
+// the shard may follow.
 TEST_F(ShardAssignmentTest, DropsAShardThatIsTakenAway) {
     ShardAssignment shards(settings);
     shards.on_assignment_changed({{7}, true}, fleet);
--- a/tests/policy/sliding_window_test.cpp
+++ b/tests/policy/sliding_window_test.cpp
@@ -17,14 +17,14 @@
     EXPECT_EQ(window.sum(4 * kWidth, kWidth), 1);
 }
 
-// A pause longer than the window leaves old buckets in place; they must not count either.
+// A pause as long as the window or longer leaves old buckets in place; they must not count either.
 TEST(SlidingWindow, OldBucketsDoNotCountAfterAPause) {
     SlidingWindow<double, 4> window;
     window.bucket(Micros{0}, kWidth) += 5;
     EXPECT_EQ(window.sum(4 * kWidth, kWidth), 0);
 }
 
-// Some rules use only the newest seconds, to notice a recovery early.
+// Some rules use only the newest buckets, to notice a recovery early.
 TEST(SlidingWindow, SumsTheNewestBuckets) {
     SlidingWindow<double, 4> window;
     for (int second = 0; second < 4; ++second) {
@@ -34,8 +34,8 @@
     EXPECT_EQ(window.sum(3 * kWidth, kWidth), 10);
 }
 
-// Without a success there is no latency; a division would give infinity and make every other server
-// look fast.
+// Without a success there is no latency: dividing 0 seconds by 0 successes would give NaN, with
+// which every comparison is false.
 TEST(AttemptStats, NoLatencyWithoutASuccess) {
     AttemptStats stats;
     stats.attempts = 3;
--- a/tests/policy/subsetting_test.cpp
+++ b/tests/policy/subsetting_test.cpp
@@ -42,9 +42,9 @@
     EXPECT_EQ(subsetting.count({0}), 1);
 }
 
-// In a degraded zone whose table is far wider than the connections of its proxies, nearly every
-// invocation opens a connection. The table is halved until each subset has twelve servers; every
-// server is in one subset, and every proxy uses one.
+// In a degraded zone whose table has far more servers than a proxy keeps connections open, nearly
+// every invocation opens a connection. The table is halved until each subset has twelve servers;
+// every server is in one subset, and every proxy uses one.
 TEST_F(SubsettingTest, ADegradedWideZoneIsSplit) {
     report(kStart, 10);
     const auto changes = subsetting.update(kStart, fleet, outliers, slow_start);
@@ -62,7 +62,8 @@
     EXPECT_EQ(proxies, (std::map<int, int>{{0, 2}, {1, 2}, {2, 2}, {3, 2}}));
 }
 
-// A split that ended together with the degradation would flap; it lasts fifteen seconds longer.
+// A split that ended together with the degradation would soon be made again, and so on; it lasts
+// fifteen seconds longer.
 TEST_F(SubsettingTest, ASplitOutlastsTheDegradation) {
     report(kStart, 10);
     subsetting.update(kStart, fleet, outliers, slow_start);
@@ -74,8 +75,8 @@
     EXPECT_EQ(fleet.proxies[{0}].subset, -1);
 }
 
-// The proxies of a subset that has lost most of its servers would overload the rest: they move to
-// another subset.
+// The proxies of a subset whose weight has fallen to half of the mean or less would overload its
+// remaining servers: they move to another subset.
 TEST_F(SubsettingTest, ProxiesLeaveASubsetThatLostItsServers) {
     ZoneSubsets subsets;
     subsets.count = 2;
--- a/tests/policy/zone_allocation_test.cpp
+++ b/tests/policy/zone_allocation_test.cpp
@@ -5,6 +5,7 @@
 namespace badgergrade::policy {
 namespace {
 
+/// One warm server of weight 1 in each of these zones; -1: its zone is unknown.
 std::vector<ServerCapacity> servers(const std::vector<int>& zones) {
     std::vector<ServerCapacity> result;
     for (std::size_t k = 0; k < zones.size(); ++k) {
@@ -13,7 +14,8 @@
     return result;
 }
 
-// The minimum is a whole number of servers. Rounding of sums must not ask for one more.
+// The minimum is a whole number of servers. A rounding error (6 * 0.2 is computed as slightly more
+// than 1.2) must not add one.
 TEST(ZoneAllocation, MinimumAllowsTwentyPercentOverload) {
     EXPECT_EQ(min_servers_for(1.2), 1);
     EXPECT_EQ(min_servers_for(6 * 0.2), 1);
@@ -29,8 +31,8 @@
     EXPECT_EQ(allocation.usable, (std::vector<double>{2, 2}));
 }
 
-// Without a preference for the server that was allocated there before, each recomputation would
-// move another one, and every proxy would open new connections.
+// Without a preference for the server that was allocated to the target zone before, a recomputation
+// could move another one, and every proxy would open new connections.
 TEST(ZoneAllocation, PrefersTheServerThatMovedBefore) {
     const auto allocation = allocate_zones({0.5, 0.5}, servers({0, 0, 0, 1}), {{{2}, {1}}});
     EXPECT_EQ(allocation.zone_of_server.at({2}), ZoneId{1});
@@ -48,7 +50,9 @@
     EXPECT_EQ(allocation.usable, (std::vector<double>{3, 1}));
 }
 
-// If a zone can't have a server, or not enough servers, zone tables can't keep the load ceiling.
+// Zone tables are not used if there are fewer than two zones with demand, if a server's zone is
+// unknown, or if a zone with demand can't have a server, or not enough servers to be loaded at most
+// 20% above their share.
 TEST(ZoneAllocation, ReportsWhyItIsInfeasible) {
     EXPECT_EQ(allocate_zones({1, 0}, servers({0, 1}), {}).infeasible_reason,
               "fewer than two zones with demand");
--- a/tests/runner.cpp
+++ b/tests/runner.cpp
@@ -1,5 +1,7 @@
-// Plays scenario files against one policy::Planner, or wire text against the adapter's host.
-// tests/README.md describes the notation. A failed check prints the scenario line and aborts.
+// Plays one scenario file against a policy::Planner with a simulated clock, or, if "wire" is in its
+// path, against the wire::InstanceHost of the adapter. tests/README.md describes the notation. A
+// failed check prints the number of the scenario line (in wire scenarios: the line that was
+// expected and the output) and aborts.
 #undef NDEBUG
 #include <cassert>
 #include <cmath>
@@ -17,7 +19,7 @@
 
 namespace {
 
-/// The current line of the scenario file, for messages.
+/// The number of the current line of the scenario file, for messages.
 int line_number = 0;
 
 #define CHECK(condition)                                                           \
@@ -51,8 +53,9 @@
 }
 
 // Applies the planner's commands: the resulting tables, table assignments and admission limits, and
-// how many commands of each kind there were. Checks that commands refer only to servers that were
-// listed at some time and to connected proxies.
+// how many commands of each kind there were (named by the words of `expect count`). Checks that
+// CheckHealth and SetWeight refer only to servers that were listed at some time, and AssignTable
+// only to connected proxies.
 struct AppliedCommands {
     std::map<int, std::map<std::uint32_t, double>> tables;
     std::map<int, std::map<OperationMask, int>> assignments;
@@ -116,7 +119,7 @@
 
 class Player {
 public:
-    // Expands a word FIRST..LAST[:REST] to one word for each number.
+    // Expands a word FIRST..LAST[:REST] to one word for each number; other words stay.
     static std::vector<std::string> expand_range(const std::string& word) {
         const std::size_t dots = word.find("..");
         if (dots == std::string::npos) {
@@ -277,8 +280,8 @@
         decide();
     }
 
-    // Servers: number:zone[:weight[:state[:age]]]; age in seconds since the start; without it the
-    // server started long ago.
+    // Servers: number:zone[:weight[:state[:age]]]; age in seconds since the server's start; without
+    // it the server started long ago.
     void update_endpoints(const Words& words) {
         event::EndpointListUpdate out{UpdateKind::Snapshot, {}};
         if (out.kind == UpdateKind::Snapshot && words[1] != "delta" && words[1] != "failed") {
@@ -366,7 +369,7 @@
     }
 
     // Applies the commands of one decision and checks that no connected proxy is left with an empty
-    // table while servers are ready.
+    // table while servers are ready, unless `bare allowed`.
     void decide() {
         for (const Command& next_command : planner_->decide(now_)) {
             if (const auto* timer = std::get_if<command::SetTimer>(&next_command)) {
@@ -394,14 +397,15 @@
         return false;
     }
 
-    // Moves the clock to `to`: fires timers, acknowledges versions after 0.2 s and repeats the
-    // periodic events once a second.
+    // Moves the clock to `to` and fires the timers on the way. Before a timer fires, the connected
+    // proxies acknowledge the versions of at least 0.2 s ago, and the periodic events are repeated
+    // if a new second has begun since the timer before.
     void advance(Micros to) {
         CHECK(to >= now_);
         while (!timers_.empty() && timers_.begin()->first <= to) {
             const auto [at, token] = *timers_.begin();
             timers_.erase(timers_.begin());
-            const bool second = at / Micros{1000000} != now_ / Micros{1000000};
+            const bool new_second = at / Micros{1000000} != now_ / Micros{1000000};
             now_ = at;
             while (!pending_acks_.empty() && pending_acks_.begin()->first <= now_) {
                 for (const auto& [proxy, assigned] : applied_.assignments) {
@@ -410,7 +414,7 @@
                 }
                 pending_acks_.erase(pending_acks_.begin());
             }
-            if (second) {
+            if (new_second) {
                 for (const Words& periodic_event : periodic_events_) {
                     play_events({periodic_event.begin() + 1, periodic_event.end()});
                 }
@@ -453,7 +457,7 @@
             }
             const std::size_t least = std::stoul(words[3]);
             if (used.size() < least) {
-                std::fprintf(stderr, "%zu tables\n", used.size());
+                std::fprintf(stderr, "%zu tables used\n", used.size());
             }
             CHECK(least == 1 ? used.size() == 1 : used.size() >= least);
         } else if (words[1] == "size") {
@@ -470,7 +474,7 @@
             if (!(words[3] == "most"    ? seen <= expected
                   : words[3] == "least" ? seen >= expected
                                         : seen == expected)) {
-                std::fprintf(stderr, "%d seen\n", seen);
+                std::fprintf(stderr, "%d commands counted\n", seen);
             }
             CHECK(words[3] == "most"    ? seen <= expected
                   : words[3] == "least" ? seen >= expected
@@ -479,7 +483,7 @@
             const auto it = applied_.limits.find({std::stoi(words[2]), std::stoull(words[3])});
             const double limit = it != applied_.limits.end() ? it->second.limit : 1;
             if ((words[4] == "under") != (limit < std::stod(words[5]))) {
-                std::fprintf(stderr, "level %g\n", limit);
+                std::fprintf(stderr, "admission limit %g\n", limit);
             }
             CHECK(words[4] == "under" ? limit < std::stod(words[5]) : limit >= std::stod(words[5]));
         } else if (words[1] == "again") {
@@ -536,10 +540,10 @@
             expectations.emplace_back(text[0], rest);
         }
     }
-    std::istringstream from(input);
+    std::istringstream input_lines(input);
     std::ostringstream replies;
     std::ostringstream errors;
-    wire::InstanceHost(replies, errors).run(from);
+    wire::InstanceHost(replies, errors).run(input_lines);
     for (const auto& [kind, expected] : expectations) {
         const std::string& output = kind == '!' ? errors.str() : replies.str();
         const bool found = output.find(expected) != std::string::npos;
