--- a/src/replay/compare.cpp
+++ b/src/replay/compare.cpp
@@ -43,7 +43,7 @@
     if (text.size() > kMaxShownChars) {
         text = text.substr(0, kMaxShownChars) + " ...";
     }
-    return scenario::format_seconds(entry->at) + " " + entry->governor +
+    return scenario::format_seconds(entry->at) + " " + entry->instance +
            (decision ? " decided: " : " received: ") + text;
 }
 
@@ -70,7 +70,7 @@
             return nullptr;
         }
         return {{"at_s", static_cast<double>(entry->at.count()) / 1e6},
-                {"governor", entry->governor},
+                {"governor", entry->instance},
                 {"text", entry->text}};
     };
     return {{"at_s", static_cast<double>(divergence->at().count()) / 1e6},
--- a/src/replay/merge.cpp
+++ b/src/replay/merge.cpp
@@ -549,17 +549,17 @@
                 FaultPeriod period{report->at - report->interval, report->at, {}};
                 if (failure_fraction >= kFailingServerFailureFraction &&
                     others_failure_fraction < kHealthyFleetFailureFraction) {
-                    period.trouble.error_fraction = 1;
+                    period.fault.error_fraction = 1;
                 } else if (report->attempts > report->failures &&
                            latency_ratio > kSlowServerLatencyRatio) {
-                    period.trouble.slowdown_factor = latency_ratio;
+                    period.fault.slowdown_factor = latency_ratio;
                 } else {
                     continue;
                 }
                 // Consecutive reports with the same kind of fault form one period.
                 if (!periods.empty() && periods.back().to + report->interval >= period.from &&
-                    (periods.back().trouble.error_fraction > 0) ==
-                        (period.trouble.error_fraction > 0)) {
+                    (periods.back().fault.error_fraction > 0) ==
+                        (period.fault.error_fraction > 0)) {
                     periods.back().to = period.to;
                 } else {
                     periods.push_back(period);
@@ -568,7 +568,7 @@
             for (const auto& period : periods) {
                 add_action(period.from, {.kind = scenario::FaultActionKind::SetServerFault,
                                          .target = server,
-                                         .server_fault = period.trouble});
+                                         .server_fault = period.fault});
                 add_action(period.to,
                            {.kind = scenario::FaultActionKind::SetServerFault, .target = server});
             }
@@ -577,7 +577,7 @@
 
     struct FaultPeriod {
         Micros from{}, to{};
-        testbed::ServerFault trouble;
+        testbed::ServerFault fault;
     };
 
     // Whether the server started so recently that it is slow for that reason.
@@ -832,7 +832,7 @@
 
     static std::string clock_note(const ClockAlignment& clock) {
         std::ostringstream out;
-        out << clock.governor << ": clock moved by " << clock.offset.count() << " us, ";
+        out << clock.instance << ": clock moved by " << clock.offset.count() << " us, ";
         if (clock.matches > 0) {
             out << "from " << clock.matches
                 << " lists and starts that both received, which differ by " << clock.spread.count()
@@ -946,7 +946,7 @@
             }
             clock.offset = *start - *base_start;
         }
-        clock.governor = files[k].config.id;
+        clock.instance = files[k].config.id;
         files[k].shift(clock.offset);
         merged.clocks.push_back(clock);
     }
--- a/src/replay/merge.h
+++ b/src/replay/merge.h
@@ -34,7 +34,7 @@
 
 /// How the clock of one recording was moved to match that of the first one.
 struct ClockAlignment {
-    std::string governor;
+    std::string instance;
     /// Added to every time of the recording.
     Micros offset{};
     /// Difference between the smallest and the largest offset that the matches agree on.
--- a/src/replay/recorded_run.cpp
+++ b/src/replay/recorded_run.cpp
@@ -54,18 +54,18 @@
     s.zone = recorded.zone();
     s.cores = recorded.cores();
     s.speed = recorded.speed();
-    s.max_queued_per_core = recorded.queue_per_core();
-    s.initial_capacity_fraction = recorded.cold_capacity_fraction();
-    s.warm_up_time = Micros(recorded.warm_up_us());
-    s.collapse_window = Micros(recorded.overload_collapse_us());
-    s.collapse_factor = recorded.overload_collapse_factor();
+    s.max_queued_per_core = recorded.max_queued_per_core();
+    s.initial_capacity_fraction = recorded.initial_capacity_fraction();
+    s.warm_up_time = Micros(recorded.warm_up_time_us());
+    s.collapse_window = Micros(recorded.collapse_window_us());
+    s.collapse_factor = recorded.collapse_factor();
     s.max_connections = recorded.max_connections();
     s.handshake_work = Micros(recorded.handshake_work_us());
-    s.cache_saving_fraction = recorded.cached_key_saving();
-    s.cache_ttl = Micros(recorded.key_ttl_us());
+    s.cache_saving_fraction = recorded.cache_saving_fraction();
+    s.cache_ttl = Micros(recorded.cache_ttl_us());
     s.reports_load = recorded.reports_load();
-    s.load_report_interval = Micros(recorded.report_interval_us());
-    s.error_fraction = recorded.error_rate();
+    s.load_report_interval = Micros(recorded.load_report_interval_us());
+    s.error_fraction = recorded.error_fraction();
     return s;
 }
 
@@ -73,7 +73,7 @@
     testbed::ServerFault out;
     out.hangs = recorded.hangs();
     out.error_fraction = recorded.error_fraction();
-    out.slowdown_factor = recorded.slowdown();
+    out.slowdown_factor = recorded.slowdown_factor();
     out.stolen_cpu_fraction = recorded.stolen_cpu_fraction();
     out.lost_response_fraction = recorded.lost_response_fraction();
     out.reported_load_fraction = recorded.reported_load_fraction();
@@ -149,7 +149,7 @@
         }
     }
 
-    void add_action(Micros at, const pb::FleetAction& record) {
+    void add_action(Micros at, const pb::FaultAction& record) {
         scenario::TimedFaultAction out;
         out.at = at;
         out.initial = record.initial();
@@ -160,8 +160,8 @@
         action.kind = static_cast<scenario::FaultActionKind>(record.kind());
         action.target = name(record.target());
         action.enabled = record.enabled();
-        action.magnitude = record.amount();
-        action.duration = Micros(record.delay_us());
+        action.magnitude = record.magnitude();
+        action.duration = Micros(record.duration_us());
         action.text = record.text();
         if (record.has_server_fault()) {
             action.server_fault = server_fault_of(record.server_fault());
@@ -250,8 +250,8 @@
         testbed::Invocation invocation;
         invocation.id = id;
         invocation.operation = it->second.operation;
-        invocation.proxy = it->second.forwarder;
-        invocation.arrived_at = it->second.came;
+        invocation.proxy = it->second.proxy;
+        invocation.arrived_at = it->second.arrived_at;
         for (std::uint32_t n = 0; n < record.client_attempts(); ++n) {
             figures_.on_client_attempt(at, invocation);
         }
@@ -266,8 +266,8 @@
 
     struct OpenInvocation {
         int operation = 0;
-        std::string forwarder;
-        Micros came{};
+        std::string proxy;
+        Micros arrived_at{};
     };
 
     RecordedRun& recorded_;
--- a/src/replay/recorder.cpp
+++ b/src/replay/recorder.cpp
@@ -85,8 +85,8 @@
     out.set_kind(static_cast<std::uint32_t>(action.kind));
     out.set_target(writer.name(action.target));
     out.set_enabled(action.enabled);
-    out.set_amount(action.magnitude);
-    out.set_delay_us(action.duration.count());
+    out.set_magnitude(action.magnitude);
+    out.set_duration_us(action.duration.count());
     out.set_text(action.text);
     out.set_initial(timed.initial);
     out.set_same_step(timed.same_step);
@@ -94,7 +94,7 @@
         auto& fault = *out.mutable_server_fault();
         fault.set_hangs(action.server_fault.hangs);
         fault.set_error_fraction(action.server_fault.error_fraction);
-        fault.set_slowdown(action.server_fault.slowdown_factor);
+        fault.set_slowdown_factor(action.server_fault.slowdown_factor);
         fault.set_stolen_cpu_fraction(action.server_fault.stolen_cpu_fraction);
         fault.set_lost_response_fraction(action.server_fault.lost_response_fraction);
         fault.set_reported_load_fraction(action.server_fault.reported_load_fraction);
@@ -106,18 +106,18 @@
         settings.set_zone(s.zone);
         settings.set_cores(s.cores);
         settings.set_speed(s.speed);
-        settings.set_queue_per_core(s.max_queued_per_core);
-        settings.set_cold_capacity_fraction(s.initial_capacity_fraction);
-        settings.set_warm_up_us(s.warm_up_time.count());
-        settings.set_overload_collapse_us(s.collapse_window.count());
-        settings.set_overload_collapse_factor(s.collapse_factor);
+        settings.set_max_queued_per_core(s.max_queued_per_core);
+        settings.set_initial_capacity_fraction(s.initial_capacity_fraction);
+        settings.set_warm_up_time_us(s.warm_up_time.count());
+        settings.set_collapse_window_us(s.collapse_window.count());
+        settings.set_collapse_factor(s.collapse_factor);
         settings.set_max_connections(s.max_connections);
         settings.set_handshake_work_us(s.handshake_work.count());
-        settings.set_cached_key_saving(s.cache_saving_fraction);
-        settings.set_key_ttl_us(s.cache_ttl.count());
+        settings.set_cache_saving_fraction(s.cache_saving_fraction);
+        settings.set_cache_ttl_us(s.cache_ttl.count());
         settings.set_reports_load(s.reports_load);
-        settings.set_report_interval_us(s.load_report_interval.count());
-        settings.set_error_rate(s.error_fraction);
+        settings.set_load_report_interval_us(s.load_report_interval.count());
+        settings.set_error_fraction(s.error_fraction);
     }
 }
 
--- a/src/replay/runner.cpp
+++ b/src/replay/runner.cpp
@@ -84,7 +84,7 @@
 std::vector<TimeSeries::Second> TimeSeries::seconds(Micros length) const {
     auto out = seconds_;
     out.resize(static_cast<std::size_t>(length.count() / 1000000 + 1));
-    for (const auto& [governor, changes] : queue_changes_) {
+    for (const auto& [instance, changes] : queue_changes_) {
         double queued_lines = 0;
         for (auto it = changes.begin(); it != changes.end(); ++it) {
             queued_lines += it->second;
@@ -123,8 +123,8 @@
         replay_input.script.seed = *options.seed;
     }
     replay_input.script.length = out.to;
-    for (auto& [forwarder, list] : replay_input.input.traffic) {
-        std::erase_if(list, [&](const auto& invocation) {
+    for (auto& [proxy, invocations] : replay_input.input.traffic) {
+        std::erase_if(invocations, [&](const auto& invocation) {
             return invocation.arrived_at < out.from - options.warm_up ||
                    invocation.arrived_at >= out.to;
         });
--- a/src/replay/runner.h
+++ b/src/replay/runner.h
@@ -21,7 +21,7 @@
     struct Entry {
         /// Since the scenario began.
         Micros at{};
-        std::string governor;
+        std::string instance;
         /// A decision; otherwise an event.
         bool decision = false;
         std::string text;
--- a/src/replay/variant.cpp
+++ b/src/replay/variant.cpp
@@ -219,14 +219,14 @@
                     Micros length) {
     const std::uint64_t traffic_seed = base::seed_for(seed, "traffic");
     std::uint64_t first_free_id = 1;
-    for (const auto& [forwarder, list] : input.traffic) {
-        for (const auto& invocation : list) {
+    for (const auto& [proxy, invocations] : input.traffic) {
+        for (const auto& invocation : invocations) {
             first_free_id = std::max(first_free_id, invocation.id + 1);
         }
     }
-    for (auto& [forwarder, list] : input.traffic) {
+    for (auto& [proxy, invocations] : input.traffic) {
         std::vector<testbed::Invocation> out;
-        for (const auto& invocation : list) {
+        for (const auto& invocation : invocations) {
             base::CounterRandom random(traffic_seed, invocation.id);
             const double whole = std::floor(factor);
             const int copies = static_cast<int>(whole) + (random.part() < factor - whole);
@@ -245,7 +245,7 @@
         }
         std::stable_sort(out.begin(), out.end(),
                          [](const auto& a, const auto& b) { return a.arrived_at < b.arrived_at; });
-        list = std::move(out);
+        invocations = std::move(out);
     }
 }
 
--- a/tests/program/replay_test.cpp
+++ b/tests/program/replay_test.cpp
@@ -199,7 +199,7 @@
     const auto original = record(short_scenario(), folder.file("day"));
     const auto recorded = load_recording(folder.file("day"));
     int invocations = 0;
-    for (const auto& [forwarder, list] : recorded.input.traffic) {
+    for (const auto& [proxy, list] : recorded.input.traffic) {
         for (const auto& invocation : list) {
             invocations += invocation.arrived_at >= 3s && invocation.arrived_at < 7s;
         }
@@ -271,14 +271,14 @@
         recorded, make_variant(recorded, {{"replay.workers", "+2"}, {"replay.traffic", "1.5"}}),
         errors);
     int servers = 0;
-    for (const auto& move : more.input.actions) {
-        servers += move.initial && move.action.kind == scenario::FaultActionKind::StartServer;
+    for (const auto& action : more.input.actions) {
+        servers += action.initial && action.action.kind == scenario::FaultActionKind::StartServer;
     }
     EXPECT_EQ(servers, 8);
     std::size_t count = 0;
     std::size_t recorded_count = 0;
     std::set<std::uint64_t> ids;
-    for (const auto& [forwarder, list] : more.input.traffic) {
+    for (const auto& [proxy, list] : more.input.traffic) {
         count += list.size();
         EXPECT_TRUE(std::is_sorted(list.begin(), list.end(), [](const auto& a, const auto& b) {
             return a.arrived_at < b.arrived_at;
@@ -287,7 +287,7 @@
             ids.insert(invocation.id);
         }
     }
-    for (const auto& [forwarder, list] : recorded.input.traffic) {
+    for (const auto& [proxy, list] : recorded.input.traffic) {
         recorded_count += list.size();
     }
     EXPECT_EQ(ids.size(), count);
@@ -295,7 +295,7 @@
     // Reduced traffic is a subset of the recorded traffic.
     const auto less =
         make_replay_input(recorded, make_variant(recorded, {{"replay.traffic", "0.5"}}), errors);
-    for (const auto& [forwarder, list] : less.input.traffic) {
+    for (const auto& [proxy, list] : less.input.traffic) {
         for (const auto& invocation : list) {
             EXPECT_TRUE(ids.contains(invocation.id));
         }
@@ -392,11 +392,11 @@
     ASSERT_EQ(recorded.damage.size(), 1u);
     EXPECT_NE(recorded.damage[0].description.find("went back by 2000000 us"), std::string::npos)
         << recorded.damage[0].description;
-    std::vector<Micros> came;
+    std::vector<Micros> arrivals;
     for (const auto& invocation : recorded.input.traffic.at("forwarder-000")) {
-        came.push_back(invocation.arrived_at);
+        arrivals.push_back(invocation.arrived_at);
     }
-    EXPECT_EQ(came, (std::vector<Micros>{1s, 4s, 4s, 5s}));
+    EXPECT_EQ(arrivals, (std::vector<Micros>{1s, 4s, 4s, 5s}));
 }
 
 // A recording is truncated, or has one flipped bit. What is intact must be replayed without a
@@ -465,7 +465,7 @@
     ASSERT_EQ(merged.clocks.size(), 2u);
     for (const auto& clock : merged.clocks) {
         // The second incarnation of governor-0 is aligned by the wall clock of its host.
-        if (clock.governor == "governor-1") {
+        if (clock.instance == "governor-1") {
             EXPECT_GT(clock.matches, 0);
             EXPECT_NEAR(static_cast<double>(clock.offset.count()), -3700e3, 50e3);
         }
@@ -477,11 +477,12 @@
     int starts = 0;
     int stops = 0;
     int governor_stops = 0;
-    for (const auto& move : recorded.input.actions) {
-        starts += move.action.kind == scenario::FaultActionKind::StartServer && move.action.enabled;
-        stops += move.action.kind == scenario::FaultActionKind::StopServer;
+    for (const auto& action : recorded.input.actions) {
+        starts +=
+            action.action.kind == scenario::FaultActionKind::StartServer && action.action.enabled;
+        stops += action.action.kind == scenario::FaultActionKind::StopServer;
         governor_stops +=
-            move.action.kind == scenario::FaultActionKind::StopInstance && !move.initial;
+            action.action.kind == scenario::FaultActionKind::StopInstance && !action.initial;
     }
     EXPECT_EQ(starts, 5);  // two that crashed and three of the lost zone
     EXPECT_EQ(stops, 5);
