--- a/src/replay/recorded_run.cpp
+++ b/src/replay/recorded_run.cpp
@@ -15,264 +15,268 @@
 namespace {
 
 const char* kind_of(const pb::Record& record) {
-    switch (record.what_case()) {
-        case pb::Record::kCame:
+    switch (record.payload_case()) {
+        case pb::Record::kInvocationStart:
             return "invocations";
-        case pb::Record::kEnded:
+        case pb::Record::kInvocationEnd:
             return "results";
-        case pb::Record::kTried:
+        case pb::Record::kAttempt:
             return "tries";
-        case pb::Record::kJoined:
+        case pb::Record::kStreamOpened:
             return "joins";
-        case pb::Record::kLeft:
+        case pb::Record::kStreamClosed:
             return "breaks";
-        case pb::Record::kMove:
+        case pb::Record::kAction:
             return "moves";
-        case pb::Record::kTold:
+        case pb::Record::kEvent:
             return "events";
-        case pb::Record::kDecided:
+        case pb::Record::kCommands:
             return "decisions";
-        case pb::Record::kStarted:
-        case pb::Record::kStopped:
+        case pb::Record::kInstanceStarted:
+        case pb::Record::kInstanceStopped:
             return "lives";
-        case pb::Record::kTrouble:
+        case pb::Record::kFault:
             return "troubles";
-        case pb::Record::kRead:
+        case pb::Record::kResponseRead:
             return "responses";
-        case pb::Record::kBroken:
+        case pb::Record::kRuleViolation:
             return "broken rules";
-        case pb::Record::WHAT_NOT_SET:
+        case pb::Record::PAYLOAD_NOT_SET:
             break;
     }
     return "unknown";
 }
 
-testbed::FakeServerSettings worker_of(const std::string& id, const pb::Worker& w) {
+testbed::FakeServerSettings server_settings_of(const std::string& id,
+                                               const pb::ServerSettings& recorded) {
     testbed::FakeServerSettings s;
     s.id = id;
-    s.zone = w.zone();
-    s.cores = w.cores();
-    s.speed = w.speed();
-    s.max_queued_per_core = w.queue_per_core();
-    s.initial_capacity_fraction = w.cold_from();
-    s.warm_up_time = Micros(w.cold_time_us());
-    s.collapse_window = Micros(w.fall_time_us());
-    s.collapse_factor = w.fall_multiple();
-    s.max_connections = w.connections_most();
-    s.handshake_work = Micros(w.handshake_work_us());
-    s.cache_saving_fraction = w.key_gain();
-    s.cache_ttl = Micros(w.key_time_us());
-    s.reports_load = w.reports_load();
-    s.load_report_interval = Micros(w.report_every_us());
-    s.error_fraction = w.error_rate();
+    s.zone = recorded.zone();
+    s.cores = recorded.cores();
+    s.speed = recorded.speed();
+    s.max_queued_per_core = recorded.queue_per_core();
+    s.initial_capacity_fraction = recorded.cold_capacity_fraction();
+    s.warm_up_time = Micros(recorded.warm_up_us());
+    s.collapse_window = Micros(recorded.overload_collapse_us());
+    s.collapse_factor = recorded.overload_collapse_factor();
+    s.max_connections = recorded.max_connections();
+    s.handshake_work = Micros(recorded.handshake_work_us());
+    s.cache_saving_fraction = recorded.cached_key_saving();
+    s.cache_ttl = Micros(recorded.key_ttl_us());
+    s.reports_load = recorded.reports_load();
+    s.load_report_interval = Micros(recorded.report_interval_us());
+    s.error_fraction = recorded.error_rate();
     return s;
 }
 
-testbed::ServerFault trouble_of(const pb::WorkerTrouble& t) {
+testbed::ServerFault server_fault_of(const pb::ServerFault& recorded) {
     testbed::ServerFault out;
-    out.hangs = t.hangs();
-    out.error_fraction = t.errors();
-    out.slowdown_factor = t.slower();
-    out.stolen_cpu_fraction = t.taken();
-    out.lost_response_fraction = t.answers_lost();
-    out.reported_load_fraction = t.counters();
-    out.max_connections = static_cast<std::size_t>(t.connections_most());
+    out.hangs = recorded.hangs();
+    out.error_fraction = recorded.error_fraction();
+    out.slowdown_factor = recorded.slowdown();
+    out.stolen_cpu_fraction = recorded.stolen_cpu_fraction();
+    out.lost_response_fraction = recorded.lost_response_fraction();
+    out.reported_load_fraction = recorded.reported_load_fraction();
+    out.max_connections = static_cast<std::size_t>(recorded.max_connections());
     return out;
 }
 
-// Builds the day out of its records, in their order.
-class Builder {
+// Reconstructs the run from the records, which must be passed in the order of the file.
+class RunBuilder {
 public:
-    Builder(RecordedRun& day, const scenario::ScenarioScript& script)
-        : day_(day),
+    RunBuilder(RecordedRun& recorded, const scenario::ScenarioScript& script)
+        : recorded_(recorded),
           script_(script),
           figures_(script, 0us, script.length, {}) {}
 
-    void take(const pb::Block& block) {
+    void add_block(const pb::Block& block) {
         block_ = &block;
         last_id_ = 0;
-        recording::for_each_record(block, [this](Micros told, const pb::Record& record) {
-            ++day_.record_counts[kind_of(record)];
-            ++day_.records;
-            take(steady(told), record);
+        recording::for_each_record(block, [this](Micros recorded_at, const pb::Record& record) {
+            ++recorded_.record_counts[kind_of(record)];
+            ++recorded_.records;
+            add_record(monotonic(recorded_at), record);
         });
     }
 
     void close() {
         figures_.finish();
-        day_.figures = figures_.json();
-        if (senseless_ > 0) {
-            day_.damage.push_back(
-                {0, std::to_string(senseless_) +
-                        " moves name what this recording does not begin; they are left out"});
+        recorded_.figures = figures_.json();
+        if (inconsistent_records_ > 0) {
+            recorded_.damage.push_back({0, std::to_string(inconsistent_records_) +
+                                               " actions or invocations are skipped: their hosts "
+                                               "are not in the recorded fleet"});
         }
     }
 
 private:
-    // Where the recorder's clock went back, the day goes on from where it was: what follows is
-    // moved by as much.
-    Micros steady(Micros told) {
-        if (told < last_told_) {
-            day_.damage.push_back({0, "the clock went back by " +
-                                          std::to_string((last_told_ - told).count()) + " us at " +
-                                          std::to_string(last_told_.count()) +
-                                          " us; what follows is moved by as much"});
-            moved_by_ += last_told_ - told;
+    // The time of a record without the backward jumps of the recorder's clock: after a jump, times
+    // continue from the last time before it, and the jump is listed as damage.
+    Micros monotonic(Micros recorded_at) {
+        if (recorded_at < last_recorded_at_) {
+            recorded_.damage.push_back(
+                {0, "the clock went back by " +
+                        std::to_string((last_recorded_at_ - recorded_at).count()) + " us at " +
+                        std::to_string(last_recorded_at_.count()) +
+                        " us; the times after it are shifted by as much"});
+            clock_correction_ += last_recorded_at_ - recorded_at;
         }
-        last_told_ = told;
-        return told + moved_by_;
+        last_recorded_at_ = recorded_at;
+        return recorded_at + clock_correction_;
     }
 
     std::string name(std::uint32_t number) const { return recording::name_at(*block_, number); }
 
-    void take(Micros at, const pb::Record& record) {
-        if (record.has_move()) {
-            return move(at, record.move());
+    void add_record(Micros at, const pb::Record& record) {
+        if (record.has_action()) {
+            return add_action(at, record.action());
         }
-        if (record.has_came()) {
-            return came(at, record.came());
+        if (record.has_invocation_start()) {
+            return add_invocation(at, record.invocation_start());
         }
-        if (record.has_ended()) {
-            return ended(at, record.ended());
+        if (record.has_invocation_end()) {
+            return end_invocation(at, record.invocation_end());
         }
-        if (record.has_trouble()) {
-            const auto& t = record.trouble();
-            day_.faults.push_back(
-                {at, Micros(t.lasts_us()), t.name() + (t.whom().empty() ? "" : " " + t.whom())});
+        if (record.has_fault()) {
+            const auto& fault = record.fault();
+            recorded_.faults.push_back(
+                {at, Micros(fault.duration_us()),
+                 fault.name() + (fault.target().empty() ? "" : " " + fault.target())});
         }
-        if (record.has_tried()) {
-            figures_.on_attempt_sent(at, {}, {}, 0, 0, static_cast<int>(record.tried().number()),
+        if (record.has_attempt()) {
+            figures_.on_attempt_sent(at, {}, {}, 0, 0, static_cast<int>(record.attempt().number()),
                                      {});
         }
     }
 
-    void move(Micros at, const pb::Move& from) {
+    void add_action(Micros at, const pb::FleetAction& record) {
         scenario::TimedFaultAction out;
         out.at = at;
-        out.initial = from.opening();
-        // Only with the move before itself: where that is lost, this one stands alone.
-        out.same_step =
-            from.joined() && !day_.input.actions.empty() && day_.input.actions.back().at == at;
-        scenario::FaultAction& m = out.action;
-        m.kind = static_cast<scenario::FaultActionKind>(from.kind());
-        m.target = name(from.who());
-        m.enabled = from.on();
-        m.magnitude = from.by();
-        m.duration = Micros(from.wait_us());
-        m.text = from.text();
-        if (from.has_trouble()) {
-            m.server_fault = trouble_of(from.trouble());
+        out.initial = record.initial();
+        // Only together with the previous action: if that one is lost, this one is on its own.
+        out.same_step = record.same_step() && !recorded_.input.actions.empty() &&
+                        recorded_.input.actions.back().at == at;
+        scenario::FaultAction& action = out.action;
+        action.kind = static_cast<scenario::FaultActionKind>(record.kind());
+        action.target = name(record.target());
+        action.enabled = record.enabled();
+        action.magnitude = record.amount();
+        action.duration = Micros(record.delay_us());
+        action.text = record.text();
+        if (record.has_server_fault()) {
+            action.server_fault = server_fault_of(record.server_fault());
         }
-        if (from.has_worker()) {
-            m.server_settings = worker_of(m.target, from.worker());
+        if (record.has_server_settings()) {
+            action.server_settings = server_settings_of(action.target, record.server_settings());
         }
-        if (!makes_sense(m)) {
-            return void(++senseless_);
+        if (!is_consistent(action)) {
+            return void(++inconsistent_records_);
         }
-        if (m.kind == scenario::FaultActionKind::AddProxy) {
-            figures_.set_proxy_zone(m.target, m.text);
+        if (action.kind == scenario::FaultActionKind::AddProxy) {
+            figures_.set_proxy_zone(action.target, action.text);
         }
-        day_.input.actions.push_back(std::move(out));
+        recorded_.input.actions.push_back(std::move(out));
     }
 
-    // Where blocks are lost, a move may name a host whose beginning is lost with them, or start
-    // what already runs.
-    bool makes_sense(const scenario::FaultAction& m) {
+    // Whether the action fits the fleet as the records so far describe it. If blocks are lost, an
+    // action may name a host that was added in one of them, or start a host that runs already.
+    bool is_consistent(const scenario::FaultAction& action) {
         using enum scenario::FaultActionKind;
-        switch (m.kind) {
+        switch (action.kind) {
             case AddServer:
-                return workers_.try_emplace(m.target, false).second;
+                return servers_.try_emplace(action.target, false).second;
             case AddProxy:
-                return forwarders_.insert(m.target).second;
+                return proxies_.insert(action.target).second;
             case StartServer:
             case StopServer:
-                if (!workers_.contains(m.target)) {
+                if (!servers_.contains(action.target)) {
                     return false;
                 }
-                workers_[m.target] = m.kind == StartServer;
+                servers_[action.target] = action.kind == StartServer;
                 return true;
             case ListServer:
             case UnlistServer:
             case SetServerFault:
-                return workers_.contains(m.target) &&
-                       (m.kind == UnlistServer || workers_[m.target]);
+                return servers_.contains(action.target) &&
+                       (action.kind == UnlistServer || servers_[action.target]);
             case StartProxy:
             case StopProxy:
             case BreakStream:
             case IsolateProxy:
             case StallProxy:
-                return forwarders_.contains(m.target);
+                return proxies_.contains(action.target);
             case StartInstance:
             case StopInstance: {
-                const auto known = m.target.rfind("governor-", 0) == 0 &&
-                                   std::atoi(m.target.c_str() + 9) < script_.instance_count;
-                return known && std::exchange(governors_[m.target], m.kind == StartInstance) !=
-                                    (m.kind == StartInstance);
+                const auto known = action.target.rfind("governor-", 0) == 0 &&
+                                   std::atoi(action.target.c_str() + 9) < script_.instance_count;
+                return known &&
+                       std::exchange(instances_[action.target], action.kind == StartInstance) !=
+                           (action.kind == StartInstance);
             }
             default:
-                return m.kind >= PartitionZone && m.kind <= ShortenAttemptTimeouts;
+                return action.kind >= PartitionZone && action.kind <= ShortenAttemptTimeouts;
         }
     }
 
-    void came(Micros at, const pb::Came& from) {
-        last_id_ += from.id_more();
-        testbed::Invocation one;
-        one.id = static_cast<std::uint64_t>(last_id_);
-        one.operation = static_cast<int>(from.operation());
-        if (one.operation >= static_cast<int>(script_.operations.size())) {
-            throw std::runtime_error(day_.path + ": an invocation of operation " +
-                                     std::to_string(one.operation) +
-                                     ", which the settings do not name");
+    void add_invocation(Micros at, const pb::InvocationStart& record) {
+        last_id_ += record.id_delta();
+        testbed::Invocation invocation;
+        invocation.id = static_cast<std::uint64_t>(last_id_);
+        invocation.operation = static_cast<int>(record.operation());
+        if (invocation.operation >= static_cast<int>(script_.operations.size())) {
+            throw std::runtime_error(recorded_.path + ": invocation of operation " +
+                                     std::to_string(invocation.operation) +
+                                     ": expected an operation that the recorded settings name");
         }
-        if (!forwarders_.contains(name(from.forwarder()))) {
-            return void(++senseless_);
+        if (!proxies_.contains(name(record.proxy()))) {
+            return void(++inconsistent_records_);
         }
-        one.proxy = name(from.forwarder());
-        one.key = name(from.key());
-        one.work = Micros(static_cast<std::int64_t>(from.work_us()));
-        one.arrived_at = at;
-        figures_.on_invocation_arrived(at, one);
-        ++day_.invocations;
-        open_[one.id] = {one.operation, one.proxy, at};
-        day_.input.traffic[one.proxy].push_back(std::move(one));
+        invocation.proxy = name(record.proxy());
+        invocation.key = name(record.key());
+        invocation.work = Micros(static_cast<std::int64_t>(record.work_us()));
+        invocation.arrived_at = at;
+        figures_.on_invocation_arrived(at, invocation);
+        ++recorded_.invocations;
+        open_invocations_[invocation.id] = {invocation.operation, invocation.proxy, at};
+        recorded_.input.traffic[invocation.proxy].push_back(std::move(invocation));
     }
 
-    void ended(Micros at, const pb::Ended& from) {
-        const auto id = static_cast<std::uint64_t>(last_id_ - from.id_less());
-        const auto it = open_.find(id);
-        if (it == open_.end()) {
-            return;  // it came in a block that is lost
+    void end_invocation(Micros at, const pb::InvocationEnd& record) {
+        const auto id = static_cast<std::uint64_t>(last_id_ - record.id_behind());
+        const auto it = open_invocations_.find(id);
+        if (it == open_invocations_.end()) {
+            return;  // it began in a block that is lost
         }
-        testbed::Invocation one;
-        one.id = id;
-        one.operation = it->second.operation;
-        one.proxy = it->second.forwarder;
-        one.arrived_at = it->second.came;
-        for (std::uint32_t n = 0; n < from.client_tries(); ++n) {
-            figures_.on_client_attempt(at, one);
+        testbed::Invocation invocation;
+        invocation.id = id;
+        invocation.operation = it->second.operation;
+        invocation.proxy = it->second.forwarder;
+        invocation.arrived_at = it->second.came;
+        for (std::uint32_t n = 0; n < record.client_attempts(); ++n) {
+            figures_.on_client_attempt(at, invocation);
         }
         figures_.on_invocation_finished(
-            at, one, static_cast<testbed::InvocationResult>(std::min(from.result(), 3u)));
-        open_.erase(it);
+            at, invocation, static_cast<testbed::InvocationResult>(std::min(record.result(), 3u)));
+        open_invocations_.erase(it);
     }
 
-    std::map<std::string, bool> workers_, governors_;  // whether it runs
-    std::set<std::string> forwarders_;
-    std::uint64_t senseless_ = 0;
+    std::map<std::string, bool> servers_, instances_;  // whether the host runs
+    std::set<std::string> proxies_;
+    std::uint64_t inconsistent_records_ = 0;
 
-    struct Open {
+    struct OpenInvocation {
         int operation = 0;
         std::string forwarder;
         Micros came{};
     };
 
-    RecordedRun& day_;
+    RecordedRun& recorded_;
     const scenario::ScenarioScript& script_;
     scenario::ScenarioMetrics figures_;
     const pb::Block* block_ = nullptr;
     std::int64_t last_id_ = 0;
-    Micros last_told_ = Micros::min(), moved_by_{};
-    std::map<std::uint64_t, Open> open_;
+    Micros last_recorded_at_ = Micros::min(), clock_correction_{};
+    std::map<std::uint64_t, OpenInvocation> open_invocations_;
 };
 
 }  // namespace
@@ -282,10 +286,10 @@
     std::string out;
     for (std::string line; std::getline(in, line);) {
         std::istringstream words(line);
-        std::string first;
-        words >> first;
-        // An empty line in its place: lines keep their numbers.
-        out += (first == "settings" || first == "set" ? std::string() : line) + "\n";
+        std::string keyword;
+        words >> keyword;
+        // Replaced by an empty line, so that the other lines keep their numbers.
+        out += (keyword == "settings" || keyword == "set" ? std::string() : line) + "\n";
     }
     return out;
 }
@@ -295,30 +299,31 @@
     RecordedRun out;
     out.path = path;
     out.header = reader.header();
-    std::vector<config::ConfigError> mistakes;
-    out.settings = config::IniFile::parse(path, out.header.settings(), mistakes);
+    std::vector<config::ConfigError> errors;
+    out.settings = config::IniFile::parse(path, out.header.settings(), errors);
     out.script = strip_settings(out.header.script());
     if (out.header.script().empty()) {
-        throw std::runtime_error(path + ": holds no day, but what " + out.header.made_by() +
-                                 " met: make a day of it with replay merge");
+        throw std::runtime_error(path + ": expected a whole scenario, got the recording of " +
+                                 out.header.made_by() +
+                                 ": use replay merge to make a scenario of it");
     }
-    auto script = scenario::parse_script(path, out.script, out.settings, mistakes);
-    if (!mistakes.empty()) {
-        throw std::runtime_error(
-            path + ": its settings can't be read: " + config::to_text(mistakes.front()));
+    auto script = scenario::parse_script(path, out.script, out.settings, errors);
+    if (!errors.empty()) {
+        throw std::runtime_error(path + ": the recorded settings or script are invalid: " +
+                                 config::to_text(errors.front()));
     }
     script.seed = out.header.seed();
     out.length = Micros(out.header.length_us());
-    Builder builder(out, script);
+    RunBuilder builder(out, script);
     reader.for_each_block(Micros::min(), Micros::max(), [&](const pb::Block& block) {
-        builder.take(block);
-        out.lost_records += block.lost();
+        builder.add_block(block);
+        out.lost_records += block.lost_records();
     });
     builder.close();
     const auto& damage = reader.damage();
     out.damage.insert(out.damage.begin(), damage.begin(), damage.end());
     if (!reader.is_complete() && !reader.blocks().empty()) {
-        // Cut: the day ends where the file does.
+        // The file is truncated: the run ends with its last record.
         Micros last{};
         for (const auto& block : reader.blocks()) {
             last = std::max(last, block.last);
@@ -326,7 +331,8 @@
         out.length = std::min(out.length, last + 1us);
     }
     if (out.input.actions.empty() || out.invocations == 0) {
-        throw std::runtime_error(path + ": holds no day that could be played");
+        throw std::runtime_error(
+            path + ": expected actions on the fleet and invocations, got a recording without them");
     }
     return out;
 }
