--- a/src/net/grpc.cpp
+++ b/src/net/grpc.cpp
@@ -38,7 +38,7 @@
             error_ = "expected an uncompressed message, got a compressed one";
         } else if (size > max_message_bytes_) {
             error_ = "expected a message of at most " + std::to_string(max_message_bytes_) +
-                     " bytes, got " + std::to_string(size);
+                     " bytes, got " + std::to_string(size) + " bytes";
         }
         if (!error_.empty()) {
             return false;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -98,7 +98,7 @@
 struct HttpOutcome {
     enum class How {
         Answered,
-        NeverSent,  // not connected or nothing written: the request was not executed
+        NeverSent,  // refused, not connected or nothing written: surely not executed
         Broken,     // the connection broke after bytes were written: it may have been executed
         TimedOut,   // no answer in time after bytes were written: it may have been executed
     };
@@ -121,9 +121,9 @@
 
     using Done = std::function<void(HttpOutcome)>;
     using TryId = std::uint64_t;
-    /// Starts an attempt that ends after `timeout` at the latest. `done` is called once, never from
-    /// within send(). If `max_pause` is not 0, each part of the answer extends the deadline to at
-    /// least that long after it.
+    /// Starts an attempt; `timeout` counts from now. `done` is called once, never from within
+    /// send(). If `max_pause` is not 0, an answer that has begun may take longer than `timeout`, as
+    /// long as no pause in it is longer than `max_pause`.
     TryId send(HttpMessage request, Micros timeout, Done done, Micros max_pause = Micros{0});
     /// Cancels an attempt: its connection is closed and `done` is not called.
     void cancel(TryId id);
--- a/src/net/ledger.h
+++ b/src/net/ledger.h
@@ -63,7 +63,7 @@
         listener_by_port_[port] = std::move(host);
     }
 
-    /// Name of the host that listens at a port; empty if none does.
+    /// Name of the host that listens at a port; empty if none has listened there.
     std::string listener(std::uint16_t port) const {
         const auto it = listener_by_port_.find(port);
         return it == listener_by_port_.end() ? std::string{} : it->second;
--- a/src/net/network.cpp
+++ b/src/net/network.cpp
@@ -48,7 +48,7 @@
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos) {
         throw std::invalid_argument("expected host:port, got '" + std::string(text) +
-                                    "' without a port");
+                                    "' with no port");
     }
     std::string_view host = text.substr(0, colon);
     if (host.size() > 1 && host.front() == '[' && host.back() == ']') {
--- a/src/net/network.h
+++ b/src/net/network.h
@@ -72,9 +72,10 @@
     /// process need it, a control plane instance on its own does not.
     bool keeps_ledger = false;
 
-    /// Runs until the clock reaches `when` or stop() is called.
+    /// Runs until the clock reaches `when` or stop() is called. In virtual time the clock then
+    /// jumps to `when` even if no timer is left before it.
     void run_until(Micros when);
-    /// Runs until stop() is called.
+    /// Runs until stop() is called; in virtual time, at most until no timer is left.
     void run();
     void stop();
 
@@ -110,6 +111,7 @@
 
     /// Starts to read.
     void start();
+    /// Queues bytes to be sent.
     void send(std::string bytes);
     /// Same as send(), but copies only the bytes that the kernel does not accept at once.
     void write(std::string_view bytes);
@@ -231,8 +233,8 @@
     std::shared_ptr<State> state_;
 };
 
-/// One attempt to connect, limited by a timeout. `done` is called with a started stream, or with
-/// null and the reason. Destroying the object cancels the attempt.
+/// One attempt to connect, limited by a timeout. `done` is called once, with a started stream, or
+/// with null and the reason. Destroying the object cancels the attempt.
 class Dial {
 public:
     Dial(Loop& loop, base::ActorId actor, std::string host, const Address& to, Micros timeout,
