--- a/bench/governor_bench.cpp
+++ b/bench/governor_bench.cpp
@@ -1,10 +1,15 @@
 /// @file
-/// Measures one changed table that is sent to many proxies, compared with a bare Asio loop that
-/// writes the same bytes to as many sockets, and many proxies that connect at once. The proxies are
-/// a process of their own, so that the reported CPU time is that of the control plane alone. All on
-/// loopback; ends by itself.
+/// Benchmark of the control plane with many proxies. Measures the time and CPU time of
+///  - many proxies that connect at once, until all have their table;
+///  - one changed table, sent to all proxies, until all have acknowledged it, compared with a plain
+///    Asio loop that exchanges the same number of bytes over as many sockets.
+/// The proxies run in a process of their own, so that the reported CPU time is that of the control
+/// plane alone. Everything runs on loopback, and the benchmark ends by itself.
 ///
 ///   badgergrade_governor_bench [streams] [lines] [changes]
+///
+/// `streams` is the number of proxies, `lines` the number of endpoints in the table and `changes`
+/// the number of measured table changes.
 #include <sys/prctl.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
@@ -46,20 +51,22 @@
 level = error
 )";
 
-/// Added to each message: its gRPC head and the head of its HTTP/2 frame.
+/// Overhead of each message: the header of its gRPC frame (5 bytes) and of its HTTP/2 frame (9
+/// bytes).
 constexpr std::size_t kFramingBytes = 14;
 constexpr std::size_t kPipeBufferBytes = 256;
 constexpr std::size_t kSocketBufferBytes = 65536;
 
-/// Sends one line to the other process.
+/// Sends one line of text to the other process.
 void send_line(int pipe, const std::string& text) {
     if (write(pipe, (text + "\n").data(), text.size() + 1) < 0) {
         std::exit(1);
     }
 }
 
-// ---- the process of the proxies
+// ---- Process of the proxies
 
+/// One proxy with its xDS stream.
 struct BenchProxy {
     net::GrpcConnectionPtr connection;
     net::GrpcCallPtr call;
@@ -108,6 +115,9 @@
     std::array<char, kSocketBufferBytes> buffer_{};
 };
 
+/// Connects all proxies, acknowledges what they receive, and executes commands of the other
+/// process: "bytes" replies with the bytes received and sent since the last such command; for "raw"
+/// see connect_raw_peers().
 class ProxyProcess {
 public:
     ProxyProcess(int command_pipe, int reply_pipe, int streams)
@@ -234,8 +244,9 @@
     std::size_t sent_bytes_ = 0;
 };
 
-// ---- the process of the control plane
+// ---- Process of the control plane
 
+/// Cost of one measured run.
 struct Cost {
     double time_ms = 0;
     double cpu_ms = 0;
@@ -247,6 +258,7 @@
     return *middle;
 }
 
+/// Costs by column, for the medians.
 struct CostColumns {
     explicit CostColumns(const std::vector<Cost>& costs) {
         for (const Cost& cost : costs) {
@@ -267,6 +279,7 @@
                 median(columns.time_ms), median(columns.cpu_ms), costs.size(), *min_cpu, *max_cpu);
 }
 
+/// Command-line arguments.
 struct Sizes {
     int streams = 0;
     int lines = 0;
@@ -274,11 +287,11 @@
 };
 
 config::InstanceConfig bench_config(int streams) {
-    std::vector<config::ConfigError> mistakes;
-    auto config = config::read_instance_config(config::IniFile::parse("bench", kSettings, mistakes),
-                                               mistakes);
-    for (const auto& mistake : mistakes) {
-        std::fprintf(stderr, "%s\n", config::to_text(mistake).c_str());
+    std::vector<config::ConfigError> errors;
+    auto config =
+        config::read_instance_config(config::IniFile::parse("bench", kSettings, errors), errors);
+    for (const auto& error : errors) {
+        std::fprintf(stderr, "%s\n", config::to_text(error).c_str());
     }
     config.xds_address = "127.0.0.1:0";
     config.registry_address = "127.0.0.1:1";
@@ -286,6 +299,7 @@
     return config;
 }
 
+/// Runs the control plane and measures it.
 class ControlPlaneProcess {
 public:
     ControlPlaneProcess(int command_pipe, int reply_pipe, Sizes sizes)
@@ -313,12 +327,12 @@
         const std::vector<Cost> control_plane = measure_changes();
         send_line(command_pipe_, "bytes");
         std::size_t sent = 0;
-        std::size_t answered = 0;
-        std::sscanf(next_reply().c_str(), "%zu %zu", &sent, &answered);
+        std::size_t replied = 0;
+        std::sscanf(next_reply().c_str(), "%zu %zu", &sent, &replied);
         sent /= static_cast<std::size_t>(sizes_.streams * sizes_.changes);
-        answered /= static_cast<std::size_t>(sizes_.streams * sizes_.changes);
-        const std::vector<Cost> bare = measure_bare_sockets(sent, answered);
-        print_comparison(control_plane, bare, sent, answered);
+        replied /= static_cast<std::size_t>(sizes_.streams * sizes_.changes);
+        const std::vector<Cost> raw = measure_raw_sockets(sent, replied);
+        print_comparison(control_plane, raw, sent, replied);
     }
 
 private:
@@ -338,7 +352,8 @@
         const auto deadline = clock_.now() + 60s;
         while (!done()) {
             if (clock_.now() > deadline) {
-                throw std::runtime_error("nothing came for 60 s");
+                throw std::runtime_error(
+                    "timed out: the expected messages did not arrive within 60 s");
             }
             loop_.io().run_one_for(1s);
             loop_.io().poll();
@@ -368,18 +383,18 @@
         });
         const auto memory = static_cast<double>(base::process_memory_bytes() - memory_before);
         std::printf(
-            "%d forwarders joining at once, a table of %d lines: all served after %.0f ms, CPU "
+            "%d proxies connecting at once, a table of %d lines: all have it after %.0f ms, CPU "
             "%.0f ms, %.1f KiB a stream\n",
             sizes_.streams, sizes_.lines, cost.time_ms, cost.cpu_ms,
             memory / 1024 / sizes_.streams);
     }
 
-    /// Waits until no acknowledgement has come for half a second: what the connections caused is
-    /// over then.
+    /// Waits until no acknowledgement has arrived for half a second, so that the updates caused by
+    /// the connections are complete.
     void wait_until_quiet() {
-        std::int64_t before = -1;
-        while (before != server_.metrics().acknowledged_updates) {
-            before = server_.metrics().acknowledged_updates;
+        std::int64_t acknowledged = -1;
+        while (acknowledged != server_.metrics().acknowledged_updates) {
+            acknowledged = server_.metrics().acknowledged_updates;
             loop_.run_until(loop_.clock().now() + 500ms);
         }
     }
@@ -399,11 +414,11 @@
         return costs;
     }
 
-    std::vector<Cost> measure_bare_sockets(std::size_t sent, std::size_t answered) {
+    std::vector<Cost> measure_raw_sockets(std::size_t sent, std::size_t replied) {
         tcp::acceptor acceptor(loop_.io(), {asio::ip::address_v4::loopback(), 0});
         send_line(command_pipe_,
                   "raw 127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + " " +
-                      std::to_string(sent) + " " + std::to_string(answered));
+                      std::to_string(sent) + " " + std::to_string(replied));
         std::vector<std::shared_ptr<tcp::socket>> sockets;
         sockets.reserve(static_cast<std::size_t>(sizes_.streams));
         for (int k = 0; k < sizes_.streams; ++k) {
@@ -411,36 +426,37 @@
         }
         next_reply();
         const std::string bytes(sent, 'x');
-        std::vector<char> reply(answered);
+        std::vector<char> reply(replied);
         std::vector<Cost> costs;
         costs.reserve(static_cast<std::size_t>(sizes_.changes));
         for (int n = 0; n < sizes_.changes; ++n) {
             costs.push_back(measure([&] {
-                int open = sizes_.streams;
+                int pending = sizes_.streams;
                 for (auto& socket : sockets) {
                     asio::async_write(*socket, asio::buffer(bytes),
                                       [](const asio::error_code&, std::size_t) {});
                     asio::async_read(*socket, asio::buffer(reply),
-                                     [&](const asio::error_code&, std::size_t) { --open; });
+                                     [&](const asio::error_code&, std::size_t) { --pending; });
                 }
-                wait_for([&] { return open == 0; });
+                wait_for([&] { return pending == 0; });
             }));
         }
         return costs;
     }
 
-    void print_comparison(const std::vector<Cost>& control_plane, const std::vector<Cost>& bare,
-                          std::size_t sent, std::size_t answered) const {
+    void print_comparison(const std::vector<Cost>& control_plane, const std::vector<Cost>& raw,
+                          std::size_t sent, std::size_t replied) const {
         std::printf(
             "one change of %d lines to %d streams, %zu bytes out and %zu back a stream, until all "
             "have acknowledged:\n",
-            sizes_.lines, sizes_.streams, sent, answered);
-        print_medians("  governor", control_plane);
-        print_medians("  bare Asio, same bytes", bare);
-        const CostColumns a(control_plane);
-        const CostColumns b(bare);
-        std::printf("  governor / bare: CPU %.2f, time %.2f\n", median(a.cpu_ms) / median(b.cpu_ms),
-                    median(a.time_ms) / median(b.time_ms));
+            sizes_.lines, sizes_.streams, sent, replied);
+        print_medians("  control plane", control_plane);
+        print_medians("  plain Asio, same bytes", raw);
+        const CostColumns control_plane_costs(control_plane);
+        const CostColumns raw_costs(raw);
+        std::printf("  control plane / plain Asio: CPU %.2f, time %.2f\n",
+                    median(control_plane_costs.cpu_ms) / median(raw_costs.cpu_ms),
+                    median(control_plane_costs.time_ms) / median(raw_costs.time_ms));
     }
 
     Sizes sizes_;
--- a/tests/program/child.h
+++ b/tests/program/child.h
@@ -1,4 +1,5 @@
-// A process of the program whose output is read, and files for it.
+/// Runs the badgergrade program as a child process and reads its output, and writes the files that
+/// it needs.
 #pragma once
 
 #include <fcntl.h>
@@ -18,20 +19,22 @@
 
 namespace badgergrade::test {
 
-// A child whose output is read; ended by its id at the latest when this goes.
+/// A child process of the program. Standard output and standard error are read together through one
+/// pipe. The destructor kills the process if it still runs.
 class Child {
 public:
+    /// Starts the program. `descriptors` above 0 limits its open file descriptors.
     explicit Child(std::vector<std::string> args, rlim_t descriptors = 0) {
-        int ends[2];
-        if (pipe2(ends, O_CLOEXEC) != 0) {
-            throw std::runtime_error("pipe");
+        int pipe_ends[2];
+        if (pipe2(pipe_ends, O_CLOEXEC) != 0) {
+            throw std::runtime_error("pipe2 failed");
         }
         pid_ = fork();
         if (pid_ == 0) {
-            dup2(ends[1], 1);
-            dup2(ends[1], 2);
-            close(ends[0]);
-            close(ends[1]);
+            dup2(pipe_ends[1], 1);
+            dup2(pipe_ends[1], 2);
+            close(pipe_ends[0]);
+            close(pipe_ends[1]);
             if (descriptors > 0) {
                 const rlimit limit{descriptors, descriptors};
                 setrlimit(RLIMIT_NOFILE, &limit);
@@ -45,8 +48,8 @@
             execv(argv[0], argv.data());
             _exit(127);
         }
-        close(ends[1]);
-        out_ = ends[0];
+        close(pipe_ends[1]);
+        output_pipe_ = pipe_ends[0];
     }
 
     ~Child() {
@@ -54,26 +57,29 @@
             kill(pid_, SIGKILL);
             waitpid(pid_, nullptr, 0);
         }
-        close(out_);
+        close(output_pipe_);
     }
 
-    // Reads until the text shows or the child's output ends.
-    bool shows(const std::string& what) {
-        while (text_.find(what) == std::string::npos) {
-            pollfd one{out_, POLLIN, 0};
+    /// Reads until the output contains `text`. False if it ends before, or if nothing comes for 20
+    /// s.
+    bool shows(const std::string& text) {
+        while (output_.find(text) == std::string::npos) {
+            pollfd readable{output_pipe_, POLLIN, 0};
             char buffer[4096];
-            if (poll(&one, 1, 20000) <= 0) {
+            if (poll(&readable, 1, 20000) <= 0) {
                 return false;
             }
-            const ssize_t got = read(out_, buffer, sizeof buffer);
-            if (got <= 0) {
-                return text_.find(what) != std::string::npos;
+            const ssize_t size = read(output_pipe_, buffer, sizeof buffer);
+            if (size <= 0) {
+                return output_.find(text) != std::string::npos;
             }
-            text_.append(buffer, static_cast<std::size_t>(got));
+            output_.append(buffer, static_cast<std::size_t>(size));
         }
         return true;
     }
 
+    /// Reads all output and waits for the end of the process. Returns its exit status, or 1000 plus
+    /// the number of the signal that ended it.
     int wait() {
         shows("\x01 never");
         int status = 0;
@@ -81,40 +87,45 @@
         return WIFEXITED(status) ? WEXITSTATUS(status) : 1000 + WTERMSIG(status);
     }
 
-    void signal(int which) { kill(pid_, which); }
+    void signal(int number) { kill(pid_, number); }
 
-    const std::string& text() const { return text_; }
+    /// The output read so far.
+    const std::string& text() const { return output_; }
 
     pid_t id() const { return pid_; }
 
-    std::string after(const std::string& mark) {
-        EXPECT_TRUE(shows(mark)) << text_;
-        const auto at = text_.find(mark);
+    /// Reads until the output contains `prefix`. Returns the text between the first `prefix` and
+    /// the next space or line end.
+    std::string after(const std::string& prefix) {
+        EXPECT_TRUE(shows(prefix)) << output_;
+        const auto at = output_.find(prefix);
         if (at == std::string::npos) {
             return {};
         }
         shows("\n");
-        const auto begin = at + mark.size();
-        return text_.substr(begin, text_.find_first_of(" \n", begin) - begin);
+        const auto begin = at + prefix.size();
+        return output_.substr(begin, output_.find_first_of(" \n", begin) - begin);
     }
 
 private:
     pid_t pid_ = 0;
-    int out_ = -1;
-    std::string text_;
+    int output_pipe_ = -1;
+    std::string output_;
 };
 
+/// Writes a temporary file and returns its path.
 inline std::string temporary(const std::string& name, const std::string& text) {
     std::string path = testing::TempDir() + "badgergrade-" + std::to_string(getpid()) + "-" + name;
     std::ofstream(path) << text;
     return path;
 }
 
+/// The settings of examples/governor.ini with these two addresses.
 inline std::string settings_file(const std::string& listen, const std::string& registry) {
     std::ifstream in(BADGERGRADE_SOURCE "/examples/governor.ini");
-    std::ostringstream all;
-    all << in.rdbuf();
-    std::string text = all.str();
+    std::ostringstream content;
+    content << in.rdbuf();
+    std::string text = content.str();
     text.replace(text.find("127.0.0.1:18000"), 15, listen);
     text.replace(text.find("127.0.0.1:18500"), 15, registry);
     return text;
