--- a/src/replay/runner.cpp
+++ b/src/replay/runner.cpp
@@ -115,22 +115,20 @@
     out.to = options.to > 0us ? options.to : recorded.length;
     if (out.from < 0us || out.from >= out.to || out.to > recorded.length) {
         throw std::runtime_error(
-            "expected a span within the recording, from 0 to " +
+            "expected a span within 0 to " +
             std::to_string(static_cast<double>(recorded.length.count()) / 1e6) +
-            " s, that ends after it starts");
+            " s that ends after it starts");
     }
     if (options.seed) {
         replay_input.script.seed = *options.seed;
     }
     replay_input.script.length = out.to;
     for (auto& [proxy, invocations] : replay_input.input.traffic) {
-        std::erase_if(invocations, [&](const auto& invocation) {
-            return invocation.arrived_at < out.from - options.warm_up ||
-                   invocation.arrived_at >= out.to;
+        std::erase_if(invocations, [&](const auto& call) {
+            return call.arrived_at < out.from - options.warm_up || call.arrived_at >= out.to;
         });
     }
-    // The times of the trace and the series count from the clock's time at the start of the run,
-    // which scenario::run_day passes to `prepare`.
+    // Times count from the clock's time at the start, which run_scenario passes to make_observers.
     std::optional<Trace> trace;
     std::optional<TimeSeries> series;
     scenario::ScenarioOptions run_options;
