--- a/src/scenario/metrics.cpp
+++ b/src/scenario/metrics.cpp
@@ -104,35 +104,35 @@
                              testbed::InvocationResult result, Micros response_time) {
     const auto& op =
         script_.instance_config.settings.operations[static_cast<std::size_t>(invocation.operation)];
-    ServiceTotals one;
-    one.invocations = 1;
-    one.billed_value = op.priority_weight;
+    ServiceTotals totals;
+    totals.invocations = 1;
+    totals.billed_value = op.priority_weight;
     switch (result) {
         case testbed::InvocationResult::Succeeded:
-            one.succeeded = 1;
+            totals.succeeded = 1;
             if (response_time <= op.latency_objective) {
-                one.value_within_objective = op.priority_weight;
+                totals.value_within_objective = op.priority_weight;
             } else {
-                one.late = 1;
+                totals.late = 1;
             }
             response_times_.push_back(response_time);
             break;
         case testbed::InvocationResult::RateLimited:
-            one.rate_limited = 1;
+            totals.rate_limited = 1;
             break;
         case testbed::InvocationResult::Errored:
-            one.errored = 1;
+            totals.errored = 1;
             break;
         case testbed::InvocationResult::TimedOut:
-            one.timed_out = 1;
+            totals.timed_out = 1;
             break;
     }
-    whole_ += one;
-    by_operation_[static_cast<std::size_t>(invocation.operation)] += one;
-    by_zone_[proxy_zones_[invocation.proxy]] += one;
+    total_ += totals;
+    by_operation_[static_cast<std::size_t>(invocation.operation)] += totals;
+    by_zone_[proxy_zones_[invocation.proxy]] += totals;
     const auto second = static_cast<std::size_t>(
         std::max<std::int64_t>(0, (invocation.arrived_at - begin_).count() / 1000000));
-    by_second_[std::min(second, by_second_.size() - 1)] += one;
+    by_second_[std::min(second, by_second_.size() - 1)] += totals;
 }
 
 void ScenarioMetrics::finish() {
@@ -143,18 +143,18 @@
 
 ServiceTotals ScenarioMetrics::worst_window() const {
     ServiceTotals worst;
-    bool any = false;
+    bool found = false;
     for (std::size_t at = 0; at + kWorstWindowSeconds <= by_second_.size(); ++at) {
-        ServiceTotals sum;
+        ServiceTotals window;
         for (std::size_t k = at; k < at + kWorstWindowSeconds; ++k) {
-            sum += by_second_[k];
+            window += by_second_[k];
         }
-        if (sum.billed_value > 0 && (!any || sum.fraction() < worst.fraction())) {
-            worst = sum;
-            any = true;
+        if (window.billed_value > 0 && (!found || window.fraction() < worst.fraction())) {
+            worst = window;
+            found = true;
         }
     }
-    return any ? worst : whole_;
+    return found ? worst : total_;
 }
 
 // ---- configuration updates
@@ -249,7 +249,7 @@
 
 ordered_json ScenarioMetrics::json() const {
     ordered_json out;
-    out["whole_day"] = to_json(whole_);
+    out["whole_day"] = to_json(total_);
     out["worst_10_s"] = rounded(worst_window().fraction());
     for (std::size_t k = 0; k < by_operation_.size(); ++k) {
         out["by_operation"][script_.operations[k].name] = to_json(by_operation_[k]);
--- a/src/scenario/metrics.h
+++ b/src/scenario/metrics.h
@@ -59,7 +59,7 @@
     // Counts the invocations without a result as timed out. To be called at the end.
     void finish();
 
-    const ServiceTotals& total() const { return whole_; }
+    const ServiceTotals& total() const { return total_; }
 
     ServiceTotals worst_window() const;
     nlohmann::ordered_json json() const;
@@ -83,7 +83,7 @@
     Micros begin_;
     std::map<std::string, std::string> proxy_zones_;
     std::map<std::uint64_t, testbed::Invocation> pending_;
-    ServiceTotals whole_;
+    ServiceTotals total_;
     std::vector<ServiceTotals> by_operation_, by_second_;
     std::map<std::string, ServiceTotals> by_zone_;
     std::map<std::string, InstanceCounts> instances_;
--- a/src/scenario/script.cpp
+++ b/src/scenario/script.cpp
@@ -69,21 +69,21 @@
         }
     }
 
-    bool empty() const { return at_ >= words_.size(); }
+    bool empty() const { return position_ >= words_.size(); }
 
     const std::string& peek() const {
         static const std::string kNone;
-        return empty() ? kNone : words_[at_];
+        return empty() ? kNone : words_[position_];
     }
 
     std::string word(const char* expected) {
         if (empty()) {
             throw ScriptError(std::string("expected ") + expected + ", got the end of the line");
         }
-        return words_[at_++];
+        return words_[position_++];
     }
 
-    bool skip(const char* word) { return peek() == word ? (++at_, true) : false; }
+    bool skip(const char* word) { return peek() == word ? (++position_, true) : false; }
 
     // "25%" and "0.25" both give 0.25.
     double fraction(const char* expected) {
@@ -95,12 +95,12 @@
 
     double line_number(const char* expected) { return number_of(word(expected), expected); }
 
-    int integer(const char* expected, int least, int most) {
+    int integer(const char* expected, int minimum, int maximum) {
         const double n = line_number(expected);
-        if (n != std::floor(n) || n < least || n > most) {
+        if (n != std::floor(n) || n < minimum || n > maximum) {
             throw ScriptError(std::string(expected) + ": expected an integer from " +
-                              std::to_string(least) + " to " + std::to_string(most) + ", got " +
-                              std::to_string(n));
+                              std::to_string(minimum) + " to " + std::to_string(maximum) +
+                              ", got " + std::to_string(n));
         }
         return static_cast<int>(n);
     }
@@ -123,7 +123,7 @@
     Micros time(const char* expected) {
         std::string text = word(expected);
         if (is_unit(peek())) {
-            text += " " + words_[at_++];
+            text += " " + words_[position_++];
         }
         std::string error;
         const auto out = config::parse_time(text, error);
@@ -167,7 +167,7 @@
     }
 
     std::vector<std::string> words_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
 };
 
 bool contains_word(const std::string& words, const std::string& word) {
@@ -267,14 +267,14 @@
     }
     out.kind = spec->kind;
     read_targets(words, *spec, out);
-    std::string seen;
+    std::string given_options;
     while (!words.empty()) {
         const std::string key = words.word("an option");
         if (!contains_word(spec->required, key) && !contains_word(spec->optional, key)) {
             throw ScriptError("'" + key + "' is not an option of " + out.name +
                               "; expected one of: " + spec->required + " " + spec->optional);
         }
-        seen += key + " ";
+        given_options += key + " ";
         if (key == "for") {
             out.duration = words.time("for");
         } else if (key == "by") {
@@ -299,7 +299,7 @@
     }
     std::istringstream required(spec->required);
     for (std::string need; required >> need;) {
-        if (!contains_word(seen, need)) {
+        if (!contains_word(given_options, need)) {
             throw ScriptError(out.name + " requires '" + need + "'");
         }
     }
--- a/src/scenario/simulated_fleet.cpp
+++ b/src/scenario/simulated_fleet.cpp
@@ -147,8 +147,8 @@
     }
     auto traffic = recorded_->traffic;
     for (auto& [proxy, list] : traffic) {
-        for (auto& one : list) {
-            one.arrived_at += begin_;
+        for (auto& invocation : list) {
+            invocation.arrived_at += begin_;
         }
     }
     add_clients(std::move(traffic));
@@ -343,12 +343,12 @@
 }
 
 // Serves the server list as it was this long ago.
-void SimulatedFleet::serve_stale_list(bool on, double seconds_back) {
-    if (!on) {
+void SimulatedFleet::serve_stale_list(bool active, double seconds_back) {
+    if (!active) {
         return registry_->serve_instead(std::nullopt);
     }
-    const Micros then = loop_.clock().now() - Micros(std::llround(seconds_back * 1e6));
-    auto at = list_history_.upper_bound(then);
+    const Micros list_time = loop_.clock().now() - Micros(std::llround(seconds_back * 1e6));
+    auto at = list_history_.upper_bound(list_time);
     if (at != list_history_.begin()) {
         --at;
     }
@@ -378,12 +378,12 @@
         shares += kind.share;
     }
     double draw = random.part() * shares;
-    std::size_t which = 0;
-    while (which + 1 < script_.machine_kinds.size() &&
-           (draw -= script_.machine_kinds[which].share) >= 0) {
-        ++which;
+    std::size_t kind_index = 0;
+    while (kind_index + 1 < script_.machine_kinds.size() &&
+           (draw -= script_.machine_kinds[kind_index].share) >= 0) {
+        ++kind_index;
     }
-    const MachineKind& kind = script_.machine_kinds[which];
+    const MachineKind& kind = script_.machine_kinds[kind_index];
     testbed::FakeServerSettings s;
     s.id = numbered_name("worker", k);
     s.zone = script_.instance_config.zones[k % script_.instance_config.zones.size()];
@@ -474,16 +474,16 @@
 
 void SimulatedFleet::put_in_registry(std::size_t k, bool draining) {
     const ServerSlot& slot = servers_[k];
-    testbed::FakeRegistry::Entry row;
-    row.server.id = slot.settings.id;
-    row.server.zone = slot.settings.zone;
-    row.server.address = slot.settings.listen;
-    row.server.incarnation = std::to_string(slot.incarnation);
-    row.server.state = draining ? ServerState::Draining : ServerState::Ready;
+    testbed::FakeRegistry::Entry entry;
+    entry.server.id = slot.settings.id;
+    entry.server.zone = slot.settings.zone;
+    entry.server.address = slot.settings.listen;
+    entry.server.incarnation = std::to_string(slot.incarnation);
+    entry.server.state = draining ? ServerState::Draining : ServerState::Ready;
     // The registered weight is the capacity, rounded to quarters.
-    row.server.weight = std::round(slot.settings.cores * slot.settings.speed * 4) / 4;
-    row.started_at = slot.started;
-    registry_->put(row);
+    entry.server.weight = std::round(slot.settings.cores * slot.settings.speed * 4) / 4;
+    entry.started_at = slot.started;
+    registry_->put(entry);
     list_history_[loop_.clock().now()] = registry_->entries();
 }
 
@@ -539,24 +539,25 @@
 
 std::vector<xds::TableEndpoint> SimulatedFleet::draw_startup_table(
     const std::string& zone, base::SequentialRandom& random) const {
-    std::vector<xds::TableEndpoint> here;
+    std::vector<xds::TableEndpoint> same_zone;
     std::vector<xds::TableEndpoint> all;
-    for (const auto& [id, row] : registry_->entries()) {
-        if (row.server.state != ServerState::Ready) {
+    for (const auto& [id, entry] : registry_->entries()) {
+        if (entry.server.state != ServerState::Ready) {
             continue;
         }
-        const xds::TableEndpoint line{row.server.address, row.server.zone, 1, false};
+        const xds::TableEndpoint line{entry.server.address, entry.server.zone, 1, false};
         all.push_back(line);
-        if (row.server.zone == zone) {
-            here.push_back(line);
+        if (entry.server.zone == zone) {
+            same_zone.push_back(line);
         }
     }
-    auto& from = here.size() >= 3 ? here : all;
+    auto& candidates = same_zone.size() >= 3 ? same_zone : all;
     std::vector<xds::TableEndpoint> out;
-    while (!from.empty() && out.size() < static_cast<std::size_t>(script_.startup_table_size)) {
-        const std::size_t k = random.below(from.size());
-        out.push_back(from[k]);
-        from.erase(from.begin() + static_cast<std::ptrdiff_t>(k));
+    while (!candidates.empty() &&
+           out.size() < static_cast<std::size_t>(script_.startup_table_size)) {
+        const std::size_t k = random.below(candidates.size());
+        out.push_back(candidates[k]);
+        candidates.erase(candidates.begin() + static_cast<std::ptrdiff_t>(k));
     }
     return out;
 }
@@ -618,16 +619,17 @@
 namespace {
 // Samples `count` candidates, or if it is 0 this fraction of them (rounded up), without
 // replacement. Keeps their order.
-std::vector<std::size_t> sample(std::vector<std::size_t> from, double part, int count,
+std::vector<std::size_t> sample(std::vector<std::size_t> candidates, double part, int count,
                                 base::SequentialRandom& random) {
     const auto wanted =
-        count > 0 ? static_cast<std::size_t>(count)
-                  : static_cast<std::size_t>(std::ceil(part * static_cast<double>(from.size())));
+        count > 0
+            ? static_cast<std::size_t>(count)
+            : static_cast<std::size_t>(std::ceil(part * static_cast<double>(candidates.size())));
     std::vector<std::size_t> out;
-    while (!from.empty() && out.size() < wanted) {
-        const std::size_t k = random.below(from.size());
-        out.push_back(from[k]);
-        from.erase(from.begin() + static_cast<std::ptrdiff_t>(k));
+    while (!candidates.empty() && out.size() < wanted) {
+        const std::size_t k = random.below(candidates.size());
+        out.push_back(candidates[k]);
+        candidates.erase(candidates.begin() + static_cast<std::ptrdiff_t>(k));
     }
     std::sort(out.begin(), out.end());
     return out;
@@ -635,34 +637,34 @@
 }  // namespace
 
 std::vector<std::size_t> SimulatedFleet::select_servers(const Fault& fault) {
-    std::vector<std::size_t> from;
+    std::vector<std::size_t> candidates;
     for (std::size_t k = 0; k < servers_.size(); ++k) {
         if (!fault.target_name.empty() && servers_[k].settings.id != fault.target_name) {
             continue;
         }
         if (servers_[k].server) {
-            from.push_back(k);
+            candidates.push_back(k);
         }
     }
     if (!fault.target_name.empty()) {
-        return from;
+        return candidates;
     }
     base::SequentialRandom random(script_.seed, "struck/" + std::to_string(fault.line));
-    return sample(std::move(from), fault.target_fraction, fault.target_count, random);
+    return sample(std::move(candidates), fault.target_fraction, fault.target_count, random);
 }
 
 std::vector<std::size_t> SimulatedFleet::select_proxies(const Fault& fault) {
-    std::vector<std::size_t> from;
+    std::vector<std::size_t> candidates;
     for (std::size_t k = 0; k < proxies_.size(); ++k) {
         if (fault.target_name.empty() || proxies_[k].plan.id == fault.target_name) {
-            from.push_back(k);
+            candidates.push_back(k);
         }
     }
     if (!fault.target_name.empty()) {
-        return from;
+        return candidates;
     }
     base::SequentialRandom random(script_.seed, "struck/" + std::to_string(fault.line));
-    return sample(std::move(from), fault.target_fraction, fault.target_count, random);
+    return sample(std::move(candidates), fault.target_fraction, fault.target_count, random);
 }
 
 void SimulatedFleet::change_server_fault(std::size_t k,
@@ -693,10 +695,10 @@
     if (now >= end) {
         return;
     }
-    const double turn = static_cast<double>(fault.period.count()) * random->between(0.7, 1.3);
-    const Micros up(std::llround(turn * (1 - fault.magnitude)));
-    const Micros down(std::llround(turn * fault.magnitude));
-    schedule(up, [this, &fault, k, end, random, down] {
+    const double period = static_cast<double>(fault.period.count()) * random->between(0.7, 1.3);
+    const Micros up_time(std::llround(period * (1 - fault.magnitude)));
+    const Micros down_time(std::llround(period * fault.magnitude));
+    schedule(up_time, [this, &fault, k, end, random, down_time] {
         if (loop_.clock().now() >= end || !servers_[k].server) {
             return;
         }
@@ -704,17 +706,18 @@
             change_server_fault(k, [&](testbed::ServerFault& t) {
                 fault.mode == "hang" ? void(t.hangs = true) : void(t.error_fraction = 0.95);
             });
-            schedule(down, [this, &fault, k, end, random, incarnation = servers_[k].incarnation] {
-                if (!servers_[k].server || servers_[k].incarnation != incarnation) {
-                    return;
-                }
-                change_server_fault(k, [](testbed::ServerFault& t) { t = {}; });
-                flap(fault, k, end, random);
-            });
+            schedule(down_time,
+                     [this, &fault, k, end, random, incarnation = servers_[k].incarnation] {
+                         if (!servers_[k].server || servers_[k].incarnation != incarnation) {
+                             return;
+                         }
+                         change_server_fault(k, [](testbed::ServerFault& t) { t = {}; });
+                         flap(fault, k, end, random);
+                     });
             return;
         }
         stop_server(k, fault.unlisted);
-        schedule(down, [this, &fault, k, end, random] {
+        schedule(down_time, [this, &fault, k, end, random] {
             if (servers_[k].server) {
                 return;
             }
@@ -725,19 +728,19 @@
 }
 
 void SimulatedFleet::slow_down_gradually(const Fault& fault, std::size_t k, int incarnation,
-                                         Micros began) {
+                                         Micros started_at) {
     ServerSlot& slot = servers_[k];
     if (!slot.server || slot.incarnation != incarnation) {
         return;
     }
-    const double part = static_cast<double>((loop_.clock().now() - began).count()) /
+    const double part = static_cast<double>((loop_.clock().now() - started_at).count()) /
                         static_cast<double>(fault.duration.count());
     if (part < 1) {
         change_server_fault(k, [&](testbed::ServerFault& t) {
             t.slowdown_factor = 1 + (fault.magnitude - 1) * part;
         });
-        schedule(500ms, [this, &fault, k, incarnation, began] {
-            slow_down_gradually(fault, k, incarnation, began);
+        schedule(500ms, [this, &fault, k, incarnation, started_at] {
+            slow_down_gradually(fault, k, incarnation, started_at);
         });
         return;
     }
@@ -750,43 +753,47 @@
 }
 
 void SimulatedFleet::toggle_noisy_neighbour(const Fault& fault, std::size_t k, Micros end,
-                                            bool on) {
+                                            bool active) {
     if (!servers_[k].server) {
         return;
     }
     const bool over = loop_.clock().now() >= end;
     change_server_fault(k, [&](testbed::ServerFault& t) {
-        t.stolen_cpu_fraction = on && !over ? fault.magnitude : 0;
+        t.stolen_cpu_fraction = active && !over ? fault.magnitude : 0;
     });
     if (over) {
         return;
     }
-    const Micros turn = fault.period > 0us ? fault.period : fault.duration;
-    schedule(std::min(turn, end - loop_.clock().now()),
-             [this, &fault, k, end, on] { toggle_noisy_neighbour(fault, k, end, !on); });
+    const Micros period = fault.period > 0us ? fault.period : fault.duration;
+    schedule(std::min(period, end - loop_.clock().now()),
+             [this, &fault, k, end, active] { toggle_noisy_neighbour(fault, k, end, !active); });
 }
 
 void SimulatedFleet::inject_server_fault(const Fault& fault) {
     using T = testbed::ServerFault;
-    const double by = fault.magnitude;
+    const double magnitude = fault.magnitude;
     switch (fault.kind) {
         case FaultKind::Hang:
-            return apply_for_duration(fault, [](T& t, bool on) { t.hangs = on; });
+            return apply_for_duration(fault, [](T& t, bool active) { t.hangs = active; });
         case FaultKind::FastErrors:
-            return apply_for_duration(fault,
-                                      [by](T& t, bool on) { t.error_fraction = on ? by : 0; });
+            return apply_for_duration(fault, [magnitude](T& t, bool active) {
+                t.error_fraction = active ? magnitude : 0;
+            });
         case FaultKind::Slow:
-            return apply_for_duration(fault,
-                                      [by](T& t, bool on) { t.slowdown_factor = on ? by : 1; });
+            return apply_for_duration(fault, [magnitude](T& t, bool active) {
+                t.slowdown_factor = active ? magnitude : 1;
+            });
         case FaultKind::ResponsesLost:
-            return apply_for_duration(
-                fault, [by](T& t, bool on) { t.lost_response_fraction = on ? by : 0; });
+            return apply_for_duration(fault, [magnitude](T& t, bool active) {
+                t.lost_response_fraction = active ? magnitude : 0;
+            });
         case FaultKind::LoadUnderreported:
-            return apply_for_duration(
-                fault, [by](T& t, bool on) { t.reported_load_fraction = on ? by : 1; });
+            return apply_for_duration(fault, [magnitude](T& t, bool active) {
+                t.reported_load_fraction = active ? magnitude : 1;
+            });
         case FaultKind::ConnectionLimit:
-            return apply_for_duration(fault, [by](T& t, bool on) {
-                t.max_connections = on ? static_cast<std::size_t>(by) : SIZE_MAX;
+            return apply_for_duration(fault, [magnitude](T& t, bool active) {
+                t.max_connections = active ? static_cast<std::size_t>(magnitude) : SIZE_MAX;
             });
         default:
             break;
@@ -853,10 +860,10 @@
         if (server.settings.zone != fault.target_name) {
             continue;
         }
-        Fault one = fault;
-        one.kind = FaultKind::Crash;
-        one.target_name = server.settings.id;
-        inject_server_fault(one);
+        Fault crash = fault;
+        crash.kind = FaultKind::Crash;
+        crash.target_name = server.settings.id;
+        inject_server_fault(crash);
     }
     for (std::size_t k = 0; fault.with_proxies && k < proxies_.size(); ++k) {
         if (proxies_[k].plan.zone != fault.target_name) {
--- a/src/scenario/simulated_fleet.h
+++ b/src/scenario/simulated_fleet.h
@@ -205,7 +205,7 @@
     void apply(const FaultAction& action);
     void apply_to_server(const FaultAction& action);
     void apply_to_proxy(const FaultAction& action);
-    void serve_stale_list(bool on, double seconds_back);
+    void serve_stale_list(bool active, double seconds_back);
     void set_channel_slowdown(double slowdown_factor);
     std::size_t server_index(const std::string& id) const;
     std::size_t proxy_index(const std::string& id) const;
@@ -236,8 +236,8 @@
                             const std::function<void(testbed::ServerFault&, bool active)>& change);
     void flap(const Fault& fault, std::size_t k, Micros end,
               std::shared_ptr<base::SequentialRandom> random);
-    void slow_down_gradually(const Fault& fault, std::size_t k, int incarnation, Micros began);
-    void toggle_noisy_neighbour(const Fault& fault, std::size_t k, Micros end, bool on);
+    void slow_down_gradually(const Fault& fault, std::size_t k, int incarnation, Micros started_at);
+    void toggle_noisy_neighbour(const Fault& fault, std::size_t k, Micros end, bool active);
 
     net::Loop& loop_;
     const ScenarioScript& script_;
