--- a/src/scenario/simulated_fleet.cpp
+++ b/src/scenario/simulated_fleet.cpp
@@ -677,8 +677,8 @@
 }
 
 // Changes the targets now, and back at the end of the fault unless they have restarted meanwhile.
-void SimulatedFleet::apply_for_duration(
-    const Fault& fault, const std::function<void(testbed::ServerFault&, bool)>& change) {
+void SimulatedFleet::change_for(const Fault& fault,
+                                const std::function<void(testbed::ServerFault&, bool)>& change) {
     for (const std::size_t k : select_servers(fault)) {
         change_server_fault(k, [&](testbed::ServerFault& t) { change(t, true); });
         schedule(fault.duration, [this, k, change, incarnation = servers_[k].incarnation] {
@@ -771,29 +771,23 @@
 
 void SimulatedFleet::inject_server_fault(const Fault& fault) {
     using T = testbed::ServerFault;
-    const double magnitude = fault.magnitude;
+    const double size = fault.magnitude;
     switch (fault.kind) {
         case FaultKind::Hang:
-            return apply_for_duration(fault, [](T& t, bool active) { t.hangs = active; });
+            return change_for(fault, [](T& t, bool on) { t.hangs = on; });
         case FaultKind::FastErrors:
-            return apply_for_duration(fault, [magnitude](T& t, bool active) {
-                t.error_fraction = active ? magnitude : 0;
-            });
+            return change_for(fault, [size](T& t, bool on) { t.error_fraction = on ? size : 0; });
         case FaultKind::Slow:
-            return apply_for_duration(fault, [magnitude](T& t, bool active) {
-                t.slowdown_factor = active ? magnitude : 1;
-            });
+            return change_for(fault, [size](T& t, bool on) { t.slowdown_factor = on ? size : 1; });
         case FaultKind::ResponsesLost:
-            return apply_for_duration(fault, [magnitude](T& t, bool active) {
-                t.lost_response_fraction = active ? magnitude : 0;
-            });
+            return change_for(fault,
+                              [size](T& t, bool on) { t.lost_response_fraction = on ? size : 0; });
         case FaultKind::LoadUnderreported:
-            return apply_for_duration(fault, [magnitude](T& t, bool active) {
-                t.reported_load_fraction = active ? magnitude : 1;
-            });
+            return change_for(fault,
+                              [size](T& t, bool on) { t.reported_load_fraction = on ? size : 1; });
         case FaultKind::ConnectionLimit:
-            return apply_for_duration(fault, [magnitude](T& t, bool active) {
-                t.max_connections = active ? static_cast<std::size_t>(magnitude) : SIZE_MAX;
+            return change_for(fault, [size](T& t, bool on) {
+                t.max_connections = on ? static_cast<std::size_t>(size) : SIZE_MAX;
             });
         default:
             break;
--- a/src/scenario/simulated_fleet.h
+++ b/src/scenario/simulated_fleet.h
@@ -232,8 +232,8 @@
     void change_server_fault(std::size_t k,
                              const std::function<void(testbed::ServerFault&)>& change);
     void inject_server_fault(const Fault& fault);
-    void apply_for_duration(const Fault& fault,
-                            const std::function<void(testbed::ServerFault&, bool active)>& change);
+    void change_for(const Fault& fault,
+                    const std::function<void(testbed::ServerFault&, bool active)>& change);
     void flap(const Fault& fault, std::size_t k, Micros end,
               std::shared_ptr<base::SequentialRandom> random);
     void slow_down_gradually(const Fault& fault, std::size_t k, int incarnation, Micros started_at);
