--- a/src/platform_server/discovery_watch.cpp
+++ b/src/platform_server/discovery_watch.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 // A change counts as announced to this instance 6 s after it happened, or 2 s after a held call
-// should have ended, whether or not its answer arrived. With a hold time of 2 s, a silent connection
-// is detected and another call is answered within those 6 s.
+// should have ended, whether or not its answer arrived. With a hold time of 2 s, a silent
+// connection is detected and another call is answered within those 6 s.
 
 /// How long discovery may hold a call if it has no changes.
 constexpr Micros kHoldTime = 2s;
